--- a/crates/core/src/spread/calls.rs
+++ b/crates/core/src/spread/calls.rs
@@ -26,7 +26,7 @@
 pub(super) enum Purpose {
     Announce,
     /// An announcement to the successor.
-    AnnounceNext,
+    AnnounceToSuccessor,
     Sync,
     Pull(Stream),
     Reconcile,
@@ -34,10 +34,10 @@
 
 /// A call under way.
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct PendingCall {
     pub(super) to: Address,
     pub(super) purpose: Purpose,
-    pub(super) asked: Tick,
+    pub(super) sent_at: Tick,
     deadline: Tick,
 }
 
@@ -50,16 +50,16 @@
 #[derive(Debug)]
 pub(super) struct Calls {
     timeout: Duration,
-    next: u64,
-    waiting: BTreeMap<CallId, Waiting>,
+    next_id: u64,
+    pending: BTreeMap<CallId, PendingCall>,
 }
 
 impl Calls {
     pub(super) fn new(timeout: Duration) -> Calls {
         Calls {
             timeout,
-            next: 0,
-            waiting: BTreeMap::new(),
+            next_id: 0,
+            pending: BTreeMap::new(),
         }
     }
 
@@ -72,15 +72,15 @@
         message: PeerMessage,
         out: &mut Vec<Action>,
     ) {
-        let id = CallId::new(self.next);
-        self.next += 1;
-        let waiting = Waiting {
+        let id = CallId::new(self.next_id);
+        self.next_id += 1;
+        let pending = PendingCall {
             to: to.clone(),
             purpose,
-            asked: now,
+            sent_at: now,
             deadline: now + self.timeout,
         };
-        self.waiting.insert(id, waiting);
+        self.pending.insert(id, pending);
         out.push(Action::Send(Box::new(Call {
             id,
             peer: to.id.clone(),
@@ -92,13 +92,13 @@
 
     /// The call that an answer or a failure belongs to; absent if it was given
     /// up before, so that a late answer can't be taken for another's.
-    pub(super) fn finish(&mut self, id: CallId) -> Option<Waiting> {
-        self.waiting.remove(&id)
+    pub(super) fn finish(&mut self, id: CallId) -> Option<PendingCall> {
+        self.pending.remove(&id)
     }
 
     /// A call whose time has passed.
-    pub(super) fn expire(&mut self, now: Tick) -> Option<Waiting> {
-        let first = self.waiting.first_entry()?;
+    pub(super) fn take_expired(&mut self, now: Tick) -> Option<PendingCall> {
+        let first = self.pending.first_entry()?;
         if first.get().deadline > now {
             return None;
         }
@@ -106,18 +106,18 @@
     }
 
     /// Whether something of that purpose is under way.
-    pub(super) fn has(&self, purpose: Purpose) -> bool {
-        self.waiting.values().any(|call| call.purpose == purpose)
+    pub(super) fn is_in_flight(&self, purpose: Purpose) -> bool {
+        self.pending.values().any(|call| call.purpose == purpose)
     }
 
     /// When the next call fails.
     pub(super) fn next_deadline(&self) -> Option<Tick> {
-        let first = self.waiting.first_key_value()?;
+        let first = self.pending.first_key_value()?;
         Some(first.1.deadline)
     }
 
     /// Gives up on all calls.
     pub(super) fn clear(&mut self) {
-        self.waiting.clear();
+        self.pending.clear();
     }
 }
--- a/crates/core/src/spread/history.rs
+++ b/crates/core/src/spread/history.rs
@@ -12,7 +12,7 @@
 use crate::Version;
 
 /// Encoded bodies that are kept for the newest version.
-const MAX_CACHED: usize = 8;
+const MAX_CACHED_BODIES: usize = 8;
 
 /// The last changes of a stream, bounded by count and size.
 ///
@@ -72,7 +72,7 @@
         self.changes.push_back(Change { delta, bytes });
         self.bytes += bytes;
         self.cached.push(body);
-        self.shrink();
+        self.evict_to_bounds();
     }
 
     /// What leads from `base` to what is held: a delta where the history goes
@@ -81,16 +81,16 @@
         if let Some(found) = self.cached.iter().find(|body| body.base == base) {
             return Ok(found.clone());
         }
-        let delta = base.and_then(|base| self.composed(base));
+        let delta = base.and_then(|base| self.compose_since(base));
         let body = match delta {
             Some(delta) if delta.put.len() <= held.len() / 2 => Body::delta(self.stream, delta)?,
-            _ => self.whole(held)?,
+            _ => self.full_body(held)?,
         };
         self.cache(&body);
         Ok(body)
     }
 
-    fn whole(&self, held: &Document<T>) -> Result<Body> {
+    fn full_body(&self, held: &Document<T>) -> Result<Body> {
         match self.cached.iter().find(|body| body.base.is_none()) {
             Some(found) => Ok(found.clone()),
             None => Body::whole(self.stream, held),
@@ -101,14 +101,14 @@
         if self.cached.iter().any(|cached| cached.base == body.base) {
             return;
         }
-        if self.cached.len() == MAX_CACHED {
+        if self.cached.len() == MAX_CACHED_BODIES {
             self.cached.remove(0);
         }
         self.cached.push(body.clone());
     }
 
     /// All changes since `base` as one; the last word on a key counts.
-    fn composed(&self, base: Version) -> Option<Delta<T>> {
+    fn compose_since(&self, base: Version) -> Option<Delta<T>> {
         let from = |change: &Change<T>| change.delta.base == base;
         let start = self.changes.iter().position(from)?;
         let target = self.changes.back()?.delta.target;
@@ -131,7 +131,7 @@
         })
     }
 
-    fn shrink(&mut self) {
+    fn evict_to_bounds(&mut self) {
         while self.changes.len() > self.max_count || self.bytes > self.max_bytes {
             match self.changes.pop_front() {
                 Some(oldest) => self.bytes -= oldest.bytes,
--- a/crates/core/src/spread/life.rs
+++ b/crates/core/src/spread/join_state.rs
@@ -14,7 +14,7 @@
 
 use std::time::Duration;
 
-use super::holder::Holder;
+use super::version_store::VersionStore;
 use crate::Action;
 use crate::InstanceId;
 use crate::Origin;
@@ -23,7 +23,7 @@
 
 /// Whether a node has joined.
 #[derive(Debug)]
-pub(super) enum Life {
+pub(super) enum JoinState {
     Joining(Joining),
     Joined(Joined),
 }
@@ -33,8 +33,8 @@
 pub(super) struct Joining {
     started: Tick,
     /// Since when there has been a snapshot that could be put in force.
-    ready_since: Option<Tick>,
-    answered: Vec<InstanceId>,
+    snapshot_since: Option<Tick>,
+    answered_peers: Vec<InstanceId>,
 }
 
 /// A node whose snapshot is in force; nothing comes into force but through it.
@@ -50,27 +50,27 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Progress {
     /// There is a snapshot.
-    pub(super) bound: bool,
+    pub(super) has_snapshot: bool,
     /// Nothing newer than what is held was heard of.
-    pub(super) settled: bool,
+    pub(super) holds_newest: bool,
     /// Peers that have to answer.
     pub(super) peers_needed: usize,
     /// The platform answered this node, or lately another that told so.
-    pub(super) source: bool,
+    pub(super) has_contact: bool,
     /// How long to wait once there is a snapshot.
-    pub(super) wait: Duration,
+    pub(super) max_wait: Duration,
 }
 
 impl Joined {
     /// Puts what is held in force.
     pub(super) fn apply(
         &self,
-        holder: &Holder,
+        store: &VersionStore,
         stream: Stream,
         origin: &Origin,
         out: &mut Vec<Action>,
     ) {
-        holder.apply(stream, origin, out);
+        store.apply(stream, origin, out);
     }
 }
 
@@ -78,41 +78,42 @@
     pub(super) fn new(now: Tick) -> Joining {
         Joining {
             started: now,
-            ready_since: None,
-            answered: Vec::new(),
+            snapshot_since: None,
+            answered_peers: Vec::new(),
         }
     }
 
     /// Notes that a peer told what it holds.
     pub(super) fn note_answer(&mut self, from: &InstanceId) {
-        if !self.answered.contains(from) {
-            self.answered.push(from.clone());
+        if !self.answered_peers.contains(from) {
+            self.answered_peers.push(from.clone());
         }
     }
 
     /// Whether that peer has told.
     pub(super) fn has_answered(&self, peer: &InstanceId) -> bool {
-        self.answered.contains(peer)
+        self.answered_peers.contains(peer)
     }
 
     /// When the wait ends, once there is a snapshot.
-    pub(super) fn ends(&self, wait: Duration) -> Option<Tick> {
-        Some(self.ready_since? + wait)
+    pub(super) fn deadline(&self, max_wait: Duration) -> Option<Tick> {
+        Some(self.snapshot_since? + max_wait)
     }
 
     /// The joined node, if joining is over.
     pub(super) fn finish(&mut self, now: Tick, progress: Progress) -> Option<Joined> {
-        if !progress.bound {
+        if !progress.has_snapshot {
             return None;
         }
-        let since = *self.ready_since.get_or_insert(now);
-        let compared =
-            progress.settled && progress.source && self.answered.len() >= progress.peers_needed;
-        if !compared && now.since(since) < progress.wait {
+        let since = *self.snapshot_since.get_or_insert(now);
+        let compared = progress.holds_newest
+            && progress.has_contact
+            && self.answered_peers.len() >= progress.peers_needed;
+        if !compared && now.since(since) < progress.max_wait {
             return None;
         }
         Some(Joined {
-            peers: u32::try_from(self.answered.len()).unwrap_or(u32::MAX),
+            peers: u32::try_from(self.answered_peers.len()).unwrap_or(u32::MAX),
             took: now.since(self.started),
         })
     }
--- a/crates/core/src/spread/list_proof.rs
+++ b/crates/core/src/spread/list_proof.rs
@@ -42,19 +42,19 @@
     ///
     /// The answer was made at some time since, and may have waited in a buffer:
     /// only the beginning of the read is sure to be before it.
-    pub(super) fn prove(&mut self, asked: Tick, revision: Revision) {
+    pub(super) fn prove(&mut self, read_started: Tick, revision: Revision) {
         self.note(Proof {
             revision,
-            at_us: micros(asked),
+            at_us: micros(read_started),
         });
     }
 
     /// Notes a peer's answer to what it was asked at `asked`.
-    pub(super) fn merge(&mut self, asked: Tick, told: Option<ListProof>) {
-        if let Some(told) = told {
+    pub(super) fn merge(&mut self, sent_at: Tick, proof: Option<ListProof>) {
+        if let Some(proof) = proof {
             self.note(Proof {
-                revision: told.revision,
-                at_us: micros(asked) - i64::from(told.age_ms) * 1_000,
+                revision: proof.revision,
+                at_us: micros(sent_at) - i64::from(proof.age_ms) * 1_000,
             });
         }
     }
--- a/crates/core/src/spread/machine.rs
+++ b/crates/core/src/spread/machine.rs
@@ -13,14 +13,14 @@
 use super::calls::Calls;
 use super::gossip::Gossip;
 use super::history::History;
-use super::holder::Holder;
-use super::lapse::Lapse;
-use super::life::Joining;
-use super::life::Life;
+use super::join_state::JoinState;
+use super::join_state::Joining;
 use super::list_proof::ListClock;
+use super::list_regression::ListRegressionGuard;
 use super::peers::Peers;
-use super::pulls::Pulls;
-use super::source::SourceReads;
+use super::pull_state::PullState;
+use super::source_reads::SourceReads;
+use super::version_store::VersionStore;
 use crate::Action;
 use crate::CatalogueItem;
 use crate::Disseminate;
@@ -67,76 +67,76 @@
     cfg: SpreadConfig,
     local: LocalNode,
     rng: SmallRng,
-    life: Life,
-    holder: Holder,
-    catalogues: History<CatalogueItem>,
-    lists: History<Instance>,
+    join_state: JoinState,
+    store: VersionStore,
+    catalogue_history: History<CatalogueItem>,
+    list_history: History<Instance>,
     peers: Peers,
-    pulls: [Pulls; 2],
+    pulls: [PullState; 2],
     calls: Calls,
     gossip: Gossip,
     members: Members,
     reports: Reports,
     pending_answers: PendingAnswers,
     /// Bounds the reports that are told on at once.
-    telling: Bucket,
+    report_budget: Bucket,
     /// Counts the reports of this process.
-    reported: u64,
-    own: EndpointState,
+    report_count: u64,
+    own_state: EndpointState,
     /// The incarnation of another process with this node's name.
     replaced_by: Option<u64>,
     role: Role,
     contact: ContactClock,
-    list: ListClock,
-    lapse: Lapse,
+    list_proof: ListClock,
+    list_regression: ListRegressionGuard,
     budget: ReadBudget,
     reads: [SourceReads; 2],
     /// Who gave the catalogue that is held.
-    giver: Origin,
+    catalogue_origin: Origin,
     /// Whether a list that it held named it.
     was_listed: bool,
     started: Tick,
-    last: Tick,
+    last_event_at: Tick,
 }
 
 impl Spread {
     /// A node that starts at `now`; `seed` decides its random choices.
     pub fn new(cfg: SpreadConfig, local: LocalNode, seed: u64, now: Tick) -> Spread {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let own = EndpointState {
+        let own_state = EndpointState {
             instance: local.id.clone(),
             incarnation: local.incarnation.get(),
             sequence: 0,
             phase: Phase::Starting,
         };
         let mut members = Members::new();
-        members.merge(now, &own, None);
+        members.merge(now, &own_state, None);
         Spread {
-            life: Life::Joining(Joining::new(now)),
-            holder: Holder::default(),
-            catalogues: history(Stream::Catalogue, &cfg),
-            lists: history(Stream::Instances, &cfg),
+            join_state: JoinState::Joining(Joining::new(now)),
+            store: VersionStore::default(),
+            catalogue_history: history(Stream::Catalogue, &cfg),
+            list_history: history(Stream::Instances, &cfg),
             peers: Peers::default(),
-            pulls: [Pulls::default(), Pulls::default()],
+            pulls: [PullState::default(), PullState::default()],
             calls: Calls::new(cfg.call_timeout),
             gossip: Gossip::new(now),
             members,
             reports: Reports::default(),
             pending_answers: PendingAnswers::default(),
-            telling: Bucket::full(),
-            reported: 0,
-            own,
+            report_budget: Bucket::full(),
+            report_count: 0,
+            own_state,
             replaced_by: None,
             role: Role::new(&cfg, &mut rng),
             contact: ContactClock::default(),
-            list: ListClock::default(),
-            lapse: Lapse::default(),
+            list_proof: ListClock::default(),
+            list_regression: ListRegressionGuard::default(),
             budget: ReadBudget::new(&cfg, &mut rng, now),
             reads: Stream::ALL.map(|stream| SourceReads::new(stream, &cfg)),
-            giver: Origin::Source,
+            catalogue_origin: Origin::Source,
             was_listed: false,
             started: now,
-            last: now,
+            last_event_at: now,
             rng,
             local,
             cfg,
@@ -145,21 +145,23 @@
 
     /// Takes in an event and appends what is to be done to `out`.
     pub fn handle(&mut self, now: Tick, event: Event, out: &mut Vec<Action>) {
-        self.notice_pause(now, out);
+        self.detect_pause(now, out);
         match event {
             Event::Wakeup => {}
-            Event::Reply { call, reply } => self.replied(now, call, reply, out),
+            Event::Reply { call, reply } => self.handle_reply(now, call, reply, out),
             Event::CallFailed { call } => {
-                if let Some(waiting) = self.calls.finish(call) {
-                    self.call_failed(now, &waiting, out);
+                if let Some(pending) = self.calls.finish(call) {
+                    self.handle_call_failure(now, &pending, out);
                 }
             }
-            Event::SourceRead { stream, result } => self.source_read(now, stream, result, out),
+            Event::SourceRead { stream, result } => {
+                self.handle_source_result(now, stream, result, out)
+            }
             Event::LocalPhase(phase) => self.enter_phase(now, phase, out),
-            Event::Sighted { sighting, ago } => self.sighted(now, sighting, ago, out),
+            Event::Sighted { sighting, ago } => self.handle_observation(now, sighting, ago, out),
             Event::Seeds(seeds) => self.local.seeds = seeds,
         }
-        self.do_what_is_due(now, out);
+        self.run_due_work(now, out);
     }
 
     /// Answers a peer's message; what is to be done besides goes to `out`.
@@ -170,9 +172,9 @@
         message: PeerMessage,
         out: &mut Vec<Action>,
     ) -> PeerReply {
-        self.notice_pause(now, out);
+        self.detect_pause(now, out);
         let reply = self.answer_message(now, from, message, out);
-        self.do_what_is_due(now, out);
+        self.run_due_work(now, out);
         reply
     }
 
@@ -183,24 +185,28 @@
 
     /// What there is to tell operators.
     pub fn status(&self, now: Tick) -> SpreadStatus {
-        let held = self.holder.heads();
-        let heard = |stream: Stream| self.pulls[stream as usize].heard.or(held.of(stream));
+        let held = self.store.heads();
+        let advertised = |stream: Stream| {
+            self.pulls[stream as usize]
+                .newest_advertised
+                .or(held.of(stream))
+        };
         SpreadStatus {
-            joined: matches!(self.life, Life::Joined(_)),
+            joined: matches!(self.join_state, JoinState::Joined(_)),
             reading: self.role.reads(),
             rank: self.role.rank(),
             held,
             heard: crate::Heads {
-                catalogue: heard(Stream::Catalogue),
-                instances: heard(Stream::Instances),
+                catalogue: advertised(Stream::Catalogue),
+                instances: advertised(Stream::Instances),
             },
-            refused: self.holder.last_refused(),
+            refused: self.store.last_refused(),
             peers: self.peers.len(),
             source_age: self.contact.age(now),
-            list: self.list.current(now),
-            conflicts: self.holder.conflicts(),
-            refusals: self.holder.refusals(),
-            reads: self.reads.iter().map(SourceReads::count).sum(),
+            list: self.list_proof.current(now),
+            conflicts: self.store.conflicts(),
+            refusals: self.store.refusals(),
+            reads: self.reads.iter().map(SourceReads::read_count).sum(),
         }
     }
 
--- a/crates/core/src/spread/machine/announce.rs
+++ b/crates/core/src/spread/machine/announce.rs
@@ -13,30 +13,30 @@
 use crate::spread::calls::Purpose;
 
 /// Endpoint states in one announcement.
-pub(super) const MAX_STATES: usize = 64;
+pub(super) const MAX_ANNOUNCED_STATES: usize = 64;
 
 impl Spread {
-    pub(super) fn announce_what_is_due(&mut self, now: Tick, out: &mut Vec<Action>) {
+    pub(super) fn announce_if_due(&mut self, now: Tick, out: &mut Vec<Action>) {
         if self.gossip.announce_due().is_none_or(|due| due > now) {
             return;
         }
-        if self.peers.len() == 0 && self.peers.strangers().is_empty() {
+        if self.peers.len() == 0 && self.peers.unlisted_senders().is_empty() {
             // Nobody is known yet: the news wait until somebody is.
             self.gossip.heads_due = None;
             self.gossip.states_due = None;
             return;
         }
         let message = self.announcement(now);
-        self.gossip.last = Some(message.clone());
+        self.gossip.last_announcement = Some(message.clone());
         let next = self.announce_to_successor(now, out);
-        for to in self.listeners(now, next) {
+        for to in self.pick_announce_peers(now, next) {
             let message = PeerMessage::Announce(message.clone());
             self.calls.send(now, &to, Purpose::Announce, message, out);
         }
         self.announce_to_unlisted(now, message, out);
         self.gossip.heads_due = None;
-        self.gossip.teller = None;
-        self.gossip.states_due = match self.gossip.has_states() {
+        self.gossip.news_sender = None;
+        self.gossip.states_due = match self.gossip.has_pending_states() {
             true => Some(now + self.cfg.state_linger),
             false => None,
         };
@@ -47,8 +47,8 @@
             Some(_) => self.eager_body(),
             None => None,
         };
-        let heads = self.holder.heads();
-        self.gossip.announced = heads;
+        let heads = self.store.heads();
+        self.gossip.announced_heads = heads;
         let reports = self.gossip.take_reports();
         let reports = reports
             .iter()
@@ -59,21 +59,21 @@
             heads,
             contact: self.contact.current(now),
             body,
-            states: self.gossip.take_states(MAX_STATES),
+            states: self.gossip.take_states(MAX_ANNOUNCED_STATES),
         }
     }
 
     /// The change since the last announcement, if it is small.
     fn eager_body(&mut self) -> Option<Body> {
-        let heads = self.holder.heads();
-        let before = self.gossip.announced;
+        let heads = self.store.heads();
+        let before = self.gossip.announced_heads;
         let changed = Stream::ALL
             .into_iter()
             .find(|stream| heads.of(*stream) != before.of(*stream))?;
         before.of(changed)?;
         let body = self.body_since(changed, before.of(changed))?;
-        let fits = body.base.is_some() && body.bytes.len() <= self.cfg.eager_bytes;
-        fits.then_some(body)
+        let is_small_delta = body.base.is_some() && body.bytes.len() <= self.cfg.eager_bytes;
+        is_small_delta.then_some(body)
     }
 
     /// Tells the news to the successor, and returns who that is.
@@ -82,15 +82,15 @@
         now: Tick,
         out: &mut Vec<Action>,
     ) -> Option<Address> {
-        let message = self.gossip.last.clone()?;
+        let message = self.gossip.last_announcement.clone()?;
         let members = &self.members;
         let next = self.peers.successor(now, |peer| !is_gone(members, peer))?;
-        if next.id == self.gossip.teller {
+        if next.id == self.gossip.news_sender {
             return Some(next);
         }
         let message = PeerMessage::Announce(message);
         self.calls
-            .send(now, &next, Purpose::AnnounceNext, message, out);
+            .send(now, &next, Purpose::AnnounceToSuccessor, message, out);
         Some(next)
     }
 
@@ -107,28 +107,30 @@
     }
 
     /// Peers beside the successor that hear the news, drawn at random.
-    fn listeners(&mut self, now: Tick, next: Option<Address>) -> Vec<Address> {
+    fn pick_announce_peers(&mut self, now: Tick, next: Option<Address>) -> Vec<Address> {
         let fanout = usize::try_from(self.cfg.fanout).unwrap_or(usize::MAX);
         if self.peers.len() == 0 {
-            let strangers = self.peers.strangers().iter().take(fanout);
-            return strangers.cloned().collect();
+            let unlisted_senders = self.peers.unlisted_senders().iter().take(fanout);
+            return unlisted_senders.cloned().collect();
         }
-        let wanted = fanout - usize::from(next.is_some());
-        let mut drawn: Vec<Address> = Vec::with_capacity(wanted);
-        let cross = self.cfg.cross_domain_percent;
-        for _ in 0..2 * wanted {
-            if drawn.len() == wanted {
+        let count = fanout - usize::from(next.is_some());
+        let mut picked: Vec<Address> = Vec::with_capacity(count);
+        let cross_percent = self.cfg.cross_domain_percent;
+        for _ in 0..2 * count {
+            if picked.len() == count {
                 break;
             }
             let (gossip, members) = (&self.gossip, &self.members);
-            let fits = |peer: &Address| {
-                let told = drawn.contains(peer) || next.as_ref() == Some(peer);
-                !told && peer.id != gossip.teller && !is_gone(members, peer)
+            let is_eligible = |peer: &Address| {
+                let is_chosen = picked.contains(peer) || next.as_ref() == Some(peer);
+                !is_chosen && peer.id != gossip.news_sender && !is_gone(members, peer)
             };
-            let peer = self.peers.draw(now, cross, &mut self.rng, fits);
-            drawn.extend(peer);
+            let peer = self
+                .peers
+                .pick_random(now, cross_percent, &mut self.rng, is_eligible);
+            picked.extend(peer);
         }
-        drawn
+        picked
     }
 }
 
--- a/crates/core/src/spread/machine/answer.rs
+++ b/crates/core/src/spread/machine/answer.rs
@@ -14,7 +14,7 @@
 use crate::Sync;
 use crate::SyncReply;
 use crate::Tick;
-use crate::spread::life::Life;
+use crate::spread::join_state::JoinState;
 
 impl Spread {
     pub(super) fn answer_message(
@@ -25,10 +25,10 @@
         out: &mut Vec<Action>,
     ) -> PeerReply {
         match message {
-            PeerMessage::Announce(told) => self.answer_announce(now, from, told, out),
-            PeerMessage::Sync(told) => self.answer_sync(now, from, &told, out),
+            PeerMessage::Announce(announce) => self.answer_announce(now, from, announce, out),
+            PeerMessage::Sync(sync) => self.answer_sync(now, from, &sync, out),
             PeerMessage::Pull(pull) => PeerReply::Body(self.answer_pull(pull)),
-            PeerMessage::Reconcile(told) => self.answer_reconcile(now, from, &told, out),
+            PeerMessage::Reconcile(reconcile) => self.answer_reconcile(now, from, &reconcile, out),
         }
     }
 
@@ -36,48 +36,48 @@
         &mut self,
         now: Tick,
         from: &InstanceId,
-        told: Announce,
+        announce: Announce,
         out: &mut Vec<Action>,
     ) -> PeerReply {
-        self.peers.meet(from, told.control);
-        let holder = self.address(from, told.control);
-        self.merge_contact(now, told.contact, out);
+        self.peers.note_sender(from, announce.control);
+        let peer = self.address(from, announce.control);
+        self.merge_contact(now, announce.contact, out);
         let origin = Origin::Peer(from.clone());
-        self.merge_states(now, &told.states, &origin, out);
-        self.merge_reports(now, &told.reports, &origin, out);
-        if let Some(body) = told.body {
-            self.open_eagerly(now, &body, from, out);
+        self.merge_states(now, &announce.states, &origin, out);
+        self.merge_reports(now, &announce.reports, &origin, out);
+        if let Some(body) = announce.body {
+            self.apply_announced_body(now, &body, from, out);
         }
-        self.merge_heads(now, told.heads, &holder, out);
-        let mine = self.holder.heads();
-        PeerReply::Heads(is_ahead(mine, told.heads).then_some(mine))
+        self.merge_heads(now, announce.heads, &peer, out);
+        let own_heads = self.store.heads();
+        PeerReply::Heads(is_ahead(own_heads, announce.heads).then_some(own_heads))
     }
 
     fn answer_sync(
         &mut self,
         now: Tick,
         from: &InstanceId,
-        told: &Sync,
+        sync: &Sync,
         out: &mut Vec<Action>,
     ) -> PeerReply {
-        self.peers.meet(from, told.control);
-        let holder = self.address(from, told.control);
-        self.merge_contact(now, told.contact, out);
-        self.merge_heads(now, told.heads, &holder, out);
-        let buckets = match self.members.root() == told.states {
+        self.peers.note_sender(from, sync.control);
+        let peer = self.address(from, sync.control);
+        self.merge_contact(now, sync.contact, out);
+        self.merge_heads(now, sync.heads, &peer, out);
+        let buckets = match self.members.root() == sync.states {
             true => Vec::new(),
             false => self.members.digests(),
         };
         PeerReply::Sync(SyncReply {
             from: self.local.id.clone(),
-            joined: matches!(self.life, Life::Joined(_)),
-            heads: self.holder.heads(),
+            joined: matches!(self.join_state, JoinState::Joined(_)),
+            heads: self.store.heads(),
             contact: self.contact.current(now),
-            list: self.list.current(now),
+            list: self.list_proof.current(now),
             buckets,
-            about_you: self.members.get(from).cloned(),
+            requester_state: self.members.get(from).cloned(),
             reports_root: self.reports.root(),
-            reports: match self.reports.root() == told.reports {
+            reports: match self.reports.root() == sync.reports {
                 true => Vec::new(),
                 false => self.reports.reports_to_send(now),
             },
@@ -87,7 +87,7 @@
     /// The newest body, whatever the peer may have heard of: a burst of
     /// versions is fetched once.
     fn answer_pull(&mut self, pull: Pull) -> Option<crate::Body> {
-        let held = self.holder.heads().of(pull.stream)?;
+        let held = self.store.heads().of(pull.stream)?;
         if pull
             .held
             .is_some_and(|its| its.revision() >= held.revision())
@@ -101,25 +101,31 @@
         &mut self,
         now: Tick,
         from: &InstanceId,
-        told: &Reconcile,
+        reconcile: &Reconcile,
         out: &mut Vec<Action>,
     ) -> PeerReply {
-        let mine = self.members.in_buckets(told.buckets);
-        let theirs = |state: &crate::EndpointState| {
-            let found = told.states.iter().find(|it| it.instance == state.instance);
+        let own_states = self.members.in_buckets(reconcile.buckets);
+        let is_lacking = |state: &crate::EndpointState| {
+            let found = reconcile
+                .states
+                .iter()
+                .find(|it| it.instance == state.instance);
             found.is_none_or(|found| state.is_newer_than(found))
         };
-        let lacking = mine.filter(|state| theirs(state)).cloned().collect();
+        let lacking = own_states
+            .filter(|state| is_lacking(state))
+            .cloned()
+            .collect();
         let origin = Origin::Peer(from.clone());
-        self.merge_states(now, &told.states, &origin, out);
+        self.merge_states(now, &reconcile.states, &origin, out);
         PeerReply::States(lacking)
     }
 }
 
-/// Whether `mine` has something newer than `theirs`.
-fn is_ahead(mine: Heads, theirs: Heads) -> bool {
-    let ahead = |stream: &Stream| match (mine.of(*stream), theirs.of(*stream)) {
-        (Some(mine), Some(theirs)) => mine.revision() > theirs.revision(),
+/// Whether `own` has something newer than `theirs`.
+fn is_ahead(own: Heads, theirs: Heads) -> bool {
+    let ahead = |stream: &Stream| match (own.of(*stream), theirs.of(*stream)) {
+        (Some(own), Some(theirs)) => own.revision() > theirs.revision(),
         (Some(_), None) => true,
         (None, _) => false,
     };
--- a/crates/core/src/spread/machine/join.rs
+++ b/crates/core/src/spread/machine/join.rs
@@ -13,51 +13,54 @@
 use crate::Stream;
 use crate::Tick;
 use crate::spread::calls::Address;
-use crate::spread::life::Life;
-use crate::spread::life::Progress;
+use crate::spread::join_state::JoinState;
+use crate::spread::join_state::Progress;
 
 /// Time between two rounds of asking while joining.
-pub(super) const ASK_AGAIN: Duration = Duration::from_millis(500);
+pub(super) const JOIN_SYNC_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Spread {
     /// Asks some peers what they hold: of the list if there is one, else the
     /// seeds and whoever called.
-    pub(super) fn ask_to_join(&mut self, now: Tick, out: &mut Vec<Action>) {
-        let pause = self.jittered(ASK_AGAIN);
-        self.gossip.next_sync = now + pause;
-        self.gossip.syncs += 1;
-        for peer in self.join_partners(now) {
+    pub(super) fn send_join_syncs(&mut self, now: Tick, out: &mut Vec<Action>) {
+        let delay = self.jittered(JOIN_SYNC_INTERVAL);
+        self.gossip.next_sync = now + delay;
+        self.gossip.sync_count += 1;
+        for peer in self.pick_join_peers(now) {
             self.send_sync(now, &peer, out);
         }
     }
 
-    fn join_partners(&mut self, now: Tick) -> Vec<Address> {
-        let wanted = usize::try_from(self.cfg.join_peers).unwrap_or(usize::MAX);
+    fn pick_join_peers(&mut self, now: Tick) -> Vec<Address> {
+        let count = usize::try_from(self.cfg.join_peers).unwrap_or(usize::MAX);
         if self.peers.len() == 0 {
             let seeds = self.local.seeds.iter().map(|seed| Address {
                 id: None,
                 control: *seed,
             });
-            let strangers = self.peers.strangers().iter().cloned();
-            return strangers.chain(seeds).take(wanted.max(1)).collect();
+            let unlisted_senders = self.peers.unlisted_senders().iter().cloned();
+            return unlisted_senders.chain(seeds).take(count.max(1)).collect();
         }
-        let mut drawn: Vec<Address> = Vec::with_capacity(wanted);
-        for n in 0..wanted {
+        let mut picked: Vec<Address> = Vec::with_capacity(count);
+        for n in 0..count {
             // Its own failure domain and the others in turn: each may know
             // what a partition kept from the other.
-            let cross = if n % 2 == 0 { 0 } else { 100 };
-            let life = &self.life;
-            let fits = |peer: &Address| !drawn.contains(peer) && !has_told(life, peer);
-            let peer = self.peers.draw(now, cross, &mut self.rng, fits);
-            drawn.extend(peer);
-        }
-        drawn
+            let cross_percent = if n % 2 == 0 { 0 } else { 100 };
+            let join_state = &self.join_state;
+            let is_eligible =
+                |peer: &Address| !picked.contains(peer) && !has_answered_join(join_state, peer);
+            let peer = self
+                .peers
+                .pick_random(now, cross_percent, &mut self.rng, is_eligible);
+            picked.extend(peer);
+        }
+        picked
     }
 
     /// Ends joining once everything was compared, or the wait is over.
     pub(super) fn join_if_due(&mut self, now: Tick, out: &mut Vec<Action>) {
-        let progress = self.progress(now);
-        let Life::Joining(joining) = &mut self.life else {
+        let progress = self.join_progress(now);
+        let JoinState::Joining(joining) = &mut self.join_state else {
             return;
         };
         let Some(joined) = joining.finish(now, progress) else {
@@ -65,34 +68,34 @@
         };
         out.push(Action::Audit(AuditEvent::Joined {
             peers: joined.peers,
-            source: self.source_answered_all(),
+            source: self.source_answered_all_streams(),
             took: joined.took,
         }));
-        joined.apply(&self.holder, Stream::Catalogue, &self.giver, out);
+        joined.apply(&self.store, Stream::Catalogue, &self.catalogue_origin, out);
         out.push(Action::Joined);
-        self.life = Life::Joined(joined);
-        let pause = self.sync_pause();
-        self.gossip.next_sync = now + pause;
+        self.join_state = JoinState::Joined(joined);
+        let delay = self.sync_delay();
+        self.gossip.next_sync = now + delay;
     }
 
-    fn progress(&self, now: Tick) -> Progress {
-        let wanted = usize::try_from(self.cfg.join_peers).unwrap_or(usize::MAX);
+    fn join_progress(&self, now: Tick) -> Progress {
+        let count = usize::try_from(self.cfg.join_peers).unwrap_or(usize::MAX);
         Progress {
-            bound: self.holder.snapshot().is_some(),
-            settled: Stream::ALL
+            has_snapshot: self.store.snapshot().is_some(),
+            holds_newest: Stream::ALL
                 .into_iter()
-                .all(|stream| self.is_settled(stream)),
-            peers_needed: wanted.min(self.peers.len()),
-            source: self.source_answered_all() || self.is_current(now),
-            wait: self.cfg.join_bound,
+                .all(|stream| self.holds_newest_advertised(stream)),
+            peers_needed: count.min(self.peers.len()),
+            has_contact: self.source_answered_all_streams() || self.has_recent_contact(now),
+            max_wait: self.cfg.join_bound,
         }
     }
 
     /// When joining ends at the latest, once that is known.
-    pub(super) fn join_ends(&self) -> Option<Tick> {
-        match &self.life {
-            Life::Joining(joining) => joining.ends(self.cfg.join_bound),
-            Life::Joined(_) => None,
+    pub(super) fn join_deadline(&self) -> Option<Tick> {
+        match &self.join_state {
+            JoinState::Joining(joining) => joining.deadline(self.cfg.join_bound),
+            JoinState::Joined(_) => None,
         }
     }
 
@@ -101,37 +104,37 @@
     ///
     /// What lay in its buffers brings it part of the way: it would announce a
     /// version from while it slept, though a peer has just told it of a newer.
-    pub(super) fn speak_if_settled(&mut self) {
+    pub(super) fn end_quiet_if_up_to_date(&mut self) {
         if Stream::ALL
             .into_iter()
-            .all(|stream| self.is_settled(stream))
+            .all(|stream| self.holds_newest_advertised(stream))
         {
             self.gossip.quiet_until = None;
         }
     }
 
-    fn is_settled(&self, stream: Stream) -> bool {
-        let heard = self.pulls[stream as usize].heard;
-        heard.is_none_or(|heard| !self.holder.lacks(stream, heard))
+    fn holds_newest_advertised(&self, stream: Stream) -> bool {
+        let advertised = self.pulls[stream as usize].newest_advertised;
+        advertised.is_none_or(|advertised| !self.store.lacks(stream, advertised))
     }
 
-    fn source_answered_all(&self) -> bool {
-        self.reads.iter().all(|reads| reads.answered())
+    fn source_answered_all_streams(&self) -> bool {
+        self.reads.iter().all(|reads| reads.has_answered())
     }
 
     /// A newer catalogue is held.
-    pub(super) fn catalogue_taken(
+    pub(super) fn catalogue_accepted(
         &mut self,
         now: Tick,
         before: Option<&Catalogue>,
         origin: &Origin,
         out: &mut Vec<Action>,
     ) {
-        if let Some(held) = self.holder.catalogue() {
-            self.catalogues.advance(before, held);
+        if let Some(held) = self.store.catalogue() {
+            self.catalogue_history.advance(before, held);
             self.audit_evacuations(before, held, origin, out);
         }
-        self.taken(now, Stream::Catalogue, origin, out);
+        self.version_accepted(now, Stream::Catalogue, origin, out);
     }
 
     fn audit_evacuations(
@@ -141,9 +144,9 @@
         origin: &Origin,
         out: &mut Vec<Action>,
     ) {
-        for domain in evacuated(held) {
-            if !before.is_some_and(|before| evacuated(before).any(|it| it == domain)) {
-                let list = self.holder.instances();
+        for domain in evacuated_domains(held) {
+            if !before.is_some_and(|before| evacuated_domains(before).any(|it| it == domain)) {
+                let list = self.store.instances();
                 let listed = list.into_iter().flat_map(|list| list.iter());
                 let there = listed.filter(|instance| instance.domain == *domain);
                 out.push(Action::Audit(AuditEvent::Evacuated {
@@ -153,8 +156,8 @@
                 }));
             }
         }
-        for domain in before.into_iter().flat_map(evacuated) {
-            if !evacuated(held).any(|it| it == domain) {
+        for domain in before.into_iter().flat_map(evacuated_domains) {
+            if !evacuated_domains(held).any(|it| it == domain) {
                 out.push(Action::Audit(AuditEvent::EvacuationEnded {
                     domain: domain.clone(),
                     origin: origin.clone(),
@@ -164,71 +167,77 @@
     }
 
     /// A newer instance list is held.
-    pub(super) fn instances_taken(
+    pub(super) fn instances_accepted(
         &mut self,
         now: Tick,
         before: Option<&InstanceList>,
         origin: &Origin,
         out: &mut Vec<Action>,
     ) {
-        let Some(held) = self.holder.instances().cloned() else {
+        let Some(held) = self.store.instances().cloned() else {
             return;
         };
-        self.lists.advance(before, &held);
-        let next = self.peers.next().cloned();
+        self.list_history.advance(before, &held);
+        let next_by_id = self.peers.next_by_id().cloned();
         let mut unlisted = self
             .peers
             .rebuild(&held, &self.local.id, &self.local.domain);
         // Who read the list tells all of them, whoever came before one in the
         // order of names tells that one: either may fail.
-        unlisted.retain(|peer| *origin == Origin::Source || next.as_ref() == Some(peer));
+        unlisted.retain(|peer| *origin == Origin::Source || next_by_id.as_ref() == Some(peer));
         self.gossip.unlisted = unlisted;
         self.members.relist(now, &held);
-        self.members.merge(now, &self.own, Some(&held));
-        self.find_place(now, out);
-        if self.is_counted_on_by_nobody() {
-            let soon = now + self.sync_pause();
+        self.members.merge(now, &self.own_state, Some(&held));
+        self.update_place(now, out);
+        if self.is_unlisted_or_unranked() {
+            let soon = now + self.sync_delay();
             self.gossip.next_sync = self.gossip.next_sync.min(soon);
         }
-        self.taken(now, Stream::Instances, origin, out);
+        self.version_accepted(now, Stream::Instances, origin, out);
         if before.is_none() {
             // Now there is somebody to ask, and to tell of this endpoint.
             self.gossip.next_sync = now;
             let due = now + self.cfg.state_linger;
-            self.gossip.add_state(self.own.clone(), due);
+            self.gossip.queue_state(self.own_state.clone(), due);
         }
     }
 
-    fn taken(&mut self, now: Tick, stream: Stream, origin: &Origin, out: &mut Vec<Action>) {
-        if let Some(version) = self.holder.heads().of(stream) {
+    fn version_accepted(
+        &mut self,
+        now: Tick,
+        stream: Stream,
+        origin: &Origin,
+        out: &mut Vec<Action>,
+    ) {
+        if let Some(version) = self.store.heads().of(stream) {
             self.pulls[stream as usize].note_held(version);
         }
         if let Origin::Peer(id) = origin {
-            self.gossip.teller = Some(id.clone());
+            self.gossip.news_sender = Some(id.clone());
         }
         if stream == Stream::Catalogue {
-            self.giver = origin.clone();
+            self.catalogue_origin = origin.clone();
         }
-        if self.gossip.has_heard_since_waking {
-            self.speak_if_settled();
+        if self.gossip.synced_since_pause {
+            self.end_quiet_if_up_to_date();
         }
-        self.gossip.heads_changed(now + self.cfg.linger);
-        if let Life::Joined(joined) = &self.life {
-            joined.apply(&self.holder, stream, origin, out);
+        self.gossip.schedule_heads(now + self.cfg.linger);
+        if let JoinState::Joined(joined) = &self.join_state {
+            joined.apply(&self.store, stream, origin, out);
         }
     }
 }
 
 /// Whether a peer told what it holds since this node started to join.
-fn has_told(life: &Life, peer: &Address) -> bool {
-    match (life, &peer.id) {
-        (Life::Joining(joining), Some(id)) => joining.has_answered(id),
+fn has_answered_join(join_state: &JoinState, peer: &Address) -> bool {
+    match (join_state, &peer.id) {
+        (JoinState::Joining(joining), Some(id)) => joining.has_answered(id),
         _ => false,
     }
 }
 
 /// The evacuated failure domains.
-fn evacuated(catalogue: &Catalogue) -> impl Iterator<Item = &DomainName> {
+fn evacuated_domains(catalogue: &Catalogue) -> impl Iterator<Item = &DomainName> {
     catalogue.iter().filter_map(|item| match item {
         CatalogueItem::Evacuation(evacuation) => Some(&evacuation.domain),
         _ => None,
--- a/crates/core/src/spread/machine/pull.rs
+++ b/crates/core/src/spread/machine/pull.rs
@@ -16,7 +16,7 @@
 use crate::Tick;
 use crate::spread::calls::Address;
 use crate::spread::calls::Purpose;
-use crate::spread::holder::Verdict;
+use crate::spread::version_store::OfferOutcome;
 
 impl Spread {
     /// Takes in what a peer holds, and gets what is lacked here.
@@ -24,29 +24,29 @@
         &mut self,
         now: Tick,
         heads: Heads,
-        holder: &Address,
+        peer: &Address,
         out: &mut Vec<Action>,
     ) {
         for head in heads.iter() {
-            if self.holder.is_refused(head.version) {
+            if self.store.is_refused(head.version) {
                 // A peer of another program version may hold what was found
                 // bad here; asking for it again would never end.
                 continue;
             }
-            if self.holder.lacks(head.stream, head.version) {
-                self.pulls[head.stream as usize].note(head.version, holder);
-                if !self.calls.has(Purpose::Pull(head.stream)) {
-                    self.pull_next(now, head.stream, out);
+            if self.store.lacks(head.stream, head.version) {
+                self.pulls[head.stream as usize].note_advertised(head.version, peer);
+                if !self.calls.is_in_flight(Purpose::Pull(head.stream)) {
+                    self.pull_from_next_peer(now, head.stream, out);
                 }
                 continue;
             }
-            let held = self.holder.heads().of(head.stream);
-            let (Some(held), Some(id)) = (held, &holder.id) else {
+            let held = self.store.heads().of(head.stream);
+            let (Some(held), Some(id)) = (held, &peer.id) else {
                 continue;
             };
             if held.revision() == head.version.revision() && held != head.version {
                 let origin = Origin::Peer(id.clone());
-                self.holder
+                self.store
                     .note_conflict(head.stream, held, head.version, &origin, out);
             }
         }
@@ -54,13 +54,13 @@
 
     /// Asks the next peer that holds something newer, if one is known. One
     /// call for each stream is under way at most.
-    pub(super) fn pull_next(&mut self, now: Tick, stream: Stream, out: &mut Vec<Action>) {
-        let held = self.holder.heads().of(stream);
+    pub(super) fn pull_from_next_peer(&mut self, now: Tick, stream: Stream, out: &mut Vec<Action>) {
+        let held = self.store.heads().of(stream);
         let pulls = &mut self.pulls[stream as usize];
-        let Some(to) = pulls.next() else {
+        let Some(to) = pulls.next_candidate() else {
             return;
         };
-        let base = match pulls.whole {
+        let base = match pulls.request_full {
             true => None,
             false => held,
         };
@@ -70,7 +70,7 @@
     }
 
     /// Takes in the answer to a pull.
-    pub(super) fn pulled(
+    pub(super) fn handle_pull_reply(
         &mut self,
         now: Tick,
         stream: Stream,
@@ -81,28 +81,28 @@
         if let (Some(body), Some(id)) = (body, &from.id)
             && body.stream == stream
         {
-            self.open(now, body, id, out);
+            self.apply_body(now, body, id, out);
         }
         let pulls = &self.pulls[stream as usize];
         let lacks = pulls
-            .heard
-            .is_some_and(|heard| self.holder.lacks(stream, heard));
+            .newest_advertised
+            .is_some_and(|advertised| self.store.lacks(stream, advertised));
         if lacks {
-            self.pull_next(now, stream, out);
+            self.pull_from_next_peer(now, stream, out);
         }
     }
 
     /// Takes a body that came with an announcement, if it fits what is held.
     /// Often it doesn't, or came before; then there is nothing wrong.
-    pub(super) fn open_eagerly(
+    pub(super) fn apply_announced_body(
         &mut self,
         now: Tick,
         body: &Body,
         from: &InstanceId,
         out: &mut Vec<Action>,
     ) {
-        if body.base.is_some() && body.base == self.holder.heads().of(body.stream) {
-            self.open(now, body, from, out);
+        if body.base.is_some() && body.base == self.store.heads().of(body.stream) {
+            self.apply_body(now, body, from, out);
         }
     }
 
@@ -111,31 +111,31 @@
     /// Deltas cross each other and come twice. One that was made from another
     /// base than what is held by now can't be applied by the document's own
     /// check, and one that leads nowhere newer isn't looked at.
-    fn open(&mut self, now: Tick, body: &Body, from: &InstanceId, out: &mut Vec<Action>) {
+    fn apply_body(&mut self, now: Tick, body: &Body, from: &InstanceId, out: &mut Vec<Action>) {
         let stream = body.stream;
-        let lacks = self.holder.lacks(stream, body.version);
-        if !lacks || self.holder.is_refused(body.version) {
+        let lacks = self.store.lacks(stream, body.version);
+        if !lacks || self.store.is_refused(body.version) {
             return;
         }
         let origin = Origin::Peer(from.clone());
         let opened = match stream {
             Stream::Catalogue => body
-                .open(self.holder.catalogue().map(Arc::as_ref))
+                .open(self.store.catalogue().map(Arc::as_ref))
                 .map(|offered| self.offer_catalogue(now, offered, &origin, out)),
             Stream::Instances => body
-                .open(self.holder.instances().map(Arc::as_ref))
+                .open(self.store.instances().map(Arc::as_ref))
                 .map(|offered| self.offer_instances(now, offered, &origin, out)),
         };
         if let Err(cause) = opened {
-            self.refuse_body(body, &cause, origin, out);
+            self.reject_body(body, &cause, origin, out);
         }
     }
 
     /// A body that doesn't fit is dropped whole, and the next asked for whole.
-    fn refuse_body(&mut self, body: &Body, cause: &Error, origin: Origin, out: &mut Vec<Action>) {
-        self.pulls[body.stream as usize].whole = true;
-        let crossed = body.base.is_some() && body.base != self.holder.heads().of(body.stream);
-        if crossed {
+    fn reject_body(&mut self, body: &Body, cause: &Error, origin: Origin, out: &mut Vec<Action>) {
+        self.pulls[body.stream as usize].request_full = true;
+        let other_base = body.base.is_some() && body.base != self.store.heads().of(body.stream);
+        if other_base {
             return;
         }
         out.push(Action::Audit(AuditEvent::BodyRefused {
@@ -152,11 +152,11 @@
         stream: Stream,
         base: Option<crate::Version>,
     ) -> Option<Body> {
-        let made = match stream {
-            Stream::Catalogue => self.catalogues.body(base, self.holder.catalogue()?),
-            Stream::Instances => self.lists.body(base, self.holder.instances()?),
+        let encoded = match stream {
+            Stream::Catalogue => self.catalogue_history.body(base, self.store.catalogue()?),
+            Stream::Instances => self.list_history.body(base, self.store.instances()?),
         };
-        made.ok()
+        encoded.ok()
     }
 
     pub(super) fn offer_catalogue(
@@ -165,13 +165,13 @@
         offered: crate::Catalogue,
         origin: &Origin,
         out: &mut Vec<Action>,
-    ) -> Verdict {
-        let before = self.holder.catalogue().cloned();
-        let verdict = self.holder.offer_catalogue(offered, origin, out);
-        if verdict == Verdict::Taken {
-            self.catalogue_taken(now, before.as_deref(), origin, out);
+    ) -> OfferOutcome {
+        let before = self.store.catalogue().cloned();
+        let outcome = self.store.offer_catalogue(offered, origin, out);
+        if outcome == OfferOutcome::Accepted {
+            self.catalogue_accepted(now, before.as_deref(), origin, out);
         }
-        verdict
+        outcome
     }
 
     pub(super) fn offer_instances(
@@ -180,12 +180,12 @@
         offered: crate::InstanceList,
         origin: &Origin,
         out: &mut Vec<Action>,
-    ) -> Verdict {
-        let before = self.holder.instances().cloned();
-        let verdict = self.holder.offer_instances(offered, origin, out);
-        if verdict == Verdict::Taken {
-            self.instances_taken(now, before.as_deref(), origin, out);
+    ) -> OfferOutcome {
+        let before = self.store.instances().cloned();
+        let outcome = self.store.offer_instances(offered, origin, out);
+        if outcome == OfferOutcome::Accepted {
+            self.instances_accepted(now, before.as_deref(), origin, out);
         }
-        verdict
+        outcome
     }
 }
--- a/crates/core/src/spread/machine/read.rs
+++ b/crates/core/src/spread/machine/read.rs
@@ -15,60 +15,60 @@
 use crate::Tick;
 use crate::Version;
 use crate::reader::Place;
-use crate::spread::holder::Verdict;
-use crate::spread::life::Life;
-use crate::spread::source::Check;
-use crate::spread::source::EMPTY_WAIT;
+use crate::spread::join_state::JoinState;
+use crate::spread::source_reads::CheckPolicy;
+use crate::spread::source_reads::EMPTY_ANSWER_DELAY;
+use crate::spread::version_store::OfferOutcome;
 
 /// How long a node that peers don't count leans on the last of them that answered
 /// it. Beyond, it reads for itself: a target that leaves gets requests for two
 /// seconds more, so that its word has to arrive within those.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(1);
+const MAX_SYNC_REPLY_AGE: Duration = Duration::from_secs(1);
 
 impl Spread {
     /// Decides whether this node reads, and reads what is due.
-    pub(super) fn read_what_is_due(&mut self, now: Tick, out: &mut Vec<Action>) {
+    pub(super) fn start_due_reads(&mut self, now: Tick, out: &mut Vec<Action>) {
         let age = self.contact_age(now);
         if self.role.step_in(age) {
             self.audit_reading(out);
         }
         for stream in Stream::ALL {
-            self.give_up_late_read(now, stream);
+            self.fail_overdue_read(now, stream);
         }
-        while let Some(stream) = self.wanted(now) {
+        while let Some(stream) = self.next_due_stream(now) {
             if self.budget.book(now) > now {
                 return;
             }
             self.budget.take(now);
-            let check = self.check();
-            self.reads[stream as usize].read(now, &self.holder, check, &mut self.rng, out);
+            let check = self.check_policy();
+            self.reads[stream as usize].start_read(now, &self.store, check, &mut self.rng, out);
         }
         self.budget.cancel();
     }
 
     /// When this node checks that the platform answers.
-    fn check(&self) -> Check {
+    fn check_policy(&self) -> CheckPolicy {
         match self.role.rank() {
-            Some(0) => Check::AfterEach,
-            _ => Check::AfterFailure,
+            Some(0) => CheckPolicy::AfterEach,
+            _ => CheckPolicy::AfterFailure,
         }
     }
 
     /// A stream that this node wants to read now: the one that was read less,
     /// so that neither starves where reads are scarce, and the list first.
-    fn wanted(&self, now: Tick) -> Option<Stream> {
+    fn next_due_stream(&self, now: Tick) -> Option<Stream> {
         let streams = [Stream::Instances, Stream::Catalogue];
         let due = |stream: &Stream| {
             let due = self.reads[*stream as usize].due();
-            self.wants(now, *stream) && due.is_some_and(|due| due <= now)
+            self.needs_read(now, *stream) && due.is_some_and(|due| due <= now)
         };
         let due = streams.into_iter().filter(due);
-        due.min_by_key(|stream| self.reads[*stream as usize].count())
+        due.min_by_key(|stream| self.reads[*stream as usize].read_count())
     }
 
     /// When there is something to do about reading a stream.
     pub(super) fn read_due(&self, now: Tick, stream: Stream) -> Option<Tick> {
-        if !self.wants(now, stream) {
+        if !self.needs_read(now, stream) {
             return None;
         }
         let due = self.reads[stream as usize].due()?;
@@ -79,21 +79,23 @@
     }
 
     /// Whether this node reads a stream: as a reader, or to join.
-    fn wants(&self, now: Tick, stream: Stream) -> bool {
+    fn needs_read(&self, now: Tick, stream: Stream) -> bool {
         if self.role.reads() || self.has_no_peers() {
             return true;
         }
-        if self.is_counted_on_by_nobody() && !self.is_answered(now) {
+        if self.is_unlisted_or_unranked() && !self.sync_replaces_read(now) {
             return true;
         }
-        if matches!(self.life, Life::Joined(_)) || self.reads[stream as usize].answered() {
+        if matches!(self.join_state, JoinState::Joined(_))
+            || self.reads[stream as usize].has_answered()
+        {
             return false;
         }
         match stream {
             // The list comes first: with it a node knows whom to ask for the
             // rest, and how many share the budget.
-            Stream::Catalogue => self.holder.instances().is_some() && !self.is_current(now),
-            Stream::Instances => !self.is_current(now) || self.holder.instances().is_none(),
+            Stream::Catalogue => self.store.instances().is_some() && !self.has_recent_contact(now),
+            Stream::Instances => !self.has_recent_contact(now) || self.store.instances().is_none(),
         }
     }
 
@@ -104,7 +106,7 @@
     /// for the catalogue, and was ready only after a minute or more. A node
     /// alone reads for itself, within its part of the budget.
     fn has_no_peers(&self) -> bool {
-        self.holder.instances().is_some() && self.peers.len() == 0
+        self.store.instances().is_some() && self.peers.len() == 0
     }
 
     /// Whether the list doesn't name this node, though it goes on.
@@ -117,7 +119,7 @@
     ///
     /// One whose target drains is listed, and told as all are. In a fleet that
     /// reads with all nodes it reads as well, though it has no rank.
-    pub(super) fn is_counted_on_by_nobody(&self) -> bool {
+    pub(super) fn is_unlisted_or_unranked(&self) -> bool {
         let place = self.role.place();
         place.is_some_and(|it| !it.listed || (it.rank.is_none() && self.role.all_read()))
     }
@@ -127,9 +129,9 @@
     /// It asks them often, and need not ask the platform: nodes that wait to be listed
     /// and those beside targets that have left would make most of a fleet's reads. In a
     /// fleet that reads with all nodes, peers would only be a detour.
-    fn is_answered(&self, now: Tick) -> bool {
-        let answered = self.gossip.answered;
-        !self.role.all_read() && answered.is_some_and(|at| now.since(at) < ANSWERED_WITHIN)
+    fn sync_replaces_read(&self, now: Tick) -> bool {
+        let replied_at = self.gossip.last_sync_reply;
+        !self.role.all_read() && replied_at.is_some_and(|at| now.since(at) < MAX_SYNC_REPLY_AGE)
     }
 
     /// The age of the newest proof of contact, counted from this node's start
@@ -140,62 +142,62 @@
     }
 
     /// Whether the fleet, as far as this node knows, was in contact lately.
-    pub(super) fn is_current(&self, now: Tick) -> bool {
+    pub(super) fn has_recent_contact(&self, now: Tick) -> bool {
         let age = self.contact.age(now);
         age.is_some_and(|age| age < self.role.usual_age())
     }
 
-    pub(super) fn source_read(
+    pub(super) fn handle_source_result(
         &mut self,
         now: Tick,
         stream: Stream,
         result: SourceResult,
         out: &mut Vec<Action>,
     ) {
-        if self.reads[stream as usize].drop_outdated() {
+        if self.reads[stream as usize].discard_outdated() {
             return;
         }
-        self.prove_list(stream, &result);
+        self.record_list_proof(stream, &result);
         if stream == Stream::Instances {
-            self.note_lapse(now, &result);
+            self.track_outage(now, &result);
         }
         match result {
             SourceResult::Catalogue { revision, text } => {
-                self.source_answered(now, stream, Some(revision));
-                self.read_catalogue(now, revision, &text, out);
+                self.note_source_answer(now, stream, Some(revision));
+                self.offer_catalogue_text(now, revision, &text, out);
             }
             SourceResult::Items { revision, items } => {
-                self.source_answered(now, stream, Some(revision));
-                let before = self.holder.catalogue().cloned();
-                let verdict = self.holder.offer_items(revision, items, out);
-                self.catalogue_read(now, before.as_deref(), verdict, out);
+                self.note_source_answer(now, stream, Some(revision));
+                let before = self.store.catalogue().cloned();
+                let outcome = self.store.offer_items(revision, items, out);
+                self.finish_catalogue_read(now, before.as_deref(), outcome, out);
             }
             SourceResult::Instances {
                 revision,
                 instances,
             } => match InstanceList::new(revision, instances) {
                 // It is to be read again, so that it doesn't count as seen.
-                Ok(list) if self.waits_for_entries(now, &list, out) => {
-                    self.source_answered(now, stream, None);
+                Ok(list) if self.defer_incomplete_list(now, &list, out) => {
+                    self.note_source_answer(now, stream, None);
                 }
                 Ok(list) => {
-                    self.source_answered(now, stream, Some(revision));
-                    let verdict = self.offer_instances(now, list, &Origin::Source, out);
-                    self.slow_down(now, stream, verdict);
+                    self.note_source_answer(now, stream, Some(revision));
+                    let outcome = self.offer_instances(now, list, &Origin::Source, out);
+                    self.pause_after_read(now, stream, outcome);
                 }
                 Err(cause) => {
-                    self.source_answered(now, stream, Some(revision));
-                    self.read_malformed(stream, revision, &cause.to_string(), out);
+                    self.note_source_answer(now, stream, Some(revision));
+                    self.refuse_malformed(stream, revision, &cause.to_string(), out);
                 }
             },
             SourceResult::Malformed { revision, reason } => {
-                self.source_answered(now, stream, Some(revision));
-                self.read_malformed(stream, revision, &reason, out);
+                self.note_source_answer(now, stream, Some(revision));
+                self.refuse_malformed(stream, revision, &reason, out);
             }
-            SourceResult::Unchanged { newest } => self.read_unchanged(now, stream, newest, out),
+            SourceResult::Unchanged { newest } => self.note_unchanged(now, stream, newest, out),
             SourceResult::Nothing => {
                 self.contact.prove(now, self.role.turn());
-                self.reads[stream as usize].find_nothing(now, &mut self.rng);
+                self.reads[stream as usize].note_nothing_published(now, &mut self.rng);
             }
             SourceResult::Busy { retry_after } => {
                 // It answered: others who step in would only make it busier.
@@ -210,28 +212,33 @@
     }
 
     /// Follows whether the platform is away, before its answer counts as contact.
-    fn note_lapse(&mut self, now: Tick, result: &SourceResult) {
+    fn track_outage(&mut self, now: Tick, result: &SourceResult) {
         if matches!(result, SourceResult::Failed { .. }) {
-            return self.lapse.failed(now);
+            return self.list_regression.note_failure(now);
         }
         let age = self.contact.age(now);
         let since_start = now.since(Tick::ZERO);
         let contact = age.map(|age| Tick::ZERO + since_start.saturating_sub(age));
-        self.lapse.answered(now, contact);
+        self.list_regression.note_answer(now, contact);
     }
 
     /// Puts a list off that may lack entries because the platform was away; it
     /// is read again when those that live have had time to come back.
-    fn waits_for_entries(&mut self, now: Tick, list: &InstanceList, out: &mut Vec<Action>) -> bool {
-        let held = self.holder.instances().map(AsRef::as_ref);
-        let Some(wait) = self.lapse.waits(now, held, list) else {
+    fn defer_incomplete_list(
+        &mut self,
+        now: Tick,
+        list: &InstanceList,
+        out: &mut Vec<Action>,
+    ) -> bool {
+        let held = self.store.instances().map(AsRef::as_ref);
+        let Some(deferral) = self.list_regression.defer(now, held, list) else {
             return false;
         };
-        self.reads[Stream::Instances as usize].hold_back(now, wait.until);
+        self.reads[Stream::Instances as usize].defer_until(now, deferral.until);
         out.push(Action::Audit(AuditEvent::ListWaits {
             offered: list.version().revision(),
-            missing: wait.missing,
-            wait: wait.until.since(now),
+            missing: deferral.missing,
+            wait: deferral.until.since(now),
         }));
         true
     }
@@ -239,43 +246,49 @@
     /// Takes an answer of the platform for a proof of which list is the newest;
     /// an answer without a revision, one that may lag, or one of the catalogue
     /// proves nothing of it.
-    fn prove_list(&mut self, stream: Stream, result: &SourceResult) {
+    fn record_list_proof(&mut self, stream: Stream, result: &SourceResult) {
         let newest = match result {
             SourceResult::Instances { revision, .. } => Some(*revision),
             SourceResult::Unchanged { newest } if stream == Stream::Instances => *newest,
             _ => None,
         };
-        let asked = self.reads[stream as usize].asked_newest();
-        if let (Some(asked), Some(newest)) = (asked, newest) {
-            self.list.prove(asked, newest);
+        let read_started = self.reads[stream as usize].newest_read_started();
+        if let (Some(read_started), Some(newest)) = (read_started, newest) {
+            self.list_proof.prove(read_started, newest);
         }
     }
 
-    fn source_answered(&mut self, now: Tick, stream: Stream, seen: Option<Revision>) {
+    fn note_source_answer(&mut self, now: Tick, stream: Stream, seen: Option<Revision>) {
         self.contact.prove(now, self.role.turn());
         self.reads[stream as usize].succeed(now, seen);
     }
 
-    fn read_catalogue(&mut self, now: Tick, revision: Revision, text: &str, out: &mut Vec<Action>) {
-        let before = self.holder.catalogue().cloned();
-        let verdict = self.holder.offer_text(revision, text, out);
-        self.catalogue_read(now, before.as_deref(), verdict, out);
+    fn offer_catalogue_text(
+        &mut self,
+        now: Tick,
+        revision: Revision,
+        text: &str,
+        out: &mut Vec<Action>,
+    ) {
+        let before = self.store.catalogue().cloned();
+        let outcome = self.store.offer_text(revision, text, out);
+        self.finish_catalogue_read(now, before.as_deref(), outcome, out);
     }
 
-    fn catalogue_read(
+    fn finish_catalogue_read(
         &mut self,
         now: Tick,
         before: Option<&Catalogue>,
-        verdict: Verdict,
+        outcome: OfferOutcome,
         out: &mut Vec<Action>,
     ) {
-        if verdict == Verdict::Taken {
-            self.catalogue_taken(now, before, &Origin::Source, out);
+        if outcome == OfferOutcome::Accepted {
+            self.catalogue_accepted(now, before, &Origin::Source, out);
         }
-        self.slow_down(now, Stream::Catalogue, verdict);
+        self.pause_after_read(now, Stream::Catalogue, outcome);
     }
 
-    fn read_malformed(
+    fn refuse_malformed(
         &mut self,
         stream: Stream,
         revision: Revision,
@@ -283,14 +296,14 @@
         out: &mut Vec<Action>,
     ) {
         let version = Version::new(revision, Digest::of(reason.as_bytes()));
-        if !self.holder.is_refused(version) {
+        if !self.store.is_refused(version) {
             let reason = reason.to_owned();
-            self.holder
+            self.store
                 .refuse(stream, version, &Origin::Source, reason, out);
         }
     }
 
-    fn read_unchanged(
+    fn note_unchanged(
         &mut self,
         now: Tick,
         stream: Stream,
@@ -298,35 +311,35 @@
         out: &mut Vec<Action>,
     ) {
         let early = self.reads[stream as usize].is_early(now);
-        self.source_answered(now, stream, None);
+        self.note_source_answer(now, stream, None);
         if early {
-            self.reads[stream as usize].hold_back(now, now + EMPTY_WAIT);
+            self.reads[stream as usize].defer_until(now, now + EMPTY_ANSWER_DELAY);
         }
-        let held = self.holder.heads().of(stream);
+        let held = self.store.heads().of(stream);
         if let (Some(newest), Some(held)) = (newest, held)
             && newest < held.revision()
         {
-            self.holder.note_older(stream, newest, &Origin::Source, out);
+            self.store.note_older(stream, newest, &Origin::Source, out);
         }
     }
 
-    fn slow_down(&mut self, now: Tick, stream: Stream, verdict: Verdict) {
+    fn pause_after_read(&mut self, now: Tick, stream: Stream, outcome: OfferOutcome) {
         let rest = self.jittered(self.cfg.rest);
-        let check = self.check();
+        let check = self.check_policy();
         let reads = &mut self.reads[stream as usize];
-        let pause = match verdict {
+        let pause = match outcome {
             // Whatever came since is to be had at once.
-            Verdict::Taken if reads.may_lag() => Duration::ZERO,
-            Verdict::Taken => reads.rest(rest, check),
+            OfferOutcome::Accepted if reads.answer_may_lag() => Duration::ZERO,
+            OfferOutcome::Accepted => reads.pause_after_value(rest, check),
             // Mostly what a peer has told meanwhile.
-            _ => reads.rest(EMPTY_WAIT, check),
+            _ => reads.pause_after_value(EMPTY_ANSWER_DELAY, check),
         };
-        reads.hold_back(now, now + pause);
+        reads.defer_until(now, now + pause);
     }
 
     /// A read whose end was never told would keep this node from reading for
     /// ever, as when the process slept and its connection died meanwhile.
-    fn give_up_late_read(&mut self, now: Tick, stream: Stream) {
+    fn fail_overdue_read(&mut self, now: Tick, stream: Stream) {
         let bound = self.cfg.watch + self.cfg.call_timeout.saturating_mul(4);
         let reads = &mut self.reads[stream as usize];
         if reads.elapsed(now) > bound {
@@ -335,8 +348,8 @@
     }
 
     /// Takes in this node's place in the list held.
-    pub(super) fn find_place(&mut self, now: Tick, out: &mut Vec<Action>) {
-        let Some(list) = self.holder.instances() else {
+    pub(super) fn update_place(&mut self, now: Tick, out: &mut Vec<Action>) {
+        let Some(list) = self.store.instances() else {
             return;
         };
         let place = Place::find(list, &self.local.id, &self.local.domain);
--- a/crates/core/src/spread/machine/reports.rs
+++ b/crates/core/src/spread/machine/reports.rs
@@ -17,24 +17,24 @@
 use crate::Tick;
 use crate::spread::calls::Address;
 use crate::spread::calls::Purpose;
-use crate::spread::gossip::MAX_REPORTS;
+use crate::spread::gossip::MAX_ANNOUNCED_REPORTS;
 
 /// How soon a node that heard news of crashes compares itself with a peer. Announcements
 /// miss some nodes, and the next copy of a request may come to one of these.
-const COMPARED_AFTER: Duration = Duration::from_millis(500);
+const SYNC_AFTER_REPORT_DELAY: Duration = Duration::from_millis(500);
 
 /// Reports that a node tells on at once, a second and in a burst. Of a failure domain that
 /// is lost with hundreds of targets no crash has to be known at once, and all of them would
 /// take more than a node may spend on control.
-const TOLD_PER_S: u32 = 4;
+const FORWARDED_REPORTS_PER_S: u32 = 4;
 
 /// How long reports may have gathered that are told in a burst.
-const TOLD_BURST: Duration = Duration::from_secs(8);
+const FORWARDED_REPORTS_BURST: Duration = Duration::from_secs(8);
 
 impl Spread {
     /// The endpoint beside this node was seen to crash or to answer, or an operator
     /// released a request here.
-    pub(super) fn sighted(
+    pub(super) fn handle_observation(
         &mut self,
         now: Tick,
         sighting: Sighting,
@@ -46,13 +46,13 @@
                 out.push(Action::Audit(AuditEvent::TargetCrashed {
                     ran: ran.clone(),
                 }));
-                self.report(now, sighting, ago, out);
+                self.add_own_report(now, sighting, ago, out);
             }
             Sighting::Released(content) => {
                 out.push(Action::Audit(AuditEvent::ReleaseOrdered {
                     content: *content,
                 }));
-                self.report(now, sighting, ago, out);
+                self.add_own_report(now, sighting, ago, out);
             }
             Sighting::Answered(content) => {
                 let since_start = now.since(Tick::ZERO).saturating_sub(ago);
@@ -68,17 +68,23 @@
     pub(super) fn report_due_answers(&mut self, now: Tick, out: &mut Vec<Action>) {
         for (content, answered) in self.pending_answers.take_due(now, self.reports.verdicts()) {
             let sighting = Sighting::Answered(content);
-            self.report(now, sighting, now.since(answered), out);
+            self.add_own_report(now, sighting, now.since(answered), out);
         }
     }
 
-    fn report(&mut self, now: Tick, sighting: Sighting, ago: Duration, out: &mut Vec<Action>) {
-        self.reported += 1;
+    fn add_own_report(
+        &mut self,
+        now: Tick,
+        sighting: Sighting,
+        ago: Duration,
+        out: &mut Vec<Action>,
+    ) {
+        self.report_count += 1;
         let report = Report {
             id: ReportId {
                 witness: self.local.id.clone(),
                 incarnation: self.local.incarnation.get(),
-                number: self.reported,
+                number: self.report_count,
             },
             age_ms: u32::try_from(ago.as_millis()).unwrap_or(u32::MAX),
             sighting,
@@ -107,23 +113,25 @@
         if news.is_empty() {
             return;
         }
-        if news.len() <= MAX_REPORTS {
+        if news.len() <= MAX_ANNOUNCED_REPORTS {
             self.forward_reports(now, news);
         }
-        self.judge(origin, out);
+        self.apply_verdicts(origin, out);
     }
 
     /// Tells on what is news: all that this node saw itself, and of what it was told as
     /// much as it may. The rest is found by comparing.
     fn forward_reports(&mut self, now: Tick, news: Vec<ReportId>) {
         for id in news {
-            let wait = self.telling.refill(now, TOLD_PER_S, TOLD_BURST);
+            let wait =
+                self.report_budget
+                    .refill(now, FORWARDED_REPORTS_PER_S, FORWARDED_REPORTS_BURST);
             if wait.is_some() && id.witness != self.local.id {
                 continue;
             }
-            self.telling.take();
-            self.gossip.add_report(id, now);
-            let soon = now + self.jittered(COMPARED_AFTER);
+            self.report_budget.take();
+            self.gossip.queue_report(id, now);
+            let soon = now + self.jittered(SYNC_AFTER_REPORT_DELAY);
             self.gossip.next_sync = self.gossip.next_sync.min(soon);
         }
     }
@@ -132,24 +140,24 @@
     ///
     /// A side of a cut may know of crashes that the other doesn't: whoever compares itself
     /// first brings both up to date.
-    pub(super) fn compare_reports(
+    pub(super) fn reconcile_reports(
         &mut self,
         now: Tick,
         peer: &Address,
-        told: &SyncReply,
+        reply: &SyncReply,
         out: &mut Vec<Action>,
     ) {
-        if told.reports_root == self.reports.root() {
+        if reply.reports_root == self.reports.root() {
             return;
         }
-        let origin = Origin::Peer(told.from.clone());
-        self.merge_reports(now, &told.reports, &origin, out);
-        if told.reports_root == self.reports.root() {
+        let origin = Origin::Peer(reply.from.clone());
+        self.merge_reports(now, &reply.reports, &origin, out);
+        if reply.reports_root == self.reports.root() {
             return;
         }
         let message = PeerMessage::Announce(Announce {
             control: self.local.control,
-            heads: self.holder.heads(),
+            heads: self.store.heads(),
             contact: self.contact.current(now),
             body: None,
             states: Vec::new(),
@@ -159,14 +167,14 @@
     }
 
     /// Forgets what is too old to count.
-    pub(super) fn forget_reports(&mut self, now: Tick, out: &mut Vec<Action>) {
+    pub(super) fn expire_reports(&mut self, now: Tick, out: &mut Vec<Action>) {
         self.reports.forget(now);
         let origin = Origin::Peer(self.local.id.clone());
-        self.judge(&origin, out);
+        self.apply_verdicts(&origin, out);
     }
 
     /// Puts in force what follows from the reports, if that has changed.
-    fn judge(&mut self, origin: &Origin, out: &mut Vec<Action>) {
+    fn apply_verdicts(&mut self, origin: &Origin, out: &mut Vec<Action>) {
         let Some((before, verdicts)) = self.reports.judge() else {
             return;
         };
--- a/crates/core/src/spread/machine/states.rs
+++ b/crates/core/src/spread/machine/states.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Spread;
-use super::announce::MAX_STATES;
+use super::announce::MAX_ANNOUNCED_STATES;
 use crate::Action;
 use crate::AuditEvent;
 use crate::EndpointState;
@@ -13,16 +13,16 @@
 use crate::membership::Merged;
 
 /// A node that started at most so long ago steps above former incarnations.
-const CLAIMS_FOR: Duration = Duration::from_secs(60);
+const INCARNATION_CLAIM_PERIOD: Duration = Duration::from_secs(60);
 
 impl Spread {
     /// The endpoint beside this node entered a phase.
     pub(super) fn enter_phase(&mut self, now: Tick, phase: Phase, out: &mut Vec<Action>) {
-        if self.own.phase == phase {
+        if self.own_state.phase == phase {
             return;
         }
-        self.own.phase = phase;
-        self.own.sequence += 1;
+        self.own_state.phase = phase;
+        self.own_state.sequence += 1;
         self.announce_own_state(now, out);
     }
 
@@ -38,16 +38,16 @@
         origin: &Origin,
         out: &mut Vec<Action>,
     ) {
-        let many = states.len() > MAX_STATES;
+        let many = states.len() > MAX_ANNOUNCED_STATES;
         for state in states {
             if state.instance == self.local.id {
                 self.resolve_own_state(now, state, out);
                 continue;
             }
-            let list = self.holder.instances().map(AsRef::as_ref);
+            let list = self.store.instances().map(AsRef::as_ref);
             match self.members.merge(now, state, list) {
                 Merged::News(_) if many => out.push(Action::Endpoint(state.clone())),
-                Merged::News(before) => self.spread_state(now, state, before, origin, out),
+                Merged::News(before) => self.announce_state(now, state, before, origin, out),
                 Merged::Known | Merged::Full => {}
             }
         }
@@ -60,34 +60,34 @@
     /// Later in its life a higher incarnation means that another process took
     /// its place, as when this one was stopped and taken for dead. Were both
     /// to step above each other, they would never stop.
-    fn resolve_own_state(&mut self, now: Tick, heard: &EndpointState, out: &mut Vec<Action>) {
-        if !heard.is_newer_than(&self.own) {
+    fn resolve_own_state(&mut self, now: Tick, received: &EndpointState, out: &mut Vec<Action>) {
+        if !received.is_newer_than(&self.own_state) {
             return;
         }
-        if now.since(self.started) < CLAIMS_FOR {
-            self.own.incarnation = heard.incarnation.saturating_add(1);
-            self.own.sequence = 0;
+        if now.since(self.started) < INCARNATION_CLAIM_PERIOD {
+            self.own_state.incarnation = received.incarnation.saturating_add(1);
+            self.own_state.sequence = 0;
             self.announce_own_state(now, out);
             return;
         }
-        if self.replaced_by != Some(heard.incarnation) {
-            self.replaced_by = Some(heard.incarnation);
+        if self.replaced_by != Some(received.incarnation) {
+            self.replaced_by = Some(received.incarnation);
             out.push(Action::Audit(AuditEvent::Replaced {
-                state: heard.clone(),
+                state: received.clone(),
             }));
         }
     }
 
     fn announce_own_state(&mut self, now: Tick, out: &mut Vec<Action>) {
-        let own = self.own.clone();
-        let list = self.holder.instances().map(AsRef::as_ref);
+        let own = self.own_state.clone();
+        let list = self.store.instances().map(AsRef::as_ref);
         if let Merged::News(before) = self.members.merge(now, &own, list) {
             let origin = Origin::Peer(self.local.id.clone());
-            self.spread_state(now, &own, before, &origin, out);
+            self.announce_state(now, &own, before, &origin, out);
         }
     }
 
-    fn spread_state(
+    fn announce_state(
         &mut self,
         now: Tick,
         state: &EndpointState,
@@ -100,7 +100,7 @@
             Phase::Draining | Phase::Gone => now,
             Phase::Starting | Phase::Ready => now + self.cfg.state_linger,
         };
-        self.gossip.add_state(state.clone(), due);
+        self.gossip.queue_state(state.clone(), due);
         out.push(Action::Endpoint(state.clone()));
         if before != Some(state.phase) {
             out.push(Action::Audit(AuditEvent::Endpoint {
--- a/crates/core/src/spread/machine/wakeup.rs
+++ b/crates/core/src/spread/machine/wakeup.rs
@@ -10,32 +10,32 @@
 use crate::spread::calls::Address;
 
 /// Peers that a woken process asks at once.
-const ASKED_ON_WAKING: usize = 3;
+const PEERS_SYNCED_AFTER_PAUSE: usize = 3;
 
 /// The least time to the next wakeup, so that nothing can make the caller spin.
-const LEAST_WAIT: Duration = Duration::from_millis(1);
+const MIN_WAKEUP_DELAY: Duration = Duration::from_millis(1);
 
 impl Spread {
     /// When [`Event::Wakeup`](crate::Event::Wakeup) is due next.
     pub fn next_wakeup(&self) -> Tick {
-        let now = self.last;
+        let now = self.last_event_at;
         let reads = Stream::ALL.map(|stream| self.read_due(now, stream));
         let mut next = self.gossip.next_sync;
         let others = [
             self.calls.next_deadline(),
             self.gossip.announce_due(),
             self.pending_answers.due(),
-            self.join_ends(),
-            self.step_in_due(now),
+            self.join_deadline(),
+            self.takeover_due(now),
         ];
         for due in reads.into_iter().chain(others).flatten() {
             next = next.min(due);
         }
-        next.max(now + LEAST_WAIT)
+        next.max(now + MIN_WAKEUP_DELAY)
     }
 
     /// When this node would step in as a reader.
-    fn step_in_due(&self, now: Tick) -> Option<Tick> {
+    fn takeover_due(&self, now: Tick) -> Option<Tick> {
         if self.role.reads() || self.role.place().is_none() {
             return None;
         }
@@ -43,16 +43,16 @@
         Some(now + left)
     }
 
-    pub(super) fn do_what_is_due(&mut self, now: Tick, out: &mut Vec<Action>) {
-        while let Some(late) = self.calls.expire(now) {
-            self.call_failed(now, &late, out);
+    pub(super) fn run_due_work(&mut self, now: Tick, out: &mut Vec<Action>) {
+        while let Some(overdue) = self.calls.take_expired(now) {
+            self.handle_call_failure(now, &overdue, out);
         }
         self.join_if_due(now, out);
         self.report_due_answers(now, out);
-        self.sync_what_is_due(now, out);
-        self.announce_what_is_due(now, out);
-        self.read_what_is_due(now, out);
-        self.last = self.last.max(now);
+        self.sync_if_due(now, out);
+        self.announce_if_due(now, out);
+        self.start_due_reads(now, out);
+        self.last_event_at = self.last_event_at.max(now);
     }
 
     /// Finds out that the process was stopped for a while.
@@ -65,29 +65,31 @@
     /// are asked at once. Nothing is announced until one of them has answered:
     /// what waits in the buffers is old as well. What it holds stays in force, and can only be
     /// replaced by something newer.
-    pub(super) fn notice_pause(&mut self, now: Tick, out: &mut Vec<Action>) {
-        let pause = now.since(self.last);
+    pub(super) fn detect_pause(&mut self, now: Tick, out: &mut Vec<Action>) {
+        let pause = now.since(self.last_event_at);
         if pause < self.cfg.pause_bound {
             return;
         }
-        self.last = now;
+        self.last_event_at = now;
         out.push(Action::Audit(AuditEvent::Paused { pause }));
         self.calls.clear();
-        self.gossip.drop_news();
+        self.gossip.discard_pending();
         self.gossip.quiet_until = Some(now + self.cfg.call_timeout);
-        self.gossip.has_heard_since_waking = false;
+        self.gossip.synced_since_pause = false;
         for stream in Stream::ALL {
-            self.pulls[stream as usize].forget();
-            self.reads[stream as usize].outdate(now);
+            self.pulls[stream as usize].clear_candidates();
+            self.reads[stream as usize].mark_outdated(now);
         }
-        let mut asked: Vec<Address> = Vec::new();
-        for _ in 0..ASKED_ON_WAKING {
-            let fits = |peer: &Address| !asked.contains(peer);
-            let cross = self.cfg.cross_domain_percent;
-            let drawn = self.peers.draw(now, cross, &mut self.rng, fits);
-            asked.extend(drawn);
+        let mut picked_peers: Vec<Address> = Vec::new();
+        for _ in 0..PEERS_SYNCED_AFTER_PAUSE {
+            let is_eligible = |peer: &Address| !picked_peers.contains(peer);
+            let cross_percent = self.cfg.cross_domain_percent;
+            let picked = self
+                .peers
+                .pick_random(now, cross_percent, &mut self.rng, is_eligible);
+            picked_peers.extend(picked);
         }
-        for peer in &asked {
+        for peer in &picked_peers {
             self.send_sync(now, peer, out);
         }
     }
--- a/crates/core/src/spread/naive.rs
+++ b/crates/core/src/spread/naive.rs
@@ -5,10 +5,10 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use super::holder::Holder;
-use super::holder::Verdict;
-use super::source::Check;
-use super::source::SourceReads;
+use super::source_reads::CheckPolicy;
+use super::source_reads::SourceReads;
+use super::version_store::OfferOutcome;
+use super::version_store::VersionStore;
 use crate::Action;
 use crate::AuditEvent;
 use crate::Disseminate;
@@ -27,7 +27,7 @@
 
 /// The wait after an answer that should have been held back but wasn't, as a
 /// stale platform gives it; without it the node would ask in a tight loop.
-const STALE_WAIT: Duration = Duration::from_millis(200);
+const STALE_ANSWER_DELAY: Duration = Duration::from_millis(200);
 
 /// A node that reads and watches the platform for itself, whole bodies each
 /// time, and doesn't talk to peers.
@@ -35,7 +35,7 @@
 pub struct Naive {
     local: LocalNode,
     rng: SmallRng,
-    holder: Holder,
+    store: VersionStore,
     reads: [SourceReads; 2],
     started: Tick,
     joined: bool,
@@ -48,23 +48,23 @@
         Naive {
             local,
             rng: SmallRng::seed_from_u64(seed),
-            holder: Holder::default(),
+            store: VersionStore::default(),
             reads,
             started: now,
             joined: false,
         }
     }
 
-    fn read_what_is_due(&mut self, now: Tick, out: &mut Vec<Action>) {
+    fn start_due_reads(&mut self, now: Tick, out: &mut Vec<Action>) {
         for stream in Stream::ALL {
             let reads = &mut self.reads[stream as usize];
             if reads.due().is_some_and(|due| due <= now) {
-                reads.read(now, &self.holder, Check::AfterEach, &mut self.rng, out);
+                reads.start_read(now, &self.store, CheckPolicy::AfterEach, &mut self.rng, out);
             }
         }
     }
 
-    fn source_read(
+    fn handle_source_result(
         &mut self,
         now: Tick,
         stream: Stream,
@@ -72,14 +72,14 @@
         out: &mut Vec<Action>,
     ) {
         let reads = &mut self.reads[stream as usize];
-        let verdict = match result {
+        let outcome = match result {
             SourceResult::Catalogue { revision, text } => {
                 reads.succeed(now, Some(revision));
-                self.holder.offer_text(revision, &text, out)
+                self.store.offer_text(revision, &text, out)
             }
             SourceResult::Items { revision, items } => {
                 reads.succeed(now, Some(revision));
-                self.holder.offer_items(revision, items, out)
+                self.store.offer_items(revision, items, out)
             }
             SourceResult::Instances {
                 revision,
@@ -87,48 +87,50 @@
             } => {
                 reads.succeed(now, Some(revision));
                 match InstanceList::new(revision, instances) {
-                    Ok(list) => self.holder.offer_instances(list, &Origin::Source, out),
-                    Err(_) => Verdict::Refused,
+                    Ok(list) => self.store.offer_instances(list, &Origin::Source, out),
+                    Err(_) => OfferOutcome::Refused,
                 }
             }
             SourceResult::Malformed { revision, .. } => {
                 reads.succeed(now, Some(revision));
-                Verdict::Refused
+                OfferOutcome::Refused
             }
             SourceResult::Unchanged { .. } => {
                 reads.succeed(now, None);
-                Verdict::Same
+                OfferOutcome::AlreadyHeld
             }
             SourceResult::Nothing => {
-                reads.find_nothing(now, &mut self.rng);
-                Verdict::Same
+                reads.note_nothing_published(now, &mut self.rng);
+                OfferOutcome::AlreadyHeld
             }
             SourceResult::Busy { retry_after } => {
                 reads.fail(now, retry_after.unwrap_or_default(), &mut self.rng);
-                Verdict::Same
+                OfferOutcome::AlreadyHeld
             }
             SourceResult::Failed { .. } => {
                 reads.fail(now, Duration::ZERO, &mut self.rng);
-                Verdict::Same
+                OfferOutcome::AlreadyHeld
             }
         };
-        match verdict {
-            Verdict::Taken => self.taken(now, stream, out),
-            Verdict::Older => self.reads[stream as usize].hold_back(now, now + STALE_WAIT),
+        match outcome {
+            OfferOutcome::Accepted => self.version_accepted(now, stream, out),
+            OfferOutcome::Older => {
+                self.reads[stream as usize].defer_until(now, now + STALE_ANSWER_DELAY)
+            }
             _ => {}
         }
     }
 
-    fn taken(&mut self, now: Tick, stream: Stream, out: &mut Vec<Action>) {
-        if self.holder.snapshot().is_none() {
+    fn version_accepted(&mut self, now: Tick, stream: Stream, out: &mut Vec<Action>) {
+        if self.store.snapshot().is_none() {
             return;
         }
         if self.joined {
-            self.holder.apply(stream, &Origin::Source, out);
+            self.store.apply(stream, &Origin::Source, out);
             return;
         }
         self.joined = true;
-        self.holder.apply(Stream::Catalogue, &Origin::Source, out);
+        self.store.apply(Stream::Catalogue, &Origin::Source, out);
         out.push(Action::Joined);
         out.push(Action::Audit(AuditEvent::Joined {
             peers: 0,
@@ -141,9 +143,9 @@
 impl Disseminate for Naive {
     fn handle(&mut self, now: Tick, event: Event, out: &mut Vec<Action>) {
         if let Event::SourceRead { stream, result } = event {
-            self.source_read(now, stream, result, out);
+            self.handle_source_result(now, stream, result, out);
         }
-        self.read_what_is_due(now, out);
+        self.start_due_reads(now, out);
     }
 
     fn answer(
@@ -166,12 +168,12 @@
         SpreadStatus {
             joined: self.joined,
             reading: true,
-            held: self.holder.heads(),
-            heard: self.holder.heads(),
-            refused: self.holder.last_refused(),
-            conflicts: self.holder.conflicts(),
-            refusals: self.holder.refusals(),
-            reads: self.reads.iter().map(SourceReads::count).sum(),
+            held: self.store.heads(),
+            heard: self.store.heads(),
+            refused: self.store.last_refused(),
+            conflicts: self.store.conflicts(),
+            refusals: self.store.refusals(),
+            reads: self.reads.iter().map(SourceReads::read_count).sum(),
             ..SpreadStatus::default()
         }
     }
--- a/crates/core/src/spread/peers.rs
+++ b/crates/core/src/spread/peers.rs
@@ -14,16 +14,16 @@
 use crate::Tick;
 
 /// A peer that failed isn't picked for this long.
-const AVOIDED: Duration = Duration::from_secs(5);
+const FAILED_PEER_BACKOFF: Duration = Duration::from_secs(5);
 
 /// Peers that are remembered as failed.
-const MAX_FAILED: usize = 256;
+const MAX_FAILED_PEERS: usize = 256;
 
 /// Nodes that are known by their messages, before there is a list.
-const MAX_STRANGERS: usize = 16;
+const MAX_UNLISTED_SENDERS: usize = 16;
 
 /// Peers that are tried as the successor.
-const MAX_SUCCESSORS: usize = 16;
+const MAX_SUCCESSOR_CANDIDATES: usize = 16;
 
 /// Draws until a fitting peer is found.
 const MAX_DRAWS: u32 = 8;
@@ -36,11 +36,11 @@
 pub(super) struct Peers {
     /// Peers of the own failure domain, in the order of their names, from this
     /// node's place on: the first is its successor.
-    near: Vec<Address>,
-    far: Vec<Address>,
-    strangers: Vec<Address>,
-    failed: HashMap<InstanceId, Tick>,
-    by_id: HashMap<InstanceId, SocketAddr>,
+    same_domain: Vec<Address>,
+    other_domains: Vec<Address>,
+    unlisted_senders: Vec<Address>,
+    backoff_until: HashMap<InstanceId, Tick>,
+    control_by_id: HashMap<InstanceId, SocketAddr>,
 }
 
 impl Peers {
@@ -53,29 +53,30 @@
         id: &InstanceId,
         domain: &DomainName,
     ) -> Vec<Address> {
-        let mut before = std::mem::take(&mut self.near);
-        before.append(&mut self.far);
-        self.by_id.clear();
-        self.strangers.clear();
+        let mut before = std::mem::take(&mut self.same_domain);
+        before.append(&mut self.other_domains);
+        self.control_by_id.clear();
+        self.unlisted_senders.clear();
         let others = list.iter().filter(|instance| instance.id != *id);
         for instance in others.filter(|instance| instance.has_node()) {
             let address = Address {
                 id: Some(instance.id.clone()),
                 control: instance.control,
             };
-            self.by_id.insert(instance.id.clone(), instance.control);
+            self.control_by_id
+                .insert(instance.id.clone(), instance.control);
             if instance.domain == *domain {
-                self.near.push(address);
+                self.same_domain.push(address);
             } else {
-                self.far.push(address);
+                self.other_domains.push(address);
             }
         }
         let precedes = |peer: &Address| peer.id.as_ref() < Some(id);
-        let first = self.near.partition_point(precedes);
-        self.near.rotate_left(first);
+        let first = self.same_domain.partition_point(precedes);
+        self.same_domain.rotate_left(first);
         let is_listed = |peer: &Address| {
             let id = peer.id.as_ref();
-            id.is_some_and(|id| self.by_id.contains_key(id))
+            id.is_some_and(|id| self.control_by_id.contains_key(id))
         };
         before.retain(|peer| !is_listed(peer));
         before
@@ -83,8 +84,8 @@
 
     /// The next peer of the own failure domain in the order of names, whether
     /// it answers or not.
-    pub(super) fn next(&self) -> Option<&Address> {
-        self.near.first()
+    pub(super) fn next_by_id(&self) -> Option<&Address> {
+        self.same_domain.first()
     }
 
     /// The next peer of the own failure domain in the order of names, wrapping
@@ -93,37 +94,45 @@
     /// Were all peers drawn at random, each announcement would miss a few
     /// nodes. If each also tells its successor, none is left out for as long
     /// as messages arrive.
-    pub(super) fn successor(&self, now: Tick, fits: impl Fn(&Address) -> bool) -> Option<Address> {
-        let near = self.near.iter().take(MAX_SUCCESSORS);
-        let mut fitting = near.filter(|peer| fits(peer) && !self.is_avoided(now, peer));
+    pub(super) fn successor(
+        &self,
+        now: Tick,
+        is_eligible: impl Fn(&Address) -> bool,
+    ) -> Option<Address> {
+        let same_domain = self.same_domain.iter().take(MAX_SUCCESSOR_CANDIDATES);
+        let mut fitting =
+            same_domain.filter(|peer| is_eligible(peer) && !self.is_in_backoff(now, peer));
         fitting.next().cloned()
     }
 
     /// How many peers there are.
     pub(super) fn len(&self) -> usize {
-        self.near.len() + self.far.len()
+        self.same_domain.len() + self.other_domains.len()
     }
 
     /// Remembers the sender of a message while there is no list.
-    pub(super) fn meet(&mut self, id: &InstanceId, control: SocketAddr) {
-        let known = self.strangers.iter().any(|known| known.control == control);
-        if self.len() > 0 || known || self.strangers.len() == MAX_STRANGERS {
+    pub(super) fn note_sender(&mut self, id: &InstanceId, control: SocketAddr) {
+        let known = self
+            .unlisted_senders
+            .iter()
+            .any(|known| known.control == control);
+        if self.len() > 0 || known || self.unlisted_senders.len() == MAX_UNLISTED_SENDERS {
             return;
         }
-        self.strangers.push(Address {
+        self.unlisted_senders.push(Address {
             id: Some(id.clone()),
             control,
         });
     }
 
     /// Nodes known by their messages only.
-    pub(super) fn strangers(&self) -> &[Address] {
-        &self.strangers
+    pub(super) fn unlisted_senders(&self) -> &[Address] {
+        &self.unlisted_senders
     }
 
     /// A listed peer by name.
     pub(super) fn find(&self, id: &InstanceId) -> Option<Address> {
-        let control = *self.by_id.get(id)?;
+        let control = *self.control_by_id.get(id)?;
         Some(Address {
             id: Some(id.clone()),
             control,
@@ -135,49 +144,50 @@
         let Some(id) = &to.id else {
             return;
         };
-        if self.failed.len() >= MAX_FAILED {
-            self.failed.retain(|_, until| *until > now);
+        if self.backoff_until.len() >= MAX_FAILED_PEERS {
+            self.backoff_until.retain(|_, until| *until > now);
         }
-        if self.failed.len() < MAX_FAILED {
-            self.failed.insert(id.clone(), now + AVOIDED);
+        if self.backoff_until.len() < MAX_FAILED_PEERS {
+            self.backoff_until
+                .insert(id.clone(), now + FAILED_PEER_BACKOFF);
         }
     }
 
     /// Remembers that a peer answered.
     pub(super) fn note_answered(&mut self, to: &Address) {
         if let Some(id) = &to.id {
-            self.failed.remove(id);
+            self.backoff_until.remove(id);
         }
     }
 
     /// Draws a peer, of another failure domain with the given probability.
-    pub(super) fn draw(
+    pub(super) fn pick_random(
         &self,
         now: Tick,
         cross_percent: u32,
         rng: &mut SmallRng,
-        fits: impl Fn(&Address) -> bool,
+        is_eligible: impl Fn(&Address) -> bool,
     ) -> Option<Address> {
         for _ in 0..MAX_DRAWS {
-            let cross = rng.random_range(0..100) < cross_percent;
-            let group = match (self.near.is_empty(), self.far.is_empty()) {
+            let use_other_domain = rng.random_range(0..100) < cross_percent;
+            let group = match (self.same_domain.is_empty(), self.other_domains.is_empty()) {
                 (true, true) => return None,
-                (true, false) => &self.far,
-                (false, true) => &self.near,
-                (false, false) if cross => &self.far,
-                (false, false) => &self.near,
+                (true, false) => &self.other_domains,
+                (false, true) => &self.same_domain,
+                (false, false) if use_other_domain => &self.other_domains,
+                (false, false) => &self.same_domain,
             };
-            let drawn = &group[rng.random_range(0..group.len())];
-            if fits(drawn) && !self.is_avoided(now, drawn) {
-                return Some(drawn.clone());
+            let picked = &group[rng.random_range(0..group.len())];
+            if is_eligible(picked) && !self.is_in_backoff(now, picked) {
+                return Some(picked.clone());
             }
         }
         None
     }
 
-    fn is_avoided(&self, now: Tick, peer: &Address) -> bool {
+    fn is_in_backoff(&self, now: Tick, peer: &Address) -> bool {
         let id = peer.id.as_ref();
-        let until = id.and_then(|id| self.failed.get(id));
+        let until = id.and_then(|id| self.backoff_until.get(id));
         until.is_some_and(|until| *until > now)
     }
 }
--- a/crates/core/src/spread/reply.rs
+++ b/crates/core/src/spread/reply.rs
@@ -45,7 +45,8 @@
     /// Digests of its endpoint states by bucket, if they differ in all.
     pub buckets: Vec<u32>,
     /// What it remembers of the asking node itself.
-    pub about_you: Option<EndpointState>,
+    #[serde(rename = "about_you")]
+    pub requester_state: Option<EndpointState>,
     /// Digest over all reports of crashes that it knows.
     pub reports_root: u64,
     /// These as far as they fit, if the asking node knows others.
--- a/crates/core/src/spread/holder.rs
+++ b/crates/core/src/spread/version_store.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use self::judge::judge;
-use self::remembered::Remembered;
+use self::recent_versions::RecentVersions;
+use self::validate::validate;
 use crate::Action;
 use crate::Applied;
 use crate::AuditEvent;
@@ -19,16 +19,16 @@
 use crate::Version;
 use crate::catalogue;
 
-mod judge;
-mod remembered;
+mod recent_versions;
+mod validate;
 
 /// What became of an offered version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum OfferOutcome {
     /// It is held now.
-    Taken,
+    Accepted,
     /// It was held already.
-    Same,
+    AlreadyHeld,
     /// Something newer is held.
     Older,
     /// The same revision is held with another digest.
@@ -44,18 +44,18 @@
 /// The revision of each stream only grows, and the snapshot is bound from
 /// exactly the two documents held. What is held was judged good.
 #[derive(Debug, Default)]
-pub(super) struct Holder {
+pub(super) struct VersionStore {
     catalogue: Option<Arc<Catalogue>>,
     instances: Option<Arc<InstanceList>>,
     snapshot: Option<Arc<Snapshot>>,
-    refused: Remembered,
-    conflicting: Remembered,
-    older: [Option<Revision>; 2],
+    refused: RecentVersions,
+    conflicting: RecentVersions,
+    logged_older: [Option<Revision>; 2],
     conflicts: u64,
     refusals: u64,
 }
 
-impl Holder {
+impl VersionStore {
     pub(super) fn catalogue(&self) -> Option<&Arc<Catalogue>> {
         self.catalogue.as_ref()
     }
@@ -105,19 +105,25 @@
         revision: Revision,
         text: &str,
         out: &mut Vec<Action>,
-    ) -> Verdict {
-        let unread = Version::new(revision, Digest::of(text.as_bytes()));
-        if self.is_refused(unread) {
-            return Verdict::Refused;
+    ) -> OfferOutcome {
+        let text_version = Version::new(revision, Digest::of(text.as_bytes()));
+        if self.is_refused(text_version) {
+            return OfferOutcome::Refused;
         }
-        let read = catalogue::parse(text).map_err(|faults| faults.to_string());
-        let read = read
+        let parsed = catalogue::parse(text).map_err(|faults| faults.to_string());
+        let parsed = parsed
             .and_then(|items| Catalogue::new(revision, items).map_err(|cause| cause.to_string()));
-        match read {
+        match parsed {
             Ok(offered) => self.offer_catalogue(offered, &Origin::Source, out),
             Err(reason) => {
-                self.refuse(Stream::Catalogue, unread, &Origin::Source, reason, out);
-                Verdict::Refused
+                self.refuse(
+                    Stream::Catalogue,
+                    text_version,
+                    &Origin::Source,
+                    reason,
+                    out,
+                );
+                OfferOutcome::Refused
             }
         }
     }
@@ -128,14 +134,14 @@
         revision: Revision,
         items: Vec<CatalogueItem>,
         out: &mut Vec<Action>,
-    ) -> Verdict {
+    ) -> OfferOutcome {
         match Catalogue::new(revision, items) {
             Ok(offered) => self.offer_catalogue(offered, &Origin::Source, out),
             Err(cause) => {
                 let reason = cause.to_string();
                 let version = Version::new(revision, Digest::of(reason.as_bytes()));
                 self.refuse(Stream::Catalogue, version, &Origin::Source, reason, out);
-                Verdict::Refused
+                OfferOutcome::Refused
             }
         }
     }
@@ -146,23 +152,23 @@
         offered: Catalogue,
         origin: &Origin,
         out: &mut Vec<Action>,
-    ) -> Verdict {
+    ) -> OfferOutcome {
         let version = offered.version();
-        let verdict = self.weigh(Stream::Catalogue, version, origin, out);
-        if verdict != Verdict::Taken {
-            return verdict;
+        let outcome = self.compare_with_held(Stream::Catalogue, version, origin, out);
+        if outcome != OfferOutcome::Accepted {
+            return outcome;
         }
-        match judge(&offered, self.instances.as_deref()) {
+        match validate(&offered, self.instances.as_deref()) {
             Ok(snapshot) => {
                 // INVARIANT: The revision was found higher than the one held.
                 self.catalogue = Some(Arc::new(offered));
-                self.bind(snapshot);
-                Verdict::Taken
+                self.set_snapshot(snapshot);
+                OfferOutcome::Accepted
             }
             Err(faults) => {
                 let reason = faults.to_string();
                 self.refuse(Stream::Catalogue, version, origin, reason, out);
-                Verdict::Refused
+                OfferOutcome::Refused
             }
         }
     }
@@ -173,11 +179,11 @@
         offered: InstanceList,
         origin: &Origin,
         out: &mut Vec<Action>,
-    ) -> Verdict {
+    ) -> OfferOutcome {
         let version = offered.version();
-        let verdict = self.weigh(Stream::Instances, version, origin, out);
-        if verdict != Verdict::Taken {
-            return verdict;
+        let outcome = self.compare_with_held(Stream::Instances, version, origin, out);
+        if outcome != OfferOutcome::Accepted {
+            return outcome;
         }
         let bound = match (&self.snapshot, &self.catalogue) {
             // INVARIANT: The snapshot is bound from the catalogue held.
@@ -189,13 +195,13 @@
             Ok(snapshot) => {
                 // INVARIANT: The revision was found higher than the one held.
                 self.instances = Some(Arc::new(offered));
-                self.bind(snapshot);
-                Verdict::Taken
+                self.set_snapshot(snapshot);
+                OfferOutcome::Accepted
             }
             Err(faults) => {
                 let reason = faults.to_string();
                 self.refuse(Stream::Instances, version, origin, reason, out);
-                Verdict::Refused
+                OfferOutcome::Refused
             }
         }
     }
@@ -230,11 +236,11 @@
         let Some(held) = self.heads().of(stream) else {
             return;
         };
-        let told = &mut self.older[stream as usize];
-        if *told == Some(offered) {
+        let last_logged = &mut self.logged_older[stream as usize];
+        if *last_logged == Some(offered) {
             return;
         }
-        *told = Some(offered);
+        *last_logged = Some(offered);
         out.push(Action::Audit(AuditEvent::OlderIgnored {
             stream,
             held,
@@ -283,42 +289,42 @@
         }));
     }
 
-    /// Compares an offered version with what is held; `Taken` means that it
+    /// Compares an offered version with what is held; `Accepted` means that it
     /// may be, if it is good.
     ///
     /// A stale platform, a crossed message and a process that slept all offer
     /// old versions as new. Revisions are compared and never clocks or the
     /// order of arrival, so that none of them can step a node back.
-    fn weigh(
+    fn compare_with_held(
         &mut self,
         stream: Stream,
         offered: Version,
         origin: &Origin,
         out: &mut Vec<Action>,
-    ) -> Verdict {
+    ) -> OfferOutcome {
         if self.is_refused(offered) {
-            return Verdict::Refused;
+            return OfferOutcome::Refused;
         }
         let Some(held) = self.heads().of(stream) else {
-            return Verdict::Taken;
+            return OfferOutcome::Accepted;
         };
         if held == offered {
-            return Verdict::Same;
+            return OfferOutcome::AlreadyHeld;
         }
         if held.revision() == offered.revision() {
             self.note_conflict(stream, held, offered, origin, out);
-            return Verdict::Conflict;
+            return OfferOutcome::Conflict;
         }
         if held.revision() > offered.revision() {
             if *origin == Origin::Source {
                 self.note_older(stream, offered.revision(), origin, out);
             }
-            return Verdict::Older;
+            return OfferOutcome::Older;
         }
-        Verdict::Taken
+        OfferOutcome::Accepted
     }
 
-    fn bind(&mut self, snapshot: Option<Snapshot>) {
+    fn set_snapshot(&mut self, snapshot: Option<Snapshot>) {
         if let Some(snapshot) = snapshot {
             self.snapshot = Some(Arc::new(snapshot));
         }
--- a/crates/core/src/spread/holder/remembered.rs
+++ b/crates/core/src/spread/version_store/recent_versions.rs
@@ -5,16 +5,16 @@
 use crate::Version;
 
 /// Versions that are remembered; the oldest go.
-const MAX_REMEMBERED: usize = 64;
+const MAX_RECENT_VERSIONS: usize = 64;
 
 /// The last versions of a kind, in the order of coming.
 #[derive(Debug, Default)]
-pub(super) struct Remembered(VecDeque<Version>);
+pub(super) struct RecentVersions(VecDeque<Version>);
 
-impl Remembered {
+impl RecentVersions {
     /// Adds a version.
     pub(super) fn add(&mut self, version: Version) {
-        if self.0.len() == MAX_REMEMBERED {
+        if self.0.len() == MAX_RECENT_VERSIONS {
             self.0.pop_front();
         }
         self.0.push_back(version);
--- a/crates/core/src/spread/holder/judge.rs
+++ b/crates/core/src/spread/version_store/validate.rs
@@ -9,7 +9,7 @@
 
 /// Judges a catalogue. Whether it is good depends on nothing but its content,
 /// so that every node judges the same, with or without an instance list.
-pub(super) fn judge(
+pub(super) fn validate(
     offered: &Catalogue,
     instances: Option<&InstanceList>,
 ) -> Result<Option<Snapshot>, Faults> {
