--- a/crates/core/src/spread/audit.rs
+++ b/crates/core/src/spread/audit.rs
@@ -166,14 +166,14 @@
         /// Instances of the domain in the held list; zero if no instance of
         /// that domain is listed.
         instances: u32,
-        /// The origin of the catalogue that says so.
+        /// The origin of the catalogue with this change.
         origin: Origin,
     },
     /// A failure domain is no longer evacuated.
     EvacuationEnded {
         /// The failure domain.
         domain: DomainName,
-        /// The origin of the catalogue that says so.
+        /// The origin of the catalogue with this change.
         origin: Origin,
     },
     /// The process was stopped for a while and has resumed.
--- a/crates/core/src/spread/config.rs
+++ b/crates/core/src/spread/config.rs
@@ -37,17 +37,17 @@
     pub linger: Duration,
     /// The same for endpoint states: at most 5 s.
     pub state_linger: Duration,
-    /// Maximum size of a change that is sent with its announcement: at most 64
-    /// KiB. 0 disables this.
+    /// Maximum size, in bytes, of a change that is sent with its announcement:
+    /// at most 64 KiB. 0 disables this.
     pub eager_bytes: usize,
     /// Changes kept for peers that are behind: at most 4,096.
     pub history_count: usize,
-    /// Maximum size of the changes kept: at most 64 MiB.
+    /// Maximum size, in bytes, of the changes kept: at most 64 MiB.
     pub history_bytes: usize,
     /// Timeout of a call to a peer: 50 ms to 60 s.
     pub call_timeout: Duration,
-    /// Minimum of readers in the whole fleet, distributed over its failure
-    /// domains so that each has one: 1 to 32.
+    /// Minimum number of readers in the whole fleet, distributed over its
+    /// failure domains so that each has one: 1 to 32.
     pub readers: u32,
     /// Largest fleet in which all nodes read: 0 to 64.
     ///
@@ -79,8 +79,8 @@
     pub takeover_step: Duration,
     /// First backoff after a failed read: 10 ms to 60 s.
     pub backoff_base: Duration,
-    /// Maximum backoff after failed reads: at least `backoff_base`, at most 10
-    /// min.
+    /// Maximum backoff after failed reads: at least `backoff_base`, at most
+    /// 10 min.
     pub backoff_cap: Duration,
     /// Peers with which a joining node compares its versions: 0 to 16.
     pub join_peers: u32,
--- a/crates/core/src/spread/event.rs
+++ b/crates/core/src/spread/event.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone)]
 #[non_exhaustive]
 pub enum Event {
-    /// Time has passed.
+    /// The wakeup time has come.
     Wakeup,
     /// A peer answered a call.
     Reply {
--- a/crates/core/src/spread/gossip.rs
+++ b/crates/core/src/spread/gossip.rs
@@ -8,11 +8,11 @@
 use crate::Tick;
 use crate::spread::calls::Address;
 
-/// Maximum of endpoint states that wait to be announced; the rest is left to
+/// Maximum number of endpoint states that wait to be announced; the rest is left to
 /// anti-entropy.
 const MAX_PENDING_STATES: usize = 4_096;
 
-/// Maximum of crash reports in one announcement; the rest is left to
+/// Maximum number of crash reports in one announcement; the rest is left to
 /// anti-entropy. When a failure domain with hundreds of targets is lost, no
 /// crash has to be known at once.
 pub(super) const MAX_ANNOUNCED_REPORTS: usize = 16;
--- a/crates/core/src/spread/history.rs
+++ b/crates/core/src/spread/history.rs
@@ -11,7 +11,7 @@
 use crate::Stream;
 use crate::Version;
 
-/// Maximum of encoded bodies cached for the held version.
+/// Maximum number of encoded bodies cached for the held version.
 const MAX_CACHED_BODIES: usize = 8;
 
 /// The last changes of a stream, bounded by count and size.
--- a/crates/core/src/spread/machine/announce.rs
+++ b/crates/core/src/spread/machine/announce.rs
@@ -12,7 +12,7 @@
 use crate::spread::calls::Address;
 use crate::spread::calls::Purpose;
 
-/// Maximum of endpoint states in one announcement.
+/// Maximum number of endpoint states in one announcement.
 pub(super) const MAX_ANNOUNCED_STATES: usize = 64;
 
 impl Spread {
@@ -98,8 +98,8 @@
     ///
     /// No other node has them as peers from now on. With regular comparisons
     /// alone, they would send requests to a target that vanished without notice
-    /// until the next comparison. Once they know that they aren't listed, they
-    /// read the platform themselves.
+    /// until the next comparison. Once the announced list shows them
+    /// that they aren't listed, they read the platform themselves.
     fn announce_to_unlisted(&mut self, now: Tick, message: Announce, out: &mut Vec<Action>) {
         for to in std::mem::take(&mut self.gossip.unlisted) {
             let message = PeerMessage::Announce(message.clone());
--- a/crates/core/src/spread/machine/pull.rs
+++ b/crates/core/src/spread/machine/pull.rs
@@ -121,7 +121,7 @@
             return;
         }
         let origin = Origin::Peer(from.clone());
-        let opened = match stream {
+        let applied = match stream {
             Stream::Catalogue => body
                 .open(self.store.catalogue().map(Arc::as_ref))
                 .map(|offered| self.offer_catalogue(now, offered, &origin, out)),
@@ -129,7 +129,7 @@
                 .open(self.store.instances().map(Arc::as_ref))
                 .map(|offered| self.offer_instances(now, offered, &origin, out)),
         };
-        if let Err(cause) = opened {
+        if let Err(cause) = applied {
             self.reject_body(body, &cause, origin, out);
         }
     }
--- a/crates/core/src/spread/machine/read.rs
+++ b/crates/core/src/spread/machine/read.rs
@@ -133,8 +133,8 @@
     /// unnecessary.
     ///
     /// An unlisted node compares often and needn't read: otherwise nodes that
-    /// wait to be listed and nodes of targets that have left would make most of
-    /// a fleet's reads. In a fleet in which all nodes read, peers would only
+    /// wait to be listed and nodes whose targets were removed from the list
+    /// would make most of a fleet's reads. In a fleet in which all nodes read, peers would only
     /// add a hop.
     fn sync_replaces_read(&self, now: Tick) -> bool {
         let replied_at = self.gossip.last_sync_reply;
@@ -148,7 +148,7 @@
         age.unwrap_or_else(|| now.since(self.started))
     }
 
-    /// Whether the fleet, as far as this node knows, had contact recently.
+    /// Whether the newest proof of contact that this node has is recent.
     pub(super) fn has_recent_contact(&self, now: Tick) -> bool {
         let age = self.contact.age(now);
         age.is_some_and(|age| age < self.role.usual_age())
--- a/crates/core/src/spread/machine/reports.rs
+++ b/crates/core/src/spread/machine/reports.rs
@@ -106,25 +106,25 @@
         origin: &Origin,
         out: &mut Vec<Action>,
     ) {
-        let mut news = Vec::new();
+        let mut new_ids = Vec::new();
         for report in reports {
             if self.reports.merge(now, report) {
-                news.push(report.id.clone());
+                new_ids.push(report.id.clone());
             }
         }
-        if news.is_empty() {
+        if new_ids.is_empty() {
             return;
         }
-        if news.len() <= MAX_ANNOUNCED_REPORTS {
-            self.forward_reports(now, news);
+        if new_ids.len() <= MAX_ANNOUNCED_REPORTS {
+            self.forward_reports(now, new_ids);
         }
         self.apply_verdicts(origin, out);
     }
 
     /// Forwards new reports: all of this node's own, and those of others within
     /// the rate limit. Anti-entropy finds the rest.
-    fn forward_reports(&mut self, now: Tick, news: Vec<ReportId>) {
-        for id in news {
+    fn forward_reports(&mut self, now: Tick, new_ids: Vec<ReportId>) {
+        for id in new_ids {
             let wait =
                 self.report_budget
                     .refill(now, FORWARDED_REPORTS_PER_S, FORWARDED_REPORTS_BURST);
@@ -140,7 +140,7 @@
 
     /// Merges the reports of a peer, and sends it the reports that it lacks.
     ///
-    /// Each side of a partition may know of crashes that the other doesn't; the
+    /// Each side of a partition may have reports that the other lacks; the
     /// first comparison after it brings both up to date.
     pub(super) fn reconcile_reports(
         &mut self,
--- a/crates/core/src/spread/machine/states.rs
+++ b/crates/core/src/spread/machine/states.rs
@@ -30,8 +30,8 @@
     ///
     /// A few states are new and are forwarded. Many at once come from a
     /// comparison, for instance when this node has just joined: if they were
-    /// forwarded, each joining node would make the whole fleet send all states
-    /// that it knows.
+    /// forwarded, each joining node would make the whole fleet send all its
+    /// states.
     pub(super) fn merge_states(
         &mut self,
         now: Tick,
--- a/crates/core/src/spread/machine/wakeup.rs
+++ b/crates/core/src/spread/machine/wakeup.rs
@@ -9,7 +9,7 @@
 use crate::Tick;
 use crate::spread::calls::Address;
 
-/// Maximum of peers with which a process compares at once after a pause.
+/// Maximum number of peers with which a process compares at once after a pause.
 const PEERS_SYNCED_AFTER_PAUSE: usize = 3;
 
 /// Minimum delay until the next wakeup, so that the caller can't busy-loop.
--- a/crates/core/src/spread/message.rs
+++ b/crates/core/src/spread/message.rs
@@ -75,9 +75,9 @@
     pub heads: Heads,
     /// The sender's newest proof of contact with the platform.
     pub contact: Option<Contact>,
-    /// Digest over all endpoint states that the sender knows.
+    /// Digest over all endpoint states of the sender.
     pub states: u64,
-    /// Digest over all crash reports that the sender knows.
+    /// Digest over all crash reports of the sender.
     pub reports: u64,
 }
 
@@ -95,6 +95,6 @@
 pub struct Reconcile {
     /// Bit mask of the buckets that are compared.
     pub buckets: u64,
-    /// All endpoint states of these buckets that the sender knows.
+    /// All endpoint states of the sender in these buckets.
     pub states: Vec<EndpointState>,
 }
--- a/crates/core/src/spread/peers.rs
+++ b/crates/core/src/spread/peers.rs
@@ -16,16 +16,16 @@
 /// How long a peer that failed isn't picked.
 const FAILED_PEER_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Maximum of failed peers that are remembered.
+/// Maximum number of failed peers that are remembered.
 const MAX_FAILED_PEERS: usize = 256;
 
-/// Maximum of senders that are remembered before the list is known.
+/// Maximum number of senders that are remembered before the list is known.
 const MAX_UNLISTED_SENDERS: usize = 16;
 
-/// Maximum of peers that are tried as the successor.
+/// Maximum number of peers that are tried as the successor.
 const MAX_SUCCESSOR_CANDIDATES: usize = 16;
 
-/// Maximum of draws until an eligible peer is found.
+/// Maximum number of draws until an eligible peer is found.
 const MAX_DRAWS: u32 = 8;
 
 /// The peers of the instance list, in two groups from which random peers are
@@ -99,10 +99,10 @@
         now: Tick,
         is_eligible: impl Fn(&Address) -> bool,
     ) -> Option<Address> {
-        let same_domain = self.same_domain.iter().take(MAX_SUCCESSOR_CANDIDATES);
-        let mut fitting =
-            same_domain.filter(|peer| is_eligible(peer) && !self.is_in_backoff(now, peer));
-        fitting.next().cloned()
+        let candidates = self.same_domain.iter().take(MAX_SUCCESSOR_CANDIDATES);
+        let mut eligible =
+            candidates.filter(|peer| is_eligible(peer) && !self.is_in_backoff(now, peer));
+        eligible.next().cloned()
     }
 
     /// Number of listed peers.
--- a/crates/core/src/spread/pull_state.rs
+++ b/crates/core/src/spread/pull_state.rs
@@ -3,7 +3,7 @@
 use super::calls::Address;
 use crate::Version;
 
-/// Maximum of peers that are remembered as holding a lacking version.
+/// Maximum number of peers that are remembered as holding a lacking version.
 const MAX_CANDIDATES: usize = 4;
 
 /// The state of pulling one stream's newest body.
--- a/crates/core/src/spread/reply.rs
+++ b/crates/core/src/spread/reply.rs
@@ -48,7 +48,7 @@
     /// The state of the requester's endpoint, as known to the answering node.
     #[serde(rename = "about_you")]
     pub requester_state: Option<EndpointState>,
-    /// Digest over all crash reports that it knows.
+    /// Digest over all its crash reports.
     pub reports_root: u64,
     /// Its crash reports, as many as fit, if the digest over all reports
     /// differs.
--- a/crates/core/src/spread/version_store/recent_versions.rs
+++ b/crates/core/src/spread/version_store/recent_versions.rs
@@ -5,7 +5,7 @@
 
 use crate::Version;
 
-/// Maximum of versions that are remembered; the oldest are evicted.
+/// Maximum number of versions that are remembered; the oldest are evicted.
 const MAX_RECENT_VERSIONS: usize = 64;
 
 /// The most recently added versions, oldest first.
