--- a/crates/core/src/spread/machine/reports.rs
+++ b/crates/core/src/spread/machine/reports.rs
@@ -1,5 +1,5 @@
-//! Crashes of targets, and answers to what ran in some: this node's own sightings, and
-//! those of others.
+//! Reports of crashes of targets and of answers to requests that ran in some of
+//! them: those of this node, and those of others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,24 +17,25 @@
 use crate::Tick;
 use crate::spread::calls::Address;
 use crate::spread::calls::Purpose;
-use crate::spread::gossip::MAX_REPORTS;
+use crate::spread::gossip::MAX_ANNOUNCED_REPORTS;
 
-/// How soon a node that heard news of crashes compares itself with a peer. Announcements
-/// miss some nodes, and the next copy of a request may come to one of these.
-const COMPARED_AFTER: Duration = Duration::from_millis(500);
+/// Delay until a node that received new reports compares with a peer.
+/// Announcements miss some nodes, and the next copy of a request may arrive at
+/// one of these.
+const SYNC_AFTER_REPORT_DELAY: Duration = Duration::from_millis(500);
 
-/// Reports that a node tells on at once, a second and in a burst. Of a failure domain that
-/// is lost with hundreds of targets no crash has to be known at once, and all of them would
-/// take more than a node may spend on control.
-const TOLD_PER_S: u32 = 4;
+/// Rate of reports that a node forwards at once. When a failure domain with
+/// hundreds of targets is lost, no crash has to be known at once, and
+/// forwarding all of them would exceed a node's share of control traffic.
+const FORWARDED_REPORTS_PER_S: u32 = 4;
 
-/// How long reports may have gathered that are told in a burst.
-const TOLD_BURST: Duration = Duration::from_secs(8);
+/// Burst of that rate limit, as the time over which unused rate accumulates.
+const FORWARDED_REPORTS_BURST: Duration = Duration::from_secs(8);
 
 impl Spread {
-    /// The endpoint beside this node was seen to crash or to answer, or an operator
-    /// released a request here.
-    pub(super) fn sighted(
+    /// Handles an observed crash or answer of the local target, or an
+    /// operator's release of a request at this node.
+    pub(super) fn handle_observation(
         &mut self,
         now: Tick,
         sighting: Sighting,
@@ -46,13 +47,13 @@
                 out.push(Action::Audit(AuditEvent::TargetCrashed {
                     ran: ran.clone(),
                 }));
-                self.report(now, sighting, ago, out);
+                self.add_own_report(now, sighting, ago, out);
             }
             Sighting::Released(content) => {
                 out.push(Action::Audit(AuditEvent::ReleaseOrdered {
                     content: *content,
                 }));
-                self.report(now, sighting, ago, out);
+                self.add_own_report(now, sighting, ago, out);
             }
             Sighting::Answered(content) => {
                 let since_start = now.since(Tick::ZERO).saturating_sub(ago);
@@ -64,21 +65,27 @@
         }
     }
 
-    /// Tells of answers that nobody else has told of meanwhile.
+    /// Reports the due answers that no other node has reported meanwhile.
     pub(super) fn report_due_answers(&mut self, now: Tick, out: &mut Vec<Action>) {
         for (content, answered) in self.pending_answers.take_due(now, self.reports.verdicts()) {
             let sighting = Sighting::Answered(content);
-            self.report(now, sighting, now.since(answered), out);
+            self.add_own_report(now, sighting, now.since(answered), out);
         }
     }
 
-    fn report(&mut self, now: Tick, sighting: Sighting, ago: Duration, out: &mut Vec<Action>) {
-        self.reported += 1;
+    fn add_own_report(
+        &mut self,
+        now: Tick,
+        sighting: Sighting,
+        ago: Duration,
+        out: &mut Vec<Action>,
+    ) {
+        self.report_count += 1;
         let report = Report {
             id: ReportId {
                 witness: self.local.id.clone(),
                 incarnation: self.local.incarnation.get(),
-                number: self.reported,
+                number: self.report_count,
             },
             age_ms: u32::try_from(ago.as_millis()).unwrap_or(u32::MAX),
             sighting,
@@ -87,10 +94,11 @@
         self.merge_reports(now, &[report], &origin, out);
     }
 
-    /// Takes in what others have seen.
+    /// Merges reports of other nodes.
     ///
-    /// A few are news and told on at once: the next copy of a request may be under way.
-    /// Many come from a comparison and are known to most.
+    /// A few reports are new and are forwarded at once, because the next copy
+    /// of a request may be in flight. Many at once come from a comparison and
+    /// are known to most nodes.
     pub(super) fn merge_reports(
         &mut self,
         now: Tick,
@@ -98,58 +106,60 @@
         origin: &Origin,
         out: &mut Vec<Action>,
     ) {
-        let mut news = Vec::new();
+        let mut new_ids = Vec::new();
         for report in reports {
             if self.reports.merge(now, report) {
-                news.push(report.id.clone());
+                new_ids.push(report.id.clone());
             }
         }
-        if news.is_empty() {
+        if new_ids.is_empty() {
             return;
         }
-        if news.len() <= MAX_REPORTS {
-            self.forward_reports(now, news);
+        if new_ids.len() <= MAX_ANNOUNCED_REPORTS {
+            self.forward_reports(now, new_ids);
         }
-        self.judge(origin, out);
+        self.apply_verdicts(origin, out);
     }
 
-    /// Tells on what is news: all that this node saw itself, and of what it was told as
-    /// much as it may. The rest is found by comparing.
-    fn forward_reports(&mut self, now: Tick, news: Vec<ReportId>) {
-        for id in news {
-            let wait = self.telling.refill(now, TOLD_PER_S, TOLD_BURST);
+    /// Forwards new reports: all of this node's own, and those of others within
+    /// the rate limit. Anti-entropy finds the rest.
+    fn forward_reports(&mut self, now: Tick, new_ids: Vec<ReportId>) {
+        for id in new_ids {
+            let wait =
+                self.report_budget
+                    .refill(now, FORWARDED_REPORTS_PER_S, FORWARDED_REPORTS_BURST);
             if wait.is_some() && id.witness != self.local.id {
                 continue;
             }
-            self.telling.take();
-            self.gossip.add_report(id, now);
-            let soon = now + self.jittered(COMPARED_AFTER);
+            self.report_budget.take();
+            self.gossip.queue_report(id, now);
+            let soon = now + self.jittered(SYNC_AFTER_REPORT_DELAY);
             self.gossip.next_sync = self.gossip.next_sync.min(soon);
         }
     }
 
-    /// Takes in the reports of a peer, and tells it those that it lacks.
+    /// Merges the reports of a peer, and sends it the reports that it lacks.
     ///
-    /// A side of a cut may know of crashes that the other doesn't: whoever compares itself
-    /// first brings both up to date.
-    pub(super) fn compare_reports(
+    /// Each side of a partition may have reports that the other lacks; the
+    /// first comparison after it brings both up to date.
+    pub(super) fn reconcile_reports(
         &mut self,
         now: Tick,
         peer: &Address,
-        told: &SyncReply,
+        reply: &SyncReply,
         out: &mut Vec<Action>,
     ) {
-        if told.reports_root == self.reports.root() {
+        if reply.reports_root == self.reports.root() {
             return;
         }
-        let origin = Origin::Peer(told.from.clone());
-        self.merge_reports(now, &told.reports, &origin, out);
-        if told.reports_root == self.reports.root() {
+        let origin = Origin::Peer(reply.from.clone());
+        self.merge_reports(now, &reply.reports, &origin, out);
+        if reply.reports_root == self.reports.root() {
             return;
         }
         let message = PeerMessage::Announce(Announce {
             control: self.local.control,
-            heads: self.holder.heads(),
+            heads: self.store.heads(),
             contact: self.contact.current(now),
             body: None,
             states: Vec::new(),
@@ -158,15 +168,16 @@
         self.calls.send(now, peer, Purpose::Announce, message, out);
     }
 
-    /// Forgets what is too old to count.
-    pub(super) fn forget_reports(&mut self, now: Tick, out: &mut Vec<Action>) {
+    /// Expires old reports.
+    pub(super) fn expire_reports(&mut self, now: Tick, out: &mut Vec<Action>) {
         self.reports.forget(now);
         let origin = Origin::Peer(self.local.id.clone());
-        self.judge(&origin, out);
+        self.apply_verdicts(&origin, out);
     }
 
-    /// Puts in force what follows from the reports, if that has changed.
-    fn judge(&mut self, origin: &Origin, out: &mut Vec<Action>) {
+    /// Puts the verdicts that follow from the reports in force, if they have
+    /// changed.
+    fn apply_verdicts(&mut self, origin: &Origin, out: &mut Vec<Action>) {
         let Some((before, verdicts)) = self.reports.judge() else {
             return;
         };
--- a/crates/core/src/spread/holder.rs
+++ b/crates/core/src/spread/version_store.rs
@@ -1,9 +1,9 @@
-//! What a node holds of both streams, and the judgement of what is offered.
+//! The held version of both streams, and the validation of offered versions.
 
 use std::sync::Arc;
 
-use self::judge::judge;
-use self::remembered::Remembered;
+use self::recent_versions::RecentVersions;
+use self::validate::validate;
 use crate::Action;
 use crate::Applied;
 use crate::AuditEvent;
@@ -19,21 +19,21 @@
 use crate::Version;
 use crate::catalogue;
 
-mod judge;
-mod remembered;
+mod recent_versions;
+mod validate;
 
-/// What became of an offered version.
+/// The result of offering a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Verdict {
-    /// It is held now.
-    Taken,
-    /// It was held already.
-    Same,
-    /// Something newer is held.
+pub(super) enum OfferOutcome {
+    /// The version is held now.
+    Accepted,
+    /// The version was held already.
+    AlreadyHeld,
+    /// A newer version is held.
     Older,
     /// The same revision is held with another digest.
     Conflict,
-    /// It is bad, and remembered as such.
+    /// The version is invalid and remembered as refused.
     Refused,
 }
 
@@ -41,21 +41,21 @@
 ///
 /// # Invariants
 ///
-/// The revision of each stream only grows, and the snapshot is bound from
-/// exactly the two documents held. What is held was judged good.
+/// The revision of each stream only grows, the snapshot is bound from exactly
+/// the two held documents, and both held documents are valid.
 #[derive(Debug, Default)]
-pub(super) struct Holder {
+pub(super) struct VersionStore {
     catalogue: Option<Arc<Catalogue>>,
     instances: Option<Arc<InstanceList>>,
     snapshot: Option<Arc<Snapshot>>,
-    refused: Remembered,
-    conflicting: Remembered,
-    older: [Option<Revision>; 2],
+    refused: RecentVersions,
+    conflicting: RecentVersions,
+    logged_older: [Option<Revision>; 2],
     conflicts: u64,
     refusals: u64,
 }
 
-impl Holder {
+impl VersionStore {
     pub(super) fn catalogue(&self) -> Option<&Arc<Catalogue>> {
         self.catalogue.as_ref()
     }
@@ -76,7 +76,7 @@
         self.refusals
     }
 
-    /// The newest version of the catalogue that was refused.
+    /// The version that was refused last.
     pub(super) fn last_refused(&self) -> Option<Version> {
         self.refused.newest()
     }
@@ -88,119 +88,127 @@
         }
     }
 
-    /// Whether that version was judged bad before.
+    /// Whether that version was refused before.
     pub(super) fn is_refused(&self, version: Version) -> bool {
         self.refused.contains(version)
     }
 
-    /// Whether `version` is newer than what is held.
+    /// Whether `version` is newer than the held one, or none is held.
     pub(super) fn lacks(&self, stream: Stream, version: Version) -> bool {
         let held = self.heads().of(stream);
         held.is_none_or(|held| held.revision() < version.revision())
     }
 
-    /// The text of a catalogue as the platform gave it.
+    /// Offers a catalogue that the platform gave as a text.
     pub(super) fn offer_text(
         &mut self,
         revision: Revision,
         text: &str,
         out: &mut Vec<Action>,
-    ) -> Verdict {
-        let unread = Version::new(revision, Digest::of(text.as_bytes()));
-        if self.is_refused(unread) {
-            return Verdict::Refused;
+    ) -> OfferOutcome {
+        let text_version = Version::new(revision, Digest::of(text.as_bytes()));
+        if self.is_refused(text_version) {
+            return OfferOutcome::Refused;
         }
-        let read = catalogue::parse(text).map_err(|faults| faults.to_string());
-        let read = read
+        let parsed = catalogue::parse(text).map_err(|faults| faults.to_string());
+        let parsed = parsed
             .and_then(|items| Catalogue::new(revision, items).map_err(|cause| cause.to_string()));
-        match read {
+        match parsed {
             Ok(offered) => self.offer_catalogue(offered, &Origin::Source, out),
             Err(reason) => {
-                self.refuse(Stream::Catalogue, unread, &Origin::Source, reason, out);
-                Verdict::Refused
+                self.refuse(
+                    Stream::Catalogue,
+                    text_version,
+                    &Origin::Source,
+                    reason,
+                    out,
+                );
+                OfferOutcome::Refused
             }
         }
     }
 
-    /// A catalogue that the platform gave in another form than its text.
+    /// Offers a catalogue that the platform gave as items.
     pub(super) fn offer_items(
         &mut self,
         revision: Revision,
         items: Vec<CatalogueItem>,
         out: &mut Vec<Action>,
-    ) -> Verdict {
+    ) -> OfferOutcome {
         match Catalogue::new(revision, items) {
             Ok(offered) => self.offer_catalogue(offered, &Origin::Source, out),
             Err(cause) => {
                 let reason = cause.to_string();
                 let version = Version::new(revision, Digest::of(reason.as_bytes()));
                 self.refuse(Stream::Catalogue, version, &Origin::Source, reason, out);
-                Verdict::Refused
+                OfferOutcome::Refused
             }
         }
     }
 
-    /// A catalogue, from wherever.
+    /// Offers a catalogue of any origin.
     pub(super) fn offer_catalogue(
         &mut self,
         offered: Catalogue,
         origin: &Origin,
         out: &mut Vec<Action>,
-    ) -> Verdict {
+    ) -> OfferOutcome {
         let version = offered.version();
-        let verdict = self.weigh(Stream::Catalogue, version, origin, out);
-        if verdict != Verdict::Taken {
-            return verdict;
+        let outcome = self.compare_with_held(Stream::Catalogue, version, origin, out);
+        if outcome != OfferOutcome::Accepted {
+            return outcome;
         }
-        match judge(&offered, self.instances.as_deref()) {
+        match validate(&offered, self.instances.as_deref()) {
             Ok(snapshot) => {
-                // INVARIANT: The revision was found higher than the one held.
+                // INVARIANT: The revision was checked to be higher than the
+                // held one.
                 self.catalogue = Some(Arc::new(offered));
-                self.bind(snapshot);
-                Verdict::Taken
+                self.set_snapshot(snapshot);
+                OfferOutcome::Accepted
             }
             Err(faults) => {
                 let reason = faults.to_string();
                 self.refuse(Stream::Catalogue, version, origin, reason, out);
-                Verdict::Refused
+                OfferOutcome::Refused
             }
         }
     }
 
-    /// An instance list, from wherever.
+    /// Offers an instance list of any origin.
     pub(super) fn offer_instances(
         &mut self,
         offered: InstanceList,
         origin: &Origin,
         out: &mut Vec<Action>,
-    ) -> Verdict {
+    ) -> OfferOutcome {
         let version = offered.version();
-        let verdict = self.weigh(Stream::Instances, version, origin, out);
-        if verdict != Verdict::Taken {
-            return verdict;
+        let outcome = self.compare_with_held(Stream::Instances, version, origin, out);
+        if outcome != OfferOutcome::Accepted {
+            return outcome;
         }
         let bound = match (&self.snapshot, &self.catalogue) {
-            // INVARIANT: The snapshot is bound from the catalogue held.
+            // INVARIANT: The snapshot is bound from the held catalogue.
             (Some(snapshot), _) => Ok(Some(snapshot.with_instances(&offered))),
             (None, Some(catalogue)) => Snapshot::build(catalogue, &offered).map(Some),
             (None, None) => Ok(None),
         };
         match bound {
             Ok(snapshot) => {
-                // INVARIANT: The revision was found higher than the one held.
+                // INVARIANT: The revision was checked to be higher than the
+                // held one.
                 self.instances = Some(Arc::new(offered));
-                self.bind(snapshot);
-                Verdict::Taken
+                self.set_snapshot(snapshot);
+                OfferOutcome::Accepted
             }
             Err(faults) => {
                 let reason = faults.to_string();
                 self.refuse(Stream::Instances, version, origin, reason, out);
-                Verdict::Refused
+                OfferOutcome::Refused
             }
         }
     }
 
-    /// Notes that a version is bad.
+    /// Remembers that a version is invalid.
     pub(super) fn refuse(
         &mut self,
         stream: Stream,
@@ -219,7 +227,7 @@
         }));
     }
 
-    /// Notes that the platform's newest is older than what is held.
+    /// Records that the platform's newest version is older than the held one.
     pub(super) fn note_older(
         &mut self,
         stream: Stream,
@@ -230,11 +238,11 @@
         let Some(held) = self.heads().of(stream) else {
             return;
         };
-        let told = &mut self.older[stream as usize];
-        if *told == Some(offered) {
+        let last_logged = &mut self.logged_older[stream as usize];
+        if *last_logged == Some(offered) {
             return;
         }
-        *told = Some(offered);
+        *last_logged = Some(offered);
         out.push(Action::Audit(AuditEvent::OlderIgnored {
             stream,
             held,
@@ -243,7 +251,7 @@
         }));
     }
 
-    /// Notes that another content of the held revision exists.
+    /// Records that the held revision exists with another content.
     pub(super) fn note_conflict(
         &mut self,
         stream: Stream,
@@ -265,7 +273,7 @@
         }));
     }
 
-    /// The actions that put the held snapshot in force.
+    /// Appends the actions that put the held snapshot in force.
     pub(super) fn apply(&self, stream: Stream, origin: &Origin, out: &mut Vec<Action>) {
         let (Some(snapshot), Some(version)) = (&self.snapshot, self.heads().of(stream)) else {
             return;
@@ -283,42 +291,43 @@
         }));
     }
 
-    /// Compares an offered version with what is held; `Taken` means that it
-    /// may be, if it is good.
+    /// Compares an offered version with the held one; `Accepted` means that it
+    /// may replace the held one if it is valid.
     ///
-    /// A stale platform, a crossed message and a process that slept all offer
-    /// old versions as new. Revisions are compared and never clocks or the
-    /// order of arrival, so that none of them can step a node back.
-    fn weigh(
+    /// A stale platform, messages that arrive out of order and a process that
+    /// was paused offer old versions as new. Only revisions are compared, never
+    /// clocks or the order of arrival, so that none of them can take a node
+    /// back to an older version.
+    fn compare_with_held(
         &mut self,
         stream: Stream,
         offered: Version,
         origin: &Origin,
         out: &mut Vec<Action>,
-    ) -> Verdict {
+    ) -> OfferOutcome {
         if self.is_refused(offered) {
-            return Verdict::Refused;
+            return OfferOutcome::Refused;
         }
         let Some(held) = self.heads().of(stream) else {
-            return Verdict::Taken;
+            return OfferOutcome::Accepted;
         };
         if held == offered {
-            return Verdict::Same;
+            return OfferOutcome::AlreadyHeld;
         }
         if held.revision() == offered.revision() {
             self.note_conflict(stream, held, offered, origin, out);
-            return Verdict::Conflict;
+            return OfferOutcome::Conflict;
         }
         if held.revision() > offered.revision() {
             if *origin == Origin::Source {
                 self.note_older(stream, offered.revision(), origin, out);
             }
-            return Verdict::Older;
+            return OfferOutcome::Older;
         }
-        Verdict::Taken
+        OfferOutcome::Accepted
     }
 
-    fn bind(&mut self, snapshot: Option<Snapshot>) {
+    fn set_snapshot(&mut self, snapshot: Option<Snapshot>) {
         if let Some(snapshot) = snapshot {
             self.snapshot = Some(Arc::new(snapshot));
         }
