--- a/crates/core/src/document/delta.rs
+++ b/crates/core/src/document/delta.rs
@@ -6,16 +6,16 @@
 use crate::Item;
 use crate::Version;
 
-/// What leads from one version to another, not always the next one.
+/// The changes between two versions, which need not be consecutive.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct Delta<T: Item> {
-    /// The only version that this applies to.
+    /// The only version that the delta applies to.
     pub base: Version,
-    /// The version that it leads to.
+    /// The version that results from applying the delta.
     pub target: Version,
     /// Items that are new or changed.
     pub put: Vec<T>,
-    /// Keys of items that are gone.
+    /// Keys of removed items.
     pub remove: Vec<T::Key>,
 }
--- a/crates/core/src/document/item.rs
+++ b/crates/core/src/document/item.rs
@@ -1,4 +1,4 @@
-//! What a document is made of.
+//! The items of a document.
 
 use std::fmt;
 
@@ -10,9 +10,9 @@
 use crate::Result;
 use crate::Step;
 
-/// A value with a key, encoded the same way on every node.
+/// A value with a key and an encoding that is identical on every node.
 pub trait Item: Clone + fmt::Debug + PartialEq + Serialize + DeserializeOwned {
-    /// What identifies the item in its document.
+    /// The type of the key, which is unique within a document.
     type Key: Clone + fmt::Debug + fmt::Display + Ord + Serialize + DeserializeOwned;
 
     /// The key of this item.
--- a/crates/core/src/document/tests.rs
+++ b/crates/core/src/document/tests.rs
@@ -19,9 +19,9 @@
 }
 
 proptest! {
-    // Whatever changed, a delta leads to exactly what reading the whole would.
+    // Guards against a delta whose result differs from the whole document.
     #[test]
-    fn a_delta_leads_to_the_same_as_the_whole(
+    fn applying_a_delta_yields_the_whole_newer_document(
         old in proptest::collection::vec(0u32..4, 0..12),
         new in proptest::collection::vec(0u32..4, 0..12),
     ) {
@@ -33,19 +33,19 @@
     }
 }
 
-/// Guards against a version that is mixed from two by a late delta.
+/// Guards against a mixture of two versions after a delta that arrives late.
 #[test]
-fn a_delta_that_crossed_another_is_refused() {
+fn a_delta_with_another_base_is_rejected() {
     let first = document(1, &[1, 2]);
     let second = document(2, &[1, 3]);
     let third = document(3, &[1, 3, 4]);
-    let crossed = first.delta_to(&third);
-    assert!(second.apply(&crossed).is_err());
+    let late = first.delta_to(&third);
+    assert!(second.apply(&late).is_err());
 }
 
-/// Guards against a damaged delta that passes for whole.
+/// Guards against applying a delta that lost an item in transit.
 #[test]
-fn a_damaged_delta_is_refused() {
+fn a_damaged_delta_is_rejected() {
     let old = document(1, &[1, 2]);
     let mut delta = old.delta_to(&document(2, &[3, 4]));
     delta.put.pop();
--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What a node says of its own target, and only of that one.
+//! The state that a node publishes for its own target, and for no other.
 
 pub use self::phase::Phase;
 pub use self::state::EndpointState;
--- a/crates/core/src/endpoint/phase.rs
+++ b/crates/core/src/endpoint/phase.rs
@@ -1,23 +1,24 @@
-//! Phases of an endpoint's life.
+//! Phases of an endpoint's life cycle.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Where an endpoint stands between its start and its end.
+/// A phase of an endpoint between its start and its end.
 ///
-/// The order is that of life: within one incarnation a phase never goes back.
+/// The variants are in the order of the life cycle: within one incarnation an
+/// endpoint never returns to an earlier phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Its target or its node isn't ready yet.
+    /// The target or its node isn't ready yet.
     Starting,
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The endpoint finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It has ended.
+    /// The endpoint has ended.
     Gone,
 }
 
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Whether new requests may be sent to it.
+    /// Whether new requests may be sent to an endpoint in this phase.
     pub const fn takes_requests(self) -> bool {
         matches!(self, Phase::Ready)
     }
--- a/crates/core/src/endpoint/state.rs
+++ b/crates/core/src/endpoint/state.rs
@@ -1,4 +1,4 @@
-//! An endpoint's phase as it is told from node to node.
+//! The state record of an endpoint that is gossiped between nodes.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,21 +6,21 @@
 use crate::InstanceId;
 use crate::Phase;
 
-/// What the node beside an instance last said of it.
+/// The most recent state that an instance's node published.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointState {
-    /// The instance that it speaks of.
+    /// The instance that the record describes.
     pub instance: InstanceId,
-    /// Which life of the instance's node is meant; a restart has a higher one.
+    /// The start of the instance's node; each restart has a higher number.
     pub incarnation: u64,
-    /// Counts what was said within the incarnation.
+    /// Counts the records that were published within the incarnation.
     pub sequence: u64,
-    /// The phase.
+    /// The endpoint's phase.
     pub phase: Phase,
 }
 
 impl EndpointState {
-    /// Whether this was said after `other`.
+    /// Whether this record was published after `other`.
     pub fn is_newer_than(&self, other: &EndpointState) -> bool {
         (self.incarnation, self.sequence) > (other.incarnation, other.sequence)
     }
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -1,13 +1,13 @@
-//! The platform's list of instances, which lags behind what is so.
+//! The platform's list of instances, which lags behind their actual state.
 
 pub use self::entry::Instance;
-pub use self::life::TargetLife;
+pub use self::generation::TargetLife;
 pub use self::state::InstanceState;
 
 use crate::Document;
 
 mod entry;
-mod life;
+mod generation;
 mod state;
 
 /// The platform's instance list under its version.
--- a/crates/core/src/instance/entry.rs
+++ b/crates/core/src/instance/entry.rs
@@ -1,4 +1,4 @@
-//! One instance as the platform lists it.
+//! An entry of the platform's instance list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::ServiceName;
 use crate::TargetLife;
 
-/// A target instance and the node beside it.
+/// A target instance and its node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Instance {
@@ -22,32 +22,32 @@
     pub id: InstanceId,
     /// The service that its target serves.
     pub service: ServiceName,
-    /// The region that it stands in.
+    /// The region of the instance.
     pub region: RegionName,
-    /// The failure domain that it stands in.
+    /// The failure domain of the instance.
     pub domain: DomainName,
-    /// Where its node takes requests from other nodes.
+    /// Address at which the node accepts requests from other nodes.
     pub traffic: SocketAddr,
-    /// Where its node takes control messages; port 0 if no node runs beside
-    /// it yet, as in a fleet that is being moved over.
+    /// Address at which the node accepts control messages; port 0 if the instance
+    /// has no node yet, as in a fleet that is being migrated.
     pub control: SocketAddr,
-    /// Requests that its target runs at once.
+    /// Maximum number of requests that the target runs concurrently.
     pub slots: u32,
-    /// Connections that its target holds at most.
+    /// Maximum number of connections that the target accepts.
     pub connections: u32,
-    /// Whether the platform believes that it is live or leaving.
+    /// Whether the platform lists the instance as live or leaving.
     pub state: InstanceState,
-    /// The life of its target, where the platform tells lives apart.
+    /// The generation of the target, if the platform distinguishes generations.
     #[serde(default)]
     pub target: Option<TargetLife>,
-    /// How much longer the target was to stay cold as the platform first heard of it;
-    /// zero once it is warm.
+    /// Remaining cold time of the target when the platform first received its entry;
+    /// zero once the target is warm.
     #[serde(default)]
     pub cold_for: Duration,
 }
 
 impl Instance {
-    /// Whether a node runs beside it, which can be a peer and a reader.
+    /// Whether the instance has a node, which can be a peer and a reader.
     pub fn has_node(&self) -> bool {
         self.control.port() != 0
     }
--- /dev/null
+++ b/crates/core/src/instance/generation.rs
@@ -0,0 +1,87 @@
+//! Generations of a target.
+
+use serde::Deserialize;
+use serde::Serialize;
+
+use crate::TargetId;
+
+/// One generation of a target, which is one start of its process.
+///
+/// An instance outlives the generations of its target: after a crash, another
+/// generation starts at the same address, possibly of another service. A request
+/// that names its intended generation is rejected by every other generation.
+///
+/// # Example
+///
+/// ```
+/// use sassafrasspool_core::TargetId;
+/// use sassafrasspool_core::TargetLife;
+///
+/// let generation = |born| TargetLife {
+///     id: TargetId::new("i-1").expect("a name"),
+///     listed_at: 7,
+///     born,
+/// };
+/// assert!(generation(Some(200)).follows(&generation(Some(100))));
+/// assert!(!generation(Some(100)).follows(&generation(Some(200))));
+/// assert!(!generation(Some(200)).is_same(&generation(Some(100))));
+/// ```
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct TargetLife {
+    /// The name that the target reported; an earlier generation may have had the same.
+    pub id: TargetId,
+    /// The platform's revision at which the generation was first listed. Of two
+    /// generations at one address, the one with the higher revision is running.
+    pub listed_at: u64,
+    /// Start time in milliseconds since 1970, if the target reports it. Generations
+    /// with the same name differ only in this time.
+    #[serde(default)]
+    pub born: Option<u64>,
+}
+
+impl TargetLife {
+    /// Whether both are the same generation of the same target. It may have been
+    /// listed again after its entry had expired.
+    pub fn is_same(&self, other: &TargetLife) -> bool {
+        self.id == other.id && self.born == other.born
+    }
+
+    /// Stores this generation in `held` unless `held` is the same generation.
+    /// Returns whether it replaced another generation, which has ended.
+    ///
+    /// # Example
+    ///
+    /// ```
+    /// use sassafrasspool_core::TargetId;
+    /// use sassafrasspool_core::TargetLife;
+    ///
+    /// let generation = |name| TargetLife {
+    ///     id: TargetId::new(name).expect("a name"),
+    ///     listed_at: 7,
+    ///     born: None,
+    /// };
+    /// let mut held = None;
+    /// assert!(!generation("i-1").replaces(&mut held));
+    /// assert!(!generation("i-1").replaces(&mut held));
+    /// assert!(generation("i-2").replaces(&mut held));
+    /// ```
+    pub fn replaces(&self, held: &mut Option<TargetLife>) -> bool {
+        if held.as_ref().is_some_and(|held| held.is_same(self)) {
+            return false;
+        }
+        held.replace(self.clone()).is_some()
+    }
+
+    /// Whether this generation started no earlier than `held`, a generation at the
+    /// same address or with the same name.
+    ///
+    /// Two generations with the same name are ordered by the clock of their instance,
+    /// since their entry may not have expired between the two starts. Targets with
+    /// different names may use different clocks, so the platform's revision decides.
+    pub fn follows(&self, held: &TargetLife) -> bool {
+        match (self.born, held.born) {
+            (Some(born), Some(before)) if self.id == held.id => born >= before,
+            _ => self.listed_at >= held.listed_at,
+        }
+    }
+}
--- a/crates/core/src/instance/state.rs
+++ b/crates/core/src/instance/state.rs
@@ -1,14 +1,14 @@
-//! What the platform believes of an instance.
+//! The state of an instance in the platform's list.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The platform's view, which lags.
+/// The state that the platform lists, which lags behind the actual state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InstanceState {
-    /// It takes requests, as far as the platform knows.
+    /// According to the platform, the instance accepts requests.
     Live,
-    /// It was told to leave and takes no new requests.
+    /// The instance was asked to leave and accepts no new requests.
     Leaving,
 }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,8 +1,8 @@
-//! What nodes say of the endpoints beside them.
+//! Endpoint states that nodes publish for their own targets.
 //!
-//! Only the node beside a target speaks for it. The platform's list lags, so
-//! that a leaving instance is known by its own word: a record that travels
-//! from node to node, of which the highest wins.
+//! Only a target's own node publishes its state. The platform's list lags, so
+//! a leaving instance announces itself: its state record is gossiped from node
+//! to node, and the record with the highest incarnation and sequence wins.
 
 pub use self::incarnation::Incarnation;
 pub(crate) use self::table::Members;
--- a/crates/core/src/membership/incarnation.rs
+++ b/crates/core/src/membership/incarnation.rs
@@ -1,4 +1,4 @@
-//! Which start of a node a record belongs to.
+//! The start of a node that a record belongs to.
 
 use std::fmt;
 
@@ -7,20 +7,20 @@
 
 /// A number that grows with each start of a node.
 ///
-/// Nodes keep nothing over a restart and nobody counts for them, so it is the
-/// start time in milliseconds since 1970, raised above whatever peers remember
-/// of an earlier start: a clock that was set back can't make a restarted node
-/// look older than its predecessor.
+/// Nodes store nothing across a restart and there is no central counter, so the
+/// number is the start time in milliseconds since 1970, raised above the highest
+/// incarnation that peers still hold for this node. A clock that was set back
+/// therefore can't make a restarted node look older than its previous start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// The incarnation of a node that started at `ms` milliseconds since 1970.
+    /// Creates the incarnation of a node that started at `ms` milliseconds since 1970.
     pub const fn from_start_millis(ms: u64) -> Incarnation {
         Incarnation(ms)
     }
 
-    /// The number itself.
+    /// The incarnation as a number.
     pub const fn get(self) -> u64 {
         self.0
     }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! All records that a node knows.
+//! The table of endpoint state records that a node holds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,37 +10,38 @@
 use crate::Phase;
 use crate::Tick;
 
-/// Buckets by which two nodes find out where their records differ.
+/// Number of hash buckets that two nodes compare to locate differing records.
 pub(crate) const BUCKETS: usize = 64;
 
-/// How long a record is kept after the list dropped its instance.
-const KEPT_UNLISTED: Duration = Duration::from_secs(60);
+/// How long a record is kept after its instance was removed from the list.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Records of instances that the list doesn't name.
+/// Bounds the records of instances that are not listed.
 const MAX_UNLISTED: usize = 1_024;
 
-/// What became of a record that was heard.
+/// The result of merging a received record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Merged {
-    /// It is news; the phase known before is given.
+    /// The record was newer and is stored now; contains the previous phase.
     News(Option<Phase>),
-    /// It says nothing new.
+    /// The record was not newer than the stored one.
     Known,
-    /// There is no room for one more unlisted instance.
+    /// The table already holds the maximum number of unlisted instances.
     Full,
 }
 
-/// Records by instance, of which the highest wins.
+/// The newest record of each instance.
 ///
-/// Only records of listed instances are compared between nodes. Others travel
-/// when they are news and are forgotten a while after the list dropped their
-/// instance: were they compared as well, a node that had forgotten one would
-/// get it again from a node that hadn't, and none would ever go.
+/// Anti-entropy compares only the records of listed instances. Records of other
+/// instances are forwarded once, when they are new, and expire some time after
+/// the instance was removed from the list. If they were compared as well, a node
+/// that had expired one would receive it again from a node that still held it,
+/// and no such record would ever disappear.
 ///
 /// # Invariants
 ///
-/// A record is only replaced by a newer one. Each digest is that of the listed
-/// records of its bucket.
+/// A record is only replaced by a newer one. Each bucket's digest covers exactly
+/// the listed records of that bucket.
 #[derive(Debug)]
 pub(crate) struct Members {
     records: BTreeMap<InstanceId, Record>,
@@ -53,8 +54,8 @@
     state: EndpointState,
     hash: u64,
     bucket: usize,
-    /// Since when the list doesn't name the instance.
-    unlisted: Option<Tick>,
+    /// When the instance was found to be unlisted; `None` while it is listed.
+    unlisted_since: Option<Tick>,
 }
 
 impl Members {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// What is known of an instance.
+    /// The record of an instance.
     pub(crate) fn get(&self, id: &InstanceId) -> Option<&EndpointState> {
         self.records.get(id).map(|record| &record.state)
     }
@@ -76,7 +77,7 @@
         self.records.values().map(|record| &record.state)
     }
 
-    /// Takes in a record, if it is news.
+    /// Stores a record if it is newer than the stored one.
     pub(crate) fn merge(
         &mut self,
         now: Tick,
@@ -89,8 +90,8 @@
                 return Merged::Known;
             }
             let before = record.state.phase;
-            if record.unlisted.is_none() {
-                // INVARIANT: The old hash goes out as the new one comes in.
+            if record.unlisted_since.is_none() {
+                // INVARIANT: XOR removes the old hash and adds the new one.
                 self.buckets[record.bucket] ^= record.hash ^ hash;
             }
             record.state = state.clone();
@@ -105,33 +106,37 @@
         Merged::News(None)
     }
 
-    /// Takes over a new list, and forgets what it dropped long ago.
+    /// Marks records as listed or unlisted by a new list and removes expired ones.
     pub(crate) fn relist(&mut self, now: Tick, list: &InstanceList) {
         self.buckets = [0; BUCKETS];
         self.unlisted = 0;
         for (id, record) in &mut self.records {
             if list.get(id).is_some() {
-                record.unlisted = None;
-                // INVARIANT: Every listed record goes in once.
+                record.unlisted_since = None;
+                // INVARIANT: The buckets were cleared, and each listed record is added once.
                 self.buckets[record.bucket] ^= record.hash;
             } else {
-                record.unlisted.get_or_insert(now);
+                record.unlisted_since.get_or_insert(now);
                 self.unlisted += 1;
             }
         }
         self.forget(now);
     }
 
-    /// Forgets records of instances that the list dropped long ago.
+    /// Removes records of instances that have been unlisted for the retention time.
     pub(crate) fn forget(&mut self, now: Tick) {
         if self.unlisted == 0 {
             return;
         }
-        self.records.retain(|_, record| match record.unlisted {
-            Some(since) => now.since(since) < KEPT_UNLISTED,
-            None => true,
-        });
-        let unlisted = self.records.values().filter(|it| it.unlisted.is_some());
+        self.records
+            .retain(|_, record| match record.unlisted_since {
+                Some(since) => now.since(since) < UNLISTED_RETENTION,
+                None => true,
+            });
+        let unlisted = self
+            .records
+            .values()
+            .filter(|it| it.unlisted_since.is_some());
         self.unlisted = unlisted.count();
     }
 
@@ -141,29 +146,33 @@
         self.buckets.iter().fold(0, mix)
     }
 
-    /// Digests of the listed records by bucket.
+    /// The digest of the listed records of each bucket.
     pub(crate) fn digests(&self) -> Vec<u32> {
-        self.buckets.iter().map(|bucket| fold(*bucket)).collect()
+        self.buckets
+            .iter()
+            .map(|bucket| low_half(*bucket))
+            .collect()
     }
 
-    /// A bit for each bucket that differs from a peer's.
-    pub(crate) fn differing(&self, theirs: &[u32]) -> u64 {
-        let differs = |n: &usize| theirs.get(*n) != Some(&fold(self.buckets[*n]));
+    /// A bit set of the buckets whose digest differs from the peer's.
+    pub(crate) fn differing(&self, peer_digests: &[u32]) -> u64 {
+        let differs = |n: &usize| peer_digests.get(*n) != Some(&low_half(self.buckets[*n]));
         let differing = (0..BUCKETS).filter(differs);
         differing.fold(0, |bits, n| bits | 1 << n)
     }
 
-    /// The listed records of the buckets that have a bit.
+    /// The listed records of the buckets whose bit is set.
     pub(crate) fn in_buckets(&self, bits: u64) -> impl Iterator<Item = &EndpointState> {
-        let wanted = move |it: &&Record| it.unlisted.is_none() && bits & (1 << it.bucket) != 0;
-        let records = self.records.values().filter(wanted);
+        let selected =
+            move |it: &&Record| it.unlisted_since.is_none() && bits & (1 << it.bucket) != 0;
+        let records = self.records.values().filter(selected);
         records.map(|record| &record.state)
     }
 
     fn insert(&mut self, now: Tick, state: EndpointState, hash: u64, listed: bool) {
         let bucket = bucket_of(&state.instance);
         if listed {
-            // INVARIANT: The record is new, so that its hash isn't in yet.
+            // INVARIANT: The record is new, so the bucket doesn't contain its hash yet.
             self.buckets[bucket] ^= hash;
         } else {
             self.unlisted += 1;
@@ -171,7 +180,7 @@
         let record = Record {
             hash,
             bucket,
-            unlisted: (!listed).then_some(now),
+            unlisted_since: (!listed).then_some(now),
             state,
         };
         self.records.insert(record.state.instance.clone(), record);
@@ -192,8 +201,9 @@
     Digest::of(&bytes).head()
 }
 
-/// Half of the bits, for messages; what it misses, the next change shows.
-fn fold(hash: u64) -> u32 {
+/// The low 32 bits, which keeps messages small. A difference that they don't show
+/// is found after the next change of the bucket.
+fn low_half(hash: u64) -> u32 {
     let [a, b, c, d, ..] = hash.to_le_bytes();
     u32::from_le_bytes([a, b, c, d])
 }
--- a/crates/core/src/membership/tests.rs
+++ b/crates/core/src/membership/tests.rs
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn the_highest_record_wins_whatever_the_order() {
-    let told = [
+fn the_newest_record_wins_in_any_order_of_arrival() {
+    let received = [
         state(1, 5, 0, Phase::Starting),
         state(1, 5, 1, Phase::Ready),
         state(1, 4, 9, Phase::Gone),
@@ -36,36 +36,36 @@
     let list = list(4);
     let mut forward = Members::new();
     let mut backward = Members::new();
-    for n in 0..told.len() {
-        forward.merge(Tick::ZERO, &told[n], Some(&list));
-        backward.merge(Tick::ZERO, &told[told.len() - 1 - n], Some(&list));
+    for n in 0..received.len() {
+        forward.merge(Tick::ZERO, &received[n], Some(&list));
+        backward.merge(Tick::ZERO, &received[received.len() - 1 - n], Some(&list));
     }
-    assert_eq!(forward.get(&told[0].instance), Some(&told[3]));
+    assert_eq!(forward.get(&received[0].instance), Some(&received[3]));
     assert_eq!(forward.root(), backward.root());
     assert_eq!(
-        forward.merge(Tick::ZERO, &told[3], Some(&list)),
+        forward.merge(Tick::ZERO, &received[3], Some(&list)),
         Merged::Known
     );
 }
 
 #[test]
-fn differing_buckets_lead_to_the_differing_records() {
+fn comparing_buckets_finds_the_differing_records() {
     let list = list(200);
     let mut one = Members::new();
     let mut other = Members::new();
     for n in 0..200 {
-        let said = state(n, 1, 1, Phase::Ready);
-        one.merge(Tick::ZERO, &said, Some(&list));
-        other.merge(Tick::ZERO, &said, Some(&list));
+        let record = state(n, 1, 1, Phase::Ready);
+        one.merge(Tick::ZERO, &record, Some(&list));
+        other.merge(Tick::ZERO, &record, Some(&list));
     }
     assert_eq!(one.differing(&other.digests()), 0);
-    let news = state(77, 1, 2, Phase::Draining);
-    one.merge(Tick::ZERO, &news, Some(&list));
+    let newer = state(77, 1, 2, Phase::Draining);
+    one.merge(Tick::ZERO, &newer, Some(&list));
     assert_ne!(one.root(), other.root());
     let differing = one.differing(&other.digests());
     assert_eq!(differing.count_ones(), 1);
     let found: Vec<_> = one.in_buckets(differing).collect();
-    assert!(found.contains(&&news) && found.len() < 20);
+    assert!(found.contains(&&newer) && found.len() < 20);
     for state in found {
         other.merge(Tick::ZERO, state, Some(&list));
     }
@@ -74,7 +74,7 @@
 
 /// Guards against a table of records that grows with every replaced instance.
 #[test]
-fn a_dropped_record_is_kept_a_while_and_then_goes() {
+fn a_record_of_an_unlisted_instance_expires_after_the_retention_time() {
     let mut members = Members::new();
     let before = list(3);
     let gone = state(2, 1, 3, Phase::Gone);
--- a/crates/core/src/reader.rs
+++ b/crates/core/src/reader.rs
@@ -1,20 +1,20 @@
-//! Who reads the platform, when, and how often.
+//! Selection of the nodes that read the platform, and their read rate.
 //!
-//! The platform answers a bounded number of reads a second, a waiting watch
-//! counts as one, and the fleet grows faster than that bound. Only a few
-//! nodes of each failure domain read; the others hear from peers and step in
-//! when nobody reads any more.
+//! The platform answers a bounded number of reads per second, where a waiting
+//! watch counts as one, and the fleet grows faster than that bound. Only a few
+//! nodes of each failure domain read. The others receive versions from peers
+//! and take over when no reader is active any more.
 
 pub(crate) use self::backoff::Backoff;
 pub(crate) use self::budget::ReadBudget;
-pub(crate) use self::choice::Place;
 pub(crate) use self::contact::ContactClock;
+pub(crate) use self::placement::Place;
 pub(crate) use self::role::Role;
 
 mod backoff;
 mod budget;
-mod choice;
 mod contact;
+mod placement;
 mod role;
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/reader/backoff.rs
+++ b/crates/core/src/reader/backoff.rs
@@ -1,23 +1,23 @@
-//! Waiting after failures.
+//! Exponential backoff after failures.
 
 use std::time::Duration;
 
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-/// The wait doubles at most this often before the cap is all that counts.
+/// Bounds the doublings of the wait; beyond it only the cap matters.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// Capped exponential back-off with full jitter.
+/// Capped exponential backoff with full jitter.
 ///
-/// After an outage the waits of many nodes would line up if each waited for
-/// its whole bound: all would come back in one moment, and the platform would
-/// fail again. Drawing from zero to the bound spreads them evenly.
+/// Without jitter, nodes that failed in the same outage would all retry at the
+/// same moment and overload the platform again. Each wait is drawn uniformly
+/// between zero and the current bound, which spreads the retries evenly.
 #[derive(Debug)]
 pub(crate) struct Backoff {
     base: Duration,
     cap: Duration,
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl Backoff {
@@ -25,20 +25,20 @@
         Backoff {
             base,
             cap,
-            failures: 0,
+            consecutive_failures: 0,
         }
     }
 
-    /// Notes a failure and draws the wait that follows it.
+    /// Records a failure and returns the wait before the next attempt.
     pub(crate) fn fail(&mut self, rng: &mut SmallRng) -> Duration {
-        let doublings = self.failures.min(MAX_DOUBLINGS);
+        let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let bound = self.base.saturating_mul(1 << doublings).min(self.cap);
-        self.failures = self.failures.saturating_add(1);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         bound.mul_f64(rng.random::<f64>())
     }
 
-    /// Notes a success: the next failure waits from the base again.
+    /// Records a success: the wait after the next failure starts at the base again.
     pub(crate) fn succeed(&mut self) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 }
--- a/crates/core/src/reader/budget.rs
+++ b/crates/core/src/reader/budget.rs
@@ -1,12 +1,13 @@
-//! The fleet's share of the platform's reads, without talking about it.
+//! Rate limit for reads of the platform, without coordination between nodes.
 //!
-//! Half of the share belongs to the chosen readers, of which the list names a
-//! known few; the other half to everybody else. A chosen reader has a token
-//! bucket. Everybody else may read once in each period of its own, at a moment
-//! drawn at its start. A bucket won't do there: after an outage each would be
-//! full, and the whole fleet, each node believing itself alone, would read in
-//! one moment. Without saving up, the fleet's reads a second are its size over
-//! the period, whatever its nodes believe.
+//! Half of the fleet's share of reads belongs to the chosen readers, whose small
+//! number follows from the list; the other half belongs to all other nodes. A
+//! chosen reader has a token bucket. Every other node may read once per period, at
+//! an offset drawn when the node starts. A token bucket doesn't work for the other
+//! nodes: after an outage all buckets would be full, and if each node saw no other
+//! node, the whole fleet would read at the same moment. Without accumulation, the
+//! fleet's reads per second are its size divided by the period, whatever each node
+//! assumes about the others.
 
 use std::time::Duration;
 
@@ -17,31 +18,31 @@
 use crate::SpreadConfig;
 use crate::Tick;
 
-/// Reads that a chosen reader may save up: a watch of both streams, and a
-/// change of each.
-const MAX_BURST: f64 = 4.0;
+/// Token bucket size of a chosen reader, in reads: a watch of each of the two
+/// streams, and a change of each.
+const MAX_BURST_READS: f64 = 4.0;
 
-/// Part of their half that all others use on average. Their moments are drawn
-/// at random, so that some seconds see more of them than others.
-const USED_PART: f64 = 0.8;
+/// Fraction of their half of the share that all other nodes use on average. Their
+/// read times are random, so some seconds contain more reads than others.
+const TARGET_UTILISATION: f64 = 0.8;
 
-/// When this node may read.
+/// Determines when this node may read the platform.
 #[derive(Debug)]
 pub(crate) struct ReadBudget {
-    /// Reads a second of each half of the share.
-    half: f64,
+    /// Reads per second of each half of the share.
+    half_share_per_s: f64,
     assumed_fleet: u32,
     chosen: bool,
-    rate: f64,
-    burst: f64,
+    tokens_per_s: f64,
+    max_tokens: f64,
     tokens: f64,
-    filled: Tick,
-    /// Part of the period at which this node's moment lies.
+    refilled_at: Tick,
+    /// Offset of this node's read time, as a fraction of the period.
     phase: f64,
     period: Duration,
-    /// The moment at which the next read is allowed, once one was asked for.
-    booked: Option<Tick>,
-    /// No moment before this is given: the last one is used.
+    /// The time of the reserved read, if one is reserved.
+    reserved: Option<Tick>,
+    /// Earliest time of the next reservation, so that a used read time isn't used again.
     free_from: Tick,
 }
 
@@ -50,103 +51,104 @@
         let share = f64::from(cfg.reads_per_s) * f64::from(cfg.share_percent) / 100.0;
         let half = share / 2.0;
         ReadBudget {
-            half,
+            half_share_per_s: half,
             assumed_fleet: cfg.assumed_fleet,
             chosen: false,
-            rate: 0.0,
-            burst: MAX_BURST,
+            tokens_per_s: 0.0,
+            max_tokens: MAX_BURST_READS,
             tokens: 1.0,
-            filled: now,
+            refilled_at: now,
             phase: rng.random::<f64>(),
             period: period(cfg.assumed_fleet, half),
-            booked: None,
+            reserved: None,
             free_from: now,
         }
     }
 
-    /// Takes in a new list. A node that it doesn't name can't know how many
-    /// others are missing as well, so it goes on assuming a large fleet.
+    /// Applies this node's placement in a new list. An unlisted node can't determine
+    /// how many other nodes are unlisted too, so it still assumes a large fleet.
     pub(crate) fn place(&mut self, now: Tick, place: &Place, readers: u32) {
-        self.fill(now);
+        self.refill(now);
         self.chosen = place.rank.is_some_and(|rank| rank < readers);
-        let part = self.half / f64::from(place.domains.saturating_mul(readers));
-        // Within any second a bucket gives what it holds and what runs in.
-        self.burst = (part / 2.0).clamp(1.0, MAX_BURST);
-        self.rate = (part - self.burst).max(part / 2.0);
+        let part = self.half_share_per_s / f64::from(place.domains.saturating_mul(readers));
+        // Within any second a bucket allows its stored tokens plus the refill of that second.
+        self.max_tokens = (part / 2.0).clamp(1.0, MAX_BURST_READS);
+        self.tokens_per_s = (part - self.max_tokens).max(part / 2.0);
         let fleet = match place.rank {
             Some(_) => place.fleet,
             None => place.fleet.max(self.assumed_fleet),
         };
-        let changed = period(fleet, self.half);
-        if changed != self.period {
-            self.period = changed;
-            self.booked = None;
+        let new_period = period(fleet, self.half_share_per_s);
+        if new_period != self.period {
+            self.period = new_period;
+            self.reserved = None;
         }
     }
 
-    /// Asks for a read and returns the moment at which it is allowed.
+    /// Reserves a read and returns the time at which it is allowed.
     ///
-    /// A moment that passed before it was asked for isn't given: many nodes
-    /// begin to want a read together, and for half of them it has passed. One
-    /// that was booked stays good, so that a late wakeup doesn't lose it.
+    /// A read time that lies before the request isn't assigned: many nodes request
+    /// a read at the same moment, and for about half of them the read time of the
+    /// current period has already passed. A reservation stays valid after its time,
+    /// so a late wakeup doesn't lose it.
     pub(crate) fn book(&mut self, now: Tick) -> Tick {
         if self.chosen {
             let missing = (1.0 - self.tokens_at(now)).max(0.0);
-            return now + Duration::from_secs_f64(missing / self.rate);
+            return now + Duration::from_secs_f64(missing / self.tokens_per_s);
         }
         let from = now.max(self.free_from);
-        let next = self.moment_from(from);
-        *self.booked.get_or_insert(next)
+        let next = self.next_read_time(from);
+        *self.reserved.get_or_insert(next)
     }
 
-    /// The moment that was booked, if one was.
+    /// The time of the reserved read, if one is reserved.
     pub(crate) fn booked(&self) -> Option<Tick> {
-        self.booked
+        self.reserved
     }
 
-    /// Takes back what was asked for: a moment that is kept for later would
-    /// be given to all nodes at once when something happens to all of them.
+    /// Cancels the reservation. Kept reservations would let all nodes read at once
+    /// when an event affects all of them.
     pub(crate) fn cancel(&mut self) {
-        self.booked = None;
+        self.reserved = None;
     }
 
-    /// Uses the read that is allowed now.
+    /// Consumes the read that is allowed now.
     pub(crate) fn take(&mut self, now: Tick) {
-        self.fill(now);
+        self.refill(now);
         if self.chosen {
             self.tokens -= 1.0;
         }
-        if let Some(moment) = self.booked.take() {
-            self.free_from = moment + self.period.mul_f64(0.5);
+        if let Some(read_time) = self.reserved.take() {
+            self.free_from = read_time + self.period.mul_f64(0.5);
         }
     }
 
-    fn fill(&mut self, now: Tick) {
+    fn refill(&mut self, now: Tick) {
         self.tokens = self.tokens_at(now);
-        self.filled = now;
+        self.refilled_at = now;
     }
 
     fn tokens_at(&self, now: Tick) -> f64 {
-        let more = now.since(self.filled).as_secs_f64() * self.rate;
-        (self.tokens + more).min(self.burst)
+        let added = now.since(self.refilled_at).as_secs_f64() * self.tokens_per_s;
+        (self.tokens + added).min(self.max_tokens)
     }
 
-    /// This node's first moment that isn't before `from`.
-    fn moment_from(&self, from: Tick) -> Tick {
+    /// This node's first read time at or after `from`.
+    fn next_read_time(&self, from: Tick) -> Tick {
         let length = period_us(self.period);
         let offset = self.period.mul_f64(self.phase);
         let n = from.as_micros() / length;
-        let moment = Tick::from_micros(n.saturating_mul(length)) + offset;
-        match moment < from {
-            true => moment + Duration::from_micros(length),
-            false => moment,
+        let read_time = Tick::from_micros(n.saturating_mul(length)) + offset;
+        match read_time < from {
+            true => read_time + Duration::from_micros(length),
+            false => read_time,
         }
     }
 }
 
-/// The time in which each of `fleet` nodes may read once.
+/// The period in which each of `fleet` nodes may read once.
 fn period(fleet: u32, reads_per_s: f64) -> Duration {
-    Duration::from_secs_f64(f64::from(fleet.max(1)) / (reads_per_s * USED_PART))
+    Duration::from_secs_f64(f64::from(fleet.max(1)) / (reads_per_s * TARGET_UTILISATION))
 }
 
 fn period_us(period: Duration) -> u64 {
--- a/crates/core/src/reader/contact.rs
+++ b/crates/core/src/reader/contact.rs
@@ -1,17 +1,17 @@
-//! How old the newest proof is that the platform answered somebody.
+//! Age of the newest proof that the platform answered any node of the fleet.
 
 use std::time::Duration;
 
 use crate::Contact;
 use crate::Tick;
 
-/// The newest proof of contact that a node knows of.
+/// The newest proof of contact with the platform that a node holds.
 ///
 /// # Invariants
 ///
 /// The time of the proof only grows. It may lie before the start of the
-/// caller's clock: a node that has just started hears of old proofs, and must
-/// not take them for fresh.
+/// caller's clock: a node that has just started receives old proofs, and must
+/// not treat them as fresh.
 #[derive(Debug, Default)]
 pub(crate) struct ContactClock {
     newest: Option<Proof>,
@@ -24,20 +24,20 @@
 }
 
 impl ContactClock {
-    /// Notes that the platform answered this node, which has that rank.
+    /// Records that the platform answered this node, which has that rank.
     pub(crate) fn prove(&mut self, now: Tick, rank: u32) {
-        self.note(Proof {
+        self.update(Proof {
             at_us: micros(now),
             rank,
         });
     }
 
-    /// Notes what a peer told.
-    pub(crate) fn merge(&mut self, now: Tick, told: Option<Contact>) {
-        if let Some(told) = told {
-            self.note(Proof {
-                at_us: micros(now) - i64::from(told.age_ms) * 1_000,
-                rank: told.rank,
+    /// Merges the proof that a peer sent.
+    pub(crate) fn merge(&mut self, now: Tick, received: Option<Contact>) {
+        if let Some(received) = received {
+            self.update(Proof {
+                at_us: micros(now) - i64::from(received.age_ms) * 1_000,
+                rank: received.rank,
             });
         }
     }
@@ -49,7 +49,7 @@
         Some(Duration::from_micros(us))
     }
 
-    /// The newest proof as it is told to peers.
+    /// The newest proof in the form that is sent to peers.
     pub(crate) fn current(&self, now: Tick) -> Option<Contact> {
         let age = self.age(now)?;
         Some(Contact {
@@ -58,9 +58,9 @@
         })
     }
 
-    fn note(&mut self, proof: Proof) {
+    fn update(&mut self, proof: Proof) {
         if self.newest.is_none_or(|newest| newest.at_us < proof.at_us) {
-            // INVARIANT: The new proof is later.
+            // INVARIANT: The new proof is later than the stored one.
             self.newest = Some(proof);
         }
     }
--- a/crates/core/src/reader/choice.rs
+++ b/crates/core/src/reader/placement.rs
@@ -1,8 +1,8 @@
-//! Choosing readers without talking about it.
+//! Choice of readers without coordination between nodes.
 //!
 //! Rendezvous hashing over the instance list gives every node the same order
-//! of the instances of a failure domain, and a change of the list moves only
-//! the ranks that it has to.
+//! of the instances of a failure domain. A change of the list changes as few
+//! ranks as possible.
 
 use std::collections::BTreeSet;
 
@@ -16,26 +16,27 @@
 #[cfg(test)]
 mod tests;
 
-/// A node's place among those that may read.
+/// A node's rank among the candidates for reading the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Place {
-    /// Its rank in its failure domain, from 0; absent if it isn't live.
+    /// Its rank in its failure domain, from 0; `None` if it is not a live candidate.
     pub(crate) rank: Option<u32>,
-    /// Whether the list names it, live or leaving.
+    /// Whether it is listed, as live or leaving.
     pub(crate) listed: bool,
-    /// Instances of its failure domain that rank before it, best first.
+    /// Instances of its failure domain that rank before it, lowest rank first;
+    /// at most [`MAX_BEFORE`].
     pub(crate) before: Vec<InstanceId>,
-    /// Failure domains in the list, at least 1.
+    /// Number of failure domains in the list, at least 1.
     pub(crate) domains: u32,
-    /// Instances in the list that have a node.
+    /// Number of listed instances that have a node.
     pub(crate) fleet: u32,
 }
 
-/// How many of those that rank first are remembered by name.
+/// Bounds the stored names of instances that rank before the node.
 const MAX_BEFORE: usize = 8;
 
 impl Place {
-    /// The place of `id` in a list.
+    /// Computes the placement of `id` in a list.
     pub(crate) fn find(list: &InstanceList, id: &InstanceId, domain: &DomainName) -> Place {
         let domains: BTreeSet<_> = list.iter().map(|instance| &instance.domain).collect();
         let mut ranked: Vec<_> = list
--- a/crates/core/src/reader/choice/tests.rs
+++ b/crates/core/src/reader/placement/tests.rs
@@ -27,14 +27,14 @@
     }
 }
 
-// A fleet is moved over bit by bit. If an instance without a node ranked
-// first, its failure domain would wait for a reader that can't read.
+/// Guards against a failure domain without a working reader during a migration: an
+/// instance without a node ranks first but can't read.
 #[test]
-fn an_instance_without_a_node_is_no_reader() {
-    let listed = (0..20).map(|i| instance(&format!("old-{i}"), 0));
+fn an_instance_without_a_node_is_not_ranked() {
+    let without_node = (0..20).map(|i| instance(&format!("old-{i}"), 0));
     let with_node = [instance("new-1", 9_002)];
     let revision = Revision::new(1).unwrap();
-    let list = InstanceList::new(revision, listed.chain(with_node.clone())).unwrap();
+    let list = InstanceList::new(revision, without_node.chain(with_node.clone())).unwrap();
     let place = Place::find(&list, &with_node[0].id, &with_node[0].domain);
     assert_eq!((place.rank, place.fleet), (Some(0), 1));
 }
--- a/crates/core/src/reader/role.rs
+++ b/crates/core/src/reader/role.rs
@@ -1,4 +1,4 @@
-//! Whether a node reads the platform at the moment.
+//! Whether a node currently reads the platform.
 
 use std::time::Duration;
 
@@ -8,138 +8,140 @@
 use super::Place;
 use crate::SpreadConfig;
 
-/// Ranks behind the readers that watch the readers closely and step in first.
+/// Number of ranks after the readers that take over first when the readers fail.
 const BACKUPS: u32 = 4;
 
-/// How much longer than a backup everybody else waits. Proofs of contact
-/// reach a node over several exchanges, so that in a large fleet those far
-/// from a reader see ages of several intervals though all is well.
-const OTHERS_WAIT: u32 = 4;
+/// Factor by which all other nodes wait longer than a backup before they take over.
+/// Proofs of contact reach a node over several exchanges, so in a large fleet nodes
+/// far from a reader see ages of several intervals although the readers work.
+const OTHERS_WAIT_FACTOR: u32 = 4;
 
-/// A node that isn't listed takes a rank among this many.
+/// An unlisted node draws its rank among this many.
 const UNLISTED_RANKS: u32 = 64;
 
-/// Whether this node reads, and when it would begin to.
+/// Whether this node reads the platform, and when it would take over.
 ///
-/// Ranks step in one after the other, so that a reader that died is replaced
-/// by one node; the fresh proof of contact that this one makes holds back the
-/// rest.
+/// Ranks take over one after the other, so a failed reader is replaced by one
+/// node: the fresh proof of contact that this node produces keeps the later ranks
+/// from taking over.
 #[derive(Debug)]
 pub(crate) struct Role {
-    /// Readers wanted in the whole fleet.
-    wanted: u32,
-    /// Nodes up to which a fleet reads with all of them.
-    all_read: u32,
+    /// Readers in the whole fleet, as configured.
+    fleet_readers: u32,
+    /// Largest fleet in which every node reads.
+    all_read_max_fleet: u32,
     /// Readers in this node's failure domain.
-    readers: u32,
-    bound: Duration,
-    step: Duration,
-    unlisted: u32,
-    place: Option<Place>,
+    domain_readers: u32,
+    contact_bound: Duration,
+    takeover_step: Duration,
+    /// Rank that this node draws for the case that it is unlisted.
+    unlisted_rank: u32,
+    placement: Option<Place>,
+    /// Whether this node has taken over from a failed reader.
     acting: bool,
 }
 
 impl Role {
     pub(crate) fn new(cfg: &SpreadConfig, rng: &mut SmallRng) -> Role {
         Role {
-            wanted: cfg.readers,
-            all_read: cfg.all_read,
-            readers: cfg.readers,
-            bound: cfg.contact_bound,
-            step: cfg.takeover_step,
-            unlisted: rng.random_range(0..UNLISTED_RANKS),
-            place: None,
+            fleet_readers: cfg.readers,
+            all_read_max_fleet: cfg.all_read,
+            domain_readers: cfg.readers,
+            contact_bound: cfg.contact_bound,
+            takeover_step: cfg.takeover_step,
+            unlisted_rank: rng.random_range(0..UNLISTED_RANKS),
+            placement: None,
             acting: false,
         }
     }
 
-    /// Takes in this node's place in a new list.
+    /// Applies this node's placement in a new list.
     pub(crate) fn set_place(&mut self, place: Place) {
-        let per_domain = self.wanted.div_ceil(place.domains.max(1));
+        let per_domain = self.fleet_readers.div_ceil(place.domains.max(1));
         let fleet = place.fleet.max(1);
-        self.place = Some(place);
-        self.readers = match self.all_read() {
+        self.placement = Some(place);
+        self.domain_readers = match self.all_read() {
             true => fleet,
             false => per_domain,
         };
     }
 
-    /// Whether the fleet is so small that all of it reads.
+    /// Whether the fleet is small enough that every node reads.
     pub(crate) fn all_read(&self) -> bool {
-        let place = self.place.as_ref();
-        place.is_some_and(|place| place.fleet <= self.all_read)
+        let placement = self.placement.as_ref();
+        placement.is_some_and(|placement| placement.fleet <= self.all_read_max_fleet)
     }
 
-    /// Readers in this node's failure domain.
+    /// Number of readers in this node's failure domain.
     pub(crate) fn readers(&self) -> u32 {
-        self.readers
+        self.domain_readers
     }
 
-    /// Whether it reads.
+    /// Whether the node reads, as a chosen reader or after a takeover.
     pub(crate) fn reads(&self) -> bool {
         self.is_chosen() || self.acting
     }
 
-    /// Whether the list makes it a reader.
+    /// Whether its rank in the list makes the node a reader.
     pub(crate) fn is_chosen(&self) -> bool {
-        self.rank().is_some_and(|rank| rank < self.readers)
+        self.rank().is_some_and(|rank| rank < self.domain_readers)
     }
 
-    /// Its rank in its failure domain, if it is listed.
+    /// The node's rank in its failure domain, if it is ranked.
     pub(crate) fn rank(&self) -> Option<u32> {
-        self.place.as_ref()?.rank
+        self.placement.as_ref()?.rank
     }
 
-    /// The rank by which it steps in.
+    /// The rank that determines the order of takeovers.
     pub(crate) fn turn(&self) -> u32 {
-        let unlisted = self.readers + BACKUPS + self.unlisted;
+        let unlisted = self.domain_readers + BACKUPS + self.unlisted_rank;
         self.rank().unwrap_or(unlisted)
     }
 
-    /// Whether it stands next behind the readers.
+    /// Whether the node has one of the ranks right after the readers.
     pub(crate) fn is_backup(&self) -> bool {
-        let backups = self.readers..self.readers + BACKUPS;
+        let backups = self.domain_readers..self.domain_readers + BACKUPS;
         self.rank().is_some_and(|rank| backups.contains(&rank))
     }
 
-    /// The place in the list, once there is one.
+    /// The placement in the list, once a list was applied.
     pub(crate) fn place(&self) -> Option<&Place> {
-        self.place.as_ref()
+        self.placement.as_ref()
     }
 
-    /// The age up to which a proof of contact, heard by any node of the fleet,
-    /// says that all is well.
+    /// Highest age of the newest proof of contact that any node of the fleet sees
+    /// while the readers work.
     pub(crate) fn usual_age(&self) -> Duration {
-        self.bound.saturating_mul(OTHERS_WAIT)
+        self.contact_bound.saturating_mul(OTHERS_WAIT_FACTOR)
     }
 
-    /// The age of the newest proof of contact at which it steps in.
+    /// Age of the newest proof of contact at which the node takes over.
     pub(crate) fn patience(&self) -> Duration {
-        let behind = self.turn().saturating_sub(self.readers);
-        let steps = self.step.saturating_mul(behind);
+        let ranks_behind = self.turn().saturating_sub(self.domain_readers);
+        let steps = self.takeover_step.saturating_mul(ranks_behind);
         let bound = match self.is_backup() {
-            true => self.bound,
+            true => self.contact_bound,
             false => self.usual_age(),
         };
         bound + steps
     }
 
-    /// Decides again whether it reads, by the age of the newest proof.
-    /// Returns whether that changed.
+    /// Takes over as a reader if the newest proof of contact is too old.
+    /// Returns whether the node became a reader.
     pub(crate) fn step_in(&mut self, age: Duration) -> bool {
         let before = self.reads();
-        if self.place.is_some() && age >= self.patience() {
+        if self.placement.is_some() && age >= self.patience() {
             self.acting = true;
         }
         self.reads() != before
     }
 
-    /// Hears of a proof by a node of `rank` that is `age` old; a node that
-    /// stepped in goes back once one that ranks before it reads again.
-    /// Returns whether it ceased to read.
+    /// Processes a proof of contact by a node of `rank` that is `age` old. A node
+    /// that took over yields once a node that ranks before it reads again.
+    /// Returns whether the node stopped reading.
     pub(crate) fn step_back(&mut self, rank: u32, age: Duration) -> bool {
         let before = self.reads();
-        if rank < self.turn() && age < self.bound {
+        if rank < self.turn() && age < self.contact_bound {
             self.acting = false;
         }
         self.reads() != before
--- a/crates/core/src/reader/tests.rs
+++ b/crates/core/src/reader/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn ranks_are_unique_in_a_domain_and_move_little() {
+fn ranks_are_unique_in_a_domain_and_change_by_at_most_one_when_an_instance_is_removed() {
     let all = list(0..60);
     let mut ranks: Vec<_> = (0..60).step_by(3).map(|n| rank(&all, n).unwrap()).collect();
     let without = list((0..60).filter(|n| *n != 30));
@@ -53,23 +53,23 @@
 }
 
 #[test]
-fn an_old_proof_isnt_fresh_to_a_node_that_has_just_started() {
+fn an_old_proof_keeps_its_age_at_a_node_that_has_just_started() {
     let mut contact = ContactClock::default();
     let now = Tick::from_millis(10);
-    let told = Contact {
+    let received = Contact {
         age_ms: 60_000,
         rank: 0,
     };
-    contact.merge(now, Some(told));
+    contact.merge(now, Some(received));
     assert_eq!(contact.age(now), Some(Duration::from_secs(60)));
     contact.prove(now, 1);
-    contact.merge(now + Duration::from_secs(1), Some(told));
+    contact.merge(now + Duration::from_secs(1), Some(received));
     let later = now + Duration::from_secs(2);
     assert_eq!(contact.age(later), Some(Duration::from_secs(2)));
 }
 
 #[test]
-fn waits_after_failures_are_spread_and_bounded() {
+fn backoff_waits_are_jittered_and_capped() {
     let mut rng = SmallRng::seed_from_u64(1);
     let cap = Duration::from_secs(10);
     let mut longest = Duration::ZERO;
@@ -88,8 +88,8 @@
 /// Readers in each failure domain.
 const READERS: u32 = 2;
 
-/// Reads in each second by `fleet` nodes that all want to read all the time
-/// from `start` on, and to which each read is answered at once.
+/// Reads in each of 30 seconds from `start` on, by `fleet` nodes that request a read
+/// again as soon as the previous one is answered; each answer takes no time.
 fn reads_by_second(fleet: usize, start: Tick, place: Option<Place>) -> Vec<usize> {
     let cfg = SpreadConfig {
         assumed_fleet: u32::try_from(fleet).unwrap(),
@@ -116,7 +116,8 @@
     reads
 }
 
-/// Guards against a fleet of nodes without peers that exceeds the read budget.
+/// Guards against a fleet that exceeds the read budget when no node reaches a peer
+/// and every node reads.
 #[test]
 fn the_whole_fleet_stays_within_its_share() {
     let fleet = 4_100;
@@ -132,12 +133,12 @@
         let most = reads.iter().max().unwrap();
         assert!(*most <= 250, "{reads:?}");
         let total: usize = reads.iter().sum();
-        assert!(total > fleet, "each reads in its turn: {total}");
+        assert!(total > fleet, "each node reads at least once: {total}");
     }
 }
 
 #[test]
-fn chosen_readers_have_their_part_of_the_share() {
+fn chosen_readers_get_their_part_of_the_share() {
     let place = Place {
         rank: Some(1),
         listed: true,
@@ -159,7 +160,7 @@
     role
 }
 
-/// Who reads of a fleet of some size.
+/// Number of readers in a fleet of some size.
 #[derive(Debug)]
 struct Readers {
     fleet: usize,
@@ -167,13 +168,14 @@
     expected: usize,
 }
 
-/// Guards against large fleets that read with every node, and small ones with too few.
+/// Guards against large fleets in which every node reads, and small fleets with too
+/// few readers.
 #[rstest]
 #[case::small(Readers { fleet: 10, expected: 10 })]
 #[case::at_the_bound(Readers { fleet: 16, expected: 16 })]
 #[case::above_the_bound(Readers { fleet: 17, expected: 6 })]
 #[case::large(Readers { fleet: 79, expected: 6 })]
-fn small_fleets_read_with_all_nodes(#[case] case: Readers) {
+fn every_node_of_a_small_fleet_reads(#[case] case: Readers) {
     let all = list(0..case.fleet);
     let cfg = SpreadConfig {
         readers: 6,
@@ -190,7 +192,7 @@
 }
 
 #[test]
-fn ranks_step_in_one_after_the_other() {
+fn ranks_take_over_one_after_the_other() {
     let all = list(0..60);
     let mut roles: Vec<Role> = (0..60).step_by(3).map(|n| role(&all, n)).collect();
     roles.sort_by_key(Role::rank);
@@ -199,10 +201,10 @@
         assert!(pair[1].patience() >= pair[0].patience() + step);
     }
     assert!(roles[0].is_chosen() && roles[1].is_chosen() && !roles[2].is_chosen());
-    let patience = roles[2].patience();
-    assert!(roles[2].step_in(patience) && roles[2].reads());
-    assert!(!roles[3].step_in(patience));
-    // It goes back for one that ranks before it, not for one behind.
+    let takeover_age = roles[2].patience();
+    assert!(roles[2].step_in(takeover_age) && roles[2].reads());
+    assert!(!roles[3].step_in(takeover_age));
+    // It yields to a node that ranks before it, not to a node that ranks after it.
     assert!(!roles[2].step_back(3, Duration::ZERO));
     assert!(roles[2].step_back(1, Duration::ZERO) && !roles[2].reads());
 }
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -1,12 +1,12 @@
-//! The two inputs that are distributed. They are never mixed: each has its
-//! own revisions, and each only grows.
+//! The two inputs that are distributed. They are never mixed: each stream has its
+//! own revisions, which only grow.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Which of the platform's two published values is meant.
+/// One of the two kinds of values that the platform publishes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stream {
--- a/crates/core/src/succession.rs
+++ b/crates/core/src/succession.rs
@@ -1,4 +1,4 @@
-//! Which life of a target answers in place of one that has ended.
+//! Redirection of requests from an ended generation of a target to its successor.
 
 use std::time::Duration;
 
@@ -7,20 +7,21 @@
 #[cfg(test)]
 mod tests;
 
-/// What a node has seen of the lives of the target beside it.
+/// The generations of the local target that a node has observed.
 ///
-/// All power is lost, targets start again under new names, and the platform goes
-/// away before their entries are read: requests name lives that have ended, and
-/// targets turn them away as meant for another, for as long as the platform is. A
-/// target that declines a request says which life it is, and its node may name
-/// that one instead, as long as it is sure that the target still serves the same
-/// service.
+/// After a power loss, targets may restart under new names while the platform is
+/// unavailable, so that their new entries can't be read. Requests then name ended
+/// generations, and targets decline them as meant for another generation until the
+/// platform is back. A target that declines a request returns its own generation. Its
+/// node may name that generation instead if the target certainly still serves the
+/// same service.
 ///
-/// It is sure of that on two conditions. Nothing of the life that was asked for was
-/// ever seen by this process, so that its settings, which name the service, are of a
-/// later time. And it has been declined for two seconds: if the address has gone to a
-/// target of another service, the settings say so by then, and requests for the former
-/// service aren't put under this any more.
+/// Two conditions ensure that. First, the requested generation has never answered a
+/// request of this process, so the node's settings, which name the service, are newer
+/// than that generation. Second, requests for it have been declined for two seconds:
+/// if the address was reassigned to a target of another service, the settings name
+/// that service by then, and requests for the former service no longer reach this
+/// target.
 ///
 /// # Example
 ///
@@ -30,76 +31,79 @@
 /// use sassafrasspool_core::Succession;
 /// use sassafrasspool_core::Tick;
 ///
-/// let mut lives = Succession::default();
-/// lives.declined(Tick::ZERO, &"t-1", &"t-2");
-/// assert_eq!(lives.meant(Tick::ZERO, &"t-1"), &"t-1");
-/// let settled = Tick::ZERO + Duration::from_secs(2);
-/// assert_eq!(lives.meant(settled, &"t-1"), &"t-2");
+/// let mut generations = Succession::default();
+/// generations.declined(Tick::ZERO, &"t-1", &"t-2");
+/// assert_eq!(generations.meant(Tick::ZERO, &"t-1"), &"t-1");
+/// let later = Tick::ZERO + Duration::from_secs(2);
+/// assert_eq!(generations.meant(later, &"t-1"), &"t-2");
 /// ```
 #[derive(Debug)]
-pub struct Succession<L> {
-    /// The life that answered a request last.
-    answered: Option<L>,
-    ended: Option<Ended<L>>,
+pub struct Succession<G> {
+    /// The generation that most recently answered a request that named it.
+    last_answered: Option<G>,
+    ended: Option<EndedGeneration<G>>,
 }
 
-/// A life that has ended.
+/// A generation that has ended.
 #[derive(Debug)]
-struct Ended<L> {
-    life: L,
-    /// The one that answers in its place.
-    answering: L,
-    /// Since when that is known.
+struct EndedGeneration<G> {
+    generation: G,
+    /// The generation that answers in its place.
+    successor: G,
+    /// When the successor first declined a request for the ended generation.
     since: Tick,
 }
 
-/// How long a life must have declined requests before it is named in place of the one
-/// that was asked for: a node looks at its settings every second, and twice that is
-/// enough for it to hear that its target serves something else.
-const SETTLED: Duration = Duration::from_secs(2);
+/// How long a generation must have declined requests before it is named in place of the
+/// requested one. A node checks its settings every second, so twice that time is enough
+/// to find out that its target serves another service.
+const MIN_DECLINED_TIME: Duration = Duration::from_secs(2);
 
-impl<L: Clone + PartialEq> Succession<L> {
-    /// Notes that a life answered a request as its own.
-    pub fn answered(&mut self, life: &L) {
-        if self.answered.as_ref() != Some(life) {
-            self.answered = Some(life.clone());
+impl<G: Clone + PartialEq> Succession<G> {
+    /// Records that a generation answered a request that named it.
+    pub fn answered(&mut self, generation: &G) {
+        if self.last_answered.as_ref() != Some(generation) {
+            self.last_answered = Some(generation.clone());
         }
     }
 
-    /// Notes that `answering` declined a request that named the life `named`.
-    /// Returns whether that is news.
-    pub fn declined(&mut self, now: Tick, named: &L, answering: &L) -> bool {
-        if self.answered.as_ref() == Some(named) || named == answering {
+    /// Records that `answering` declined a request for the generation `named`.
+    /// Returns whether this pair was not recorded before.
+    pub fn declined(&mut self, now: Tick, named: &G, answering: &G) -> bool {
+        if self.last_answered.as_ref() == Some(named) || named == answering {
             self.ended = None;
             return false;
         }
-        let held = self.ended.as_ref();
-        if held.is_some_and(|held| held.life == *named && held.answering == *answering) {
+        let recorded = self.ended.as_ref();
+        if recorded.is_some_and(|it| it.generation == *named && it.successor == *answering) {
             return false;
         }
-        self.ended = Some(Ended {
-            life: named.clone(),
-            answering: answering.clone(),
+        self.ended = Some(EndedGeneration {
+            generation: named.clone(),
+            successor: answering.clone(),
             since: now,
         });
         true
     }
 
-    /// The life to name in a request that is meant for `asked`.
-    pub fn meant<'a>(&'a self, now: Tick, asked: &'a L) -> &'a L {
+    /// The generation to name in a request that is meant for `requested`.
+    pub fn meant<'a>(&'a self, now: Tick, requested: &'a G) -> &'a G {
         match &self.ended {
-            Some(ended) if ended.life == *asked && now.since(ended.since) >= SETTLED => {
-                &ended.answering
+            Some(ended)
+                if ended.generation == *requested
+                    && now.since(ended.since) >= MIN_DECLINED_TIME =>
+            {
+                &ended.successor
             }
-            _ => asked,
+            _ => requested,
         }
     }
 }
 
-impl<L> Default for Succession<L> {
-    fn default() -> Succession<L> {
+impl<G> Default for Succession<G> {
+    fn default() -> Succession<G> {
         Succession {
-            answered: None,
+            last_answered: None,
             ended: None,
         }
     }
--- a/crates/core/src/succession/tests.rs
+++ b/crates/core/src/succession/tests.rs
@@ -1,74 +1,74 @@
 use rstest::rstest;
 
-use super::SETTLED;
+use super::MIN_DECLINED_TIME;
 use super::Succession;
 use crate::Tick;
 
-/// What a node sees of its target, in order.
+/// A response of the local target.
 #[derive(Debug, Clone, Copy)]
-enum Seen {
-    /// A life answered.
+enum Response {
+    /// A generation answered a request that named it.
     Answered(&'static str),
-    /// A request for the first was declined by the second.
+    /// A request for the first generation was declined by the second.
     Declined(&'static str, &'static str),
 }
 
 #[derive(Debug)]
 struct Case {
-    seen: &'static [Seen],
-    /// The life that a request for `t-1` then names.
-    meant: &'static str,
+    responses: &'static [Response],
+    /// The generation that a request for `t-1` then names.
+    resolved: &'static str,
 }
 
-/// Guards against requests that name an ended life while the platform is away.
+/// Guards against requests that name an ended generation while the platform is unavailable.
 #[rstest]
-#[case::nothing_seen(Case { seen: &[], meant: "t-1" })]
-#[case::started_anew(Case { seen: &[Seen::Declined("t-1", "t-2")], meant: "t-2" })]
-#[case::goes_on(Case {
-    seen: &[Seen::Declined("t-1", "t-2"), Seen::Answered("t-2")],
-    meant: "t-2",
+#[case::nothing_seen(Case { responses: &[], resolved: "t-1" })]
+#[case::restarted(Case { responses: &[Response::Declined("t-1", "t-2")], resolved: "t-2" })]
+#[case::successor_answers(Case {
+    responses: &[Response::Declined("t-1", "t-2"), Response::Answered("t-2")],
+    resolved: "t-2",
 })]
-#[case::address_given_away(Case {
-    seen: &[Seen::Answered("t-1"), Seen::Declined("t-1", "t-2")],
-    meant: "t-1",
+#[case::address_reassigned(Case {
+    responses: &[Response::Answered("t-1"), Response::Declined("t-1", "t-2")],
+    resolved: "t-1",
 })]
-#[case::given_away_later(Case {
-    seen: &[Seen::Declined("t-1", "t-2"), Seen::Answered("t-2"), Seen::Declined("t-2", "t-3")],
-    meant: "t-1",
+#[case::address_reassigned_later(Case {
+    responses: &[Response::Declined("t-1", "t-2"), Response::Answered("t-2"), Response::Declined("t-2", "t-3")],
+    resolved: "t-1",
 })]
-#[case::another_was_asked_for(Case { seen: &[Seen::Declined("t-0", "t-2")], meant: "t-1" })]
-#[case::contradiction(Case { seen: &[Seen::Declined("t-1", "t-1")], meant: "t-1" })]
-fn a_request_names_the_life_that_answers_if_that_is_sure(#[case] case: Case) {
-    let mut lives = Succession::default();
-    for seen in case.seen {
-        match seen {
-            Seen::Answered(life) => lives.answered(life),
-            Seen::Declined(named, answering) => {
-                lives.declined(Tick::ZERO, named, answering);
+#[case::another_generation_was_requested(Case { responses: &[Response::Declined("t-0", "t-2")], resolved: "t-1" })]
+#[case::declined_by_the_named_generation(Case { responses: &[Response::Declined("t-1", "t-1")], resolved: "t-1" })]
+fn a_request_names_the_successor_only_if_the_service_is_certainly_the_same(#[case] case: Case) {
+    let mut generations = Succession::default();
+    for response in case.responses {
+        match response {
+            Response::Answered(generation) => generations.answered(generation),
+            Response::Declined(named, answering) => {
+                generations.declined(Tick::ZERO, named, answering);
             }
         }
     }
-    let settled = Tick::ZERO + SETTLED;
-    assert_eq!(*lives.meant(settled, &"t-1"), case.meant, "{case:?}");
+    let later = Tick::ZERO + MIN_DECLINED_TIME;
+    assert_eq!(*generations.meant(later, &"t-1"), case.resolved, "{case:?}");
 }
 
 /// Guards against requests that run at another service's target at a reused address.
 #[test]
-fn a_life_is_not_named_before_the_settings_had_time_to_change() {
-    let mut lives = Succession::default();
-    lives.declined(Tick::ZERO, &"t-1", &"t-2");
-    let before = Tick::ZERO + SETTLED / 2;
-    lives.declined(before, &"t-1", &"t-2");
-    assert_eq!(*lives.meant(before, &"t-1"), "t-1");
-    let settled = Tick::ZERO + SETTLED;
-    assert_eq!(*lives.meant(settled, &"t-1"), "t-2");
+fn a_successor_is_not_named_before_the_settings_had_time_to_change() {
+    let mut generations = Succession::default();
+    generations.declined(Tick::ZERO, &"t-1", &"t-2");
+    let before = Tick::ZERO + MIN_DECLINED_TIME / 2;
+    generations.declined(before, &"t-1", &"t-2");
+    assert_eq!(*generations.meant(before, &"t-1"), "t-1");
+    let later = Tick::ZERO + MIN_DECLINED_TIME;
+    assert_eq!(*generations.meant(later, &"t-1"), "t-2");
 }
 
-// Each of many requests that are under way is declined; the log tells it once.
+/// Guards against one log line per declined request when many requests are in flight.
 #[test]
-fn a_life_that_took_over_is_news_once() {
-    let mut lives = Succession::default();
-    assert!(lives.declined(Tick::ZERO, &"t-1", &"t-2"));
-    assert!(!lives.declined(Tick::ZERO, &"t-1", &"t-2"));
-    assert!(lives.declined(Tick::ZERO, &"t-1", &"t-3"));
+fn a_successor_is_reported_as_new_only_once() {
+    let mut generations = Succession::default();
+    assert!(generations.declined(Tick::ZERO, &"t-1", &"t-2"));
+    assert!(!generations.declined(Tick::ZERO, &"t-1", &"t-2"));
+    assert!(generations.declined(Tick::ZERO, &"t-1", &"t-3"));
 }
--- a/crates/core/src/version.rs
+++ b/crates/core/src/version.rs
@@ -1,9 +1,9 @@
-//! Versions: the platform's revision together with a digest of the content.
+//! Versions, which combine the platform's revision with a digest of the content.
 
 pub use self::digest::Digest;
+pub use self::identity::Version;
 pub use self::revision::Revision;
-pub use self::whole::Version;
 
 mod digest;
+mod identity;
 mod revision;
-mod whole;
--- a/crates/core/src/version/whole.rs
+++ b/crates/core/src/version/identity.rs
@@ -1,4 +1,4 @@
-//! A revision with the digest of its content.
+//! The identity of a published value: its revision and the digest of its content.
 
 use std::fmt;
 
@@ -8,10 +8,10 @@
 use crate::Digest;
 use crate::Revision;
 
-/// What identifies one published value of a stream.
+/// The identity of one published value of a stream.
 ///
-/// Two versions of one revision with different digests are a conflict: the
-/// platform published a revision twice, or served damaged content.
+/// Two versions with the same revision and different digests are in conflict: the
+/// platform published the revision twice, or served damaged content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Version {
     revision: Revision,
@@ -19,7 +19,7 @@
 }
 
 impl Version {
-    /// Puts a revision and a digest together.
+    /// Creates a version from a revision and a digest.
     pub const fn new(revision: Revision, digest: Digest) -> Version {
         Version { revision, digest }
     }
--- a/crates/core/src/version/revision.rs
+++ b/crates/core/src/version/revision.rs
@@ -1,4 +1,4 @@
-//! The platform's count of accepted changes.
+//! The platform's number of an accepted change.
 
 use std::fmt;
 
@@ -9,17 +9,17 @@
 use crate::Result;
 use crate::Step;
 
-/// A revision that the platform gave on acceptance; it grows by each change.
+/// The number that the platform assigned to an accepted change; it grows with each change.
 ///
 /// # Invariants
 ///
-/// At least one: zero would mean that nothing was published.
+/// At least one, since zero would mean that nothing was published.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "u64")]
 pub struct Revision(u64);
 
 impl Revision {
-    /// Takes a revision.
+    /// Creates a revision from its number.
     ///
     /// # Errors
     ///
@@ -28,7 +28,7 @@
         if n == 0 {
             return Err(Error::new(Step::Check, "a revision is at least 1"));
         }
-        // INVARIANT: Zero was refused above.
+        // INVARIANT: Zero was rejected above.
         Ok(Revision(n))
     }
 
