--- a/crates/core/src/instance/generation.rs
+++ b/crates/core/src/instance/generation.rs
@@ -46,7 +46,7 @@
         self.id == other.id && self.born == other.born
     }
 
-    /// Stores this generation in `held` unless `held` is the same generation.
+    /// Stores this generation in `stored` unless `stored` already is the same generation.
     /// Returns whether it replaced another generation, which has ended.
     ///
     /// # Example
@@ -60,28 +60,28 @@
     ///     listed_at: 7,
     ///     born: None,
     /// };
-    /// let mut held = None;
-    /// assert!(!generation("i-1").replaces(&mut held));
-    /// assert!(!generation("i-1").replaces(&mut held));
-    /// assert!(generation("i-2").replaces(&mut held));
+    /// let mut stored = None;
+    /// assert!(!generation("i-1").replaces(&mut stored));
+    /// assert!(!generation("i-1").replaces(&mut stored));
+    /// assert!(generation("i-2").replaces(&mut stored));
     /// ```
-    pub fn replaces(&self, held: &mut Option<TargetLife>) -> bool {
-        if held.as_ref().is_some_and(|held| held.is_same(self)) {
+    pub fn replaces(&self, stored: &mut Option<TargetLife>) -> bool {
+        if stored.as_ref().is_some_and(|stored| stored.is_same(self)) {
             return false;
         }
-        held.replace(self.clone()).is_some()
+        stored.replace(self.clone()).is_some()
     }
 
-    /// Whether this generation started no earlier than `held`, a generation at the
+    /// Whether this generation started no earlier than `stored`, a generation at the
     /// same address or with the same name.
     ///
     /// Two generations with the same name are ordered by the clock of their instance,
     /// since their entry may not have expired between the two starts. Targets with
     /// different names may use different clocks, so the platform's revision decides.
-    pub fn follows(&self, held: &TargetLife) -> bool {
-        match (self.born, held.born) {
-            (Some(born), Some(before)) if self.id == held.id => born >= before,
-            _ => self.listed_at >= held.listed_at,
+    pub fn follows(&self, stored: &TargetLife) -> bool {
+        match (self.born, stored.born) {
+            (Some(born), Some(before)) if self.id == stored.id => born >= before,
+            _ => self.listed_at >= stored.listed_at,
         }
     }
 }
--- a/crates/core/src/membership/tests.rs
+++ b/crates/core/src/membership/tests.rs
@@ -77,14 +77,14 @@
 fn a_record_of_an_unlisted_instance_expires_after_the_retention_time() {
     let mut members = Members::new();
     let before = list(3);
-    let gone = state(2, 1, 3, Phase::Gone);
-    members.merge(Tick::ZERO, &gone, Some(&before));
+    let record = state(2, 1, 3, Phase::Gone);
+    members.merge(Tick::ZERO, &record, Some(&before));
     members.relist(Tick::ZERO, &list(2));
     assert_eq!(members.root(), Members::new().root());
-    assert_eq!(members.get(&gone.instance), Some(&gone));
+    assert_eq!(members.get(&record.instance), Some(&record));
     let later = Tick::ZERO + Duration::from_secs(61);
     members.forget(later);
-    assert_eq!(members.get(&gone.instance), None);
+    assert_eq!(members.get(&record.instance), None);
 }
 
 #[test]
--- a/crates/core/src/spread/tests.rs
+++ b/crates/core/src/spread/tests.rs
@@ -1,17 +1,17 @@
-//! Failures, each brought about on a small fake of the network.
+//! Failure tests on a simulated network of nodes and a platform.
 
 mod basics;
+mod components;
 mod costs;
 mod crashes;
 mod endpoints;
 mod lag;
+mod list_proofs;
 mod net;
 mod node;
 mod outages;
 mod partitions;
-mod parts;
 mod platform;
-mod proofs;
 mod random;
 mod silence;
 mod versions;
--- a/crates/core/src/spread/tests/costs.rs
+++ b/crates/core/src/spread/tests/costs.rs
@@ -3,24 +3,24 @@
 use rstest::rstest;
 
 use super::net::Net;
-use super::net::good;
 use super::net::joined_net;
 use super::net::joined_net_with;
+use super::net::valid_catalogue;
 use crate::SpreadConfig;
 
 #[test]
-fn an_idle_node_sends_less_than_a_kilobyte_a_second() {
+fn an_idle_node_sends_less_than_200_bytes_per_second() {
     let mut net = joined_net(40, 1);
     net.run_for(Duration::from_secs(30));
-    let before: usize = net.up().map(|node| node.bytes).sum();
+    let before: usize = net.running().map(|node| node.bytes_sent).sum();
     net.run_for(Duration::from_secs(100));
-    let after: usize = net.up().map(|node| node.bytes).sum();
+    let after: usize = net.running().map(|node| node.bytes_sent).sum();
     let per_node_s = (after - before) / (40 * 100);
-    assert!(per_node_s < 200, "{per_node_s} bytes a node and second");
+    assert!(per_node_s < 200, "{per_node_s} bytes per node and second");
 }
 
-/// No change goes out with its announcement: each is fetched.
-fn without_eager(linger: Duration) -> SpreadConfig {
+/// Announcements contain no changes, so each node fetches them.
+fn without_eager_config(linger: Duration) -> SpreadConfig {
     SpreadConfig {
         eager_bytes: 0,
         linger,
@@ -28,49 +28,49 @@
     }
 }
 
-fn bodies(net: &Net) -> usize {
-    net.up().map(|node| node.bodies).sum()
+fn total_bodies(net: &Net) -> usize {
+    net.running().map(|node| node.bodies_received).sum()
 }
 
 #[derive(Debug)]
 struct Burst {
     linger: Duration,
-    /// Bodies a node that are fetched at most.
-    at_most: f64,
+    /// Bound on the fetched bodies per node.
+    max_bodies: f64,
 }
 
-// An operator's script publishes 20 versions within 20 ms. Were each fetched
-// by each node, the fleet would carry 20 bodies for one that stays.
+/// Guards against a burst of versions that are all fetched by every node: a script
+/// publishes 20 versions within 20 ms, of which only the last stays in force.
 #[rstest]
-#[case(Burst { linger: Duration::ZERO, at_most: 8.0 })]
-#[case(Burst { linger: Duration::from_millis(50), at_most: 3.0 })]
-fn a_burst_is_fetched_as_its_newest(#[case] case: Burst) {
-    let mut net = joined_net_with(40, 2, without_eager(case.linger));
-    let before = bodies(&net);
+#[case(Burst { linger: Duration::ZERO, max_bodies: 8.0 })]
+#[case(Burst { linger: Duration::from_millis(50), max_bodies: 3.0 })]
+fn a_burst_is_mostly_fetched_as_its_newest_version(#[case] case: Burst) {
+    let mut net = joined_net_with(40, 2, without_eager_config(case.linger));
+    let before = total_bodies(&net);
     for revision in 2..22 {
-        net.publish(revision, &good(revision));
+        net.publish(revision, &valid_catalogue(revision));
         net.run_for(Duration::from_millis(1));
     }
-    net.run_until(Duration::from_secs(10), |net| net.all_at(21));
-    let per_node = (bodies(&net) - before) as f64 / 40.0;
+    net.run_until(Duration::from_secs(10), |net| net.all_at_revision(21));
+    let per_node = (total_bodies(&net) - before) as f64 / 40.0;
     assert!(
-        per_node <= case.at_most,
-        "{per_node} bodies a node: {case:?}"
+        per_node <= case.max_bodies,
+        "{per_node} bodies per node: {case:?}"
     );
 }
 
 #[test]
-fn a_version_is_fetched_once_by_each_node() {
-    let mut net = joined_net_with(40, 3, without_eager(Duration::ZERO));
+fn each_node_fetches_a_version_at_most_once() {
+    let mut net = joined_net_with(40, 3, without_eager_config(Duration::ZERO));
     net.run_for(Duration::from_secs(5));
-    let before: Vec<usize> = net.up().map(|node| node.bodies).collect();
-    net.publish(2, &good(2));
-    net.run_until(Duration::from_secs(10), |net| net.all_at(2));
+    let before: Vec<usize> = net.running().map(|node| node.bodies_received).collect();
+    net.publish(2, &valid_catalogue(2));
+    net.run_until(Duration::from_secs(10), |net| net.all_at_revision(2));
     net.run_for(Duration::from_secs(5));
     let mut fetched = 0;
-    for (node, before) in net.up().zip(before) {
-        assert!(node.bodies <= before + 1);
-        fetched += node.bodies - before;
+    for (node, before) in net.running().zip(before) {
+        assert!(node.bodies_received <= before + 1);
+        fetched += node.bodies_received - before;
     }
     assert!(fetched >= 30, "{fetched} of 40 nodes fetched it");
 }
--- a/crates/core/src/spread/tests/crashes.rs
+++ b/crates/core/src/spread/tests/crashes.rs
@@ -1,22 +1,22 @@
-//! Requests that crash targets, known to a fleet.
+//! Dissemination of crash reports about requests that crash targets.
 
 use std::time::Duration;
 
 use rstest::rstest;
 
 use super::net::Net;
-use super::net::few_reads;
 use super::net::joined_net_with;
+use super::net::scarce_reads_config;
 use crate::CRASHES;
 use crate::Content;
 use crate::Event;
 use crate::Sighting;
 
-/// How long nodes have to tell one another of what crashed a third target.
-const TOLD_WITHIN: Duration = Duration::from_secs(3);
+/// Time for the reports of a third crash to reach all nodes.
+const DISSEMINATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Between one crash and the next.
-const APART: Duration = Duration::from_millis(200);
+/// Time between two crashes.
+const CRASH_INTERVAL: Duration = Duration::from_millis(200);
 
 fn crashing() -> Content {
     Content::of("GET", "desk.example", "/crashing", None, b"")
@@ -26,99 +26,103 @@
     Content::of("GET", "desk.example", &format!("/harmless/{n}"), None, b"")
 }
 
-/// The target beside a node crashes under both.
-fn crash(net: &mut Net, n: usize) {
-    let sighting = Sighting::Crashed(vec![harmless(n), crashing()]);
-    sight(net, n, sighting);
+/// Crashes the target of a node while it runs a harmless and the crashing request.
+fn crash_target(net: &mut Net, n: usize) {
+    let observation = Sighting::Crashed(vec![harmless(n), crashing()]);
+    observe(net, n, observation);
 }
 
-fn sight(net: &mut Net, n: usize, sighting: Sighting) {
+fn observe(net: &mut Net, n: usize, observation: Sighting) {
     let ago = Duration::ZERO;
-    net.event(n, Event::Sighted { sighting, ago });
+    let event = Event::Sighted {
+        sighting: observation,
+        ago,
+    };
+    net.handle_event(n, event);
 }
 
-/// A fleet that knows of a request under which three targets crashed.
-fn warned_net(nodes: usize, seed: u64) -> Net {
-    let mut net = joined_net_with(nodes, seed, few_reads());
+/// A fleet in which every node holds a request in quarantine that crashed three targets.
+fn quarantined_net(nodes: usize, seed: u64) -> Net {
+    let mut net = joined_net_with(nodes, seed, scarce_reads_config());
     for n in 0..CRASHES {
-        crash(&mut net, n);
+        crash_target(&mut net, n);
     }
-    net.run_until(TOLD_WITHIN, all_hold);
+    net.run_until(DISSEMINATION_TIMEOUT, all_quarantine);
     net
 }
 
-fn holds(net: &Net, n: usize, content: Content) -> bool {
+fn quarantines(net: &Net, n: usize, content: Content) -> bool {
     let node = net.nodes[n].as_ref();
     node.is_some_and(|node| node.verdicts.held_until(net.now, &content).is_some())
 }
 
-fn all_hold(net: &Net) -> bool {
-    (0..net.nodes.len()).all(|n| net.nodes[n].is_none() || holds(net, n, crashing()))
+fn all_quarantine(net: &Net) -> bool {
+    (0..net.nodes.len()).all(|n| net.nodes[n].is_none() || quarantines(net, n, crashing()))
 }
 
-/// Guards against a request that crashes targets and is known at few nodes.
+/// Guards against a request that crashes targets and is quarantined at few nodes only.
 #[rstest]
 #[case::small(4)]
-#[case::of_today(14)]
-#[case::grown(200)]
-fn what_crashed_three_targets_is_known_everywhere(#[case] nodes: usize) {
-    let mut net = joined_net_with(nodes, 1, few_reads());
+#[case::medium(14)]
+#[case::large(200)]
+fn a_request_that_crashed_three_targets_is_quarantined_everywhere(#[case] nodes: usize) {
+    let mut net = joined_net_with(nodes, 1, scarce_reads_config());
     for n in 0..CRASHES {
-        assert!(!(0..nodes).any(|n| holds(&net, n, crashing())));
-        crash(&mut net, n);
-        net.run_for(APART);
+        assert!(!(0..nodes).any(|n| quarantines(&net, n, crashing())));
+        crash_target(&mut net, n);
+        net.run_for(CRASH_INTERVAL);
     }
-    let took = net.run_until(TOLD_WITHIN, all_hold);
+    let took = net.run_until(DISSEMINATION_TIMEOUT, all_quarantine);
     assert!(took < Duration::from_secs(1), "{took:?}");
-    let innocent =
-        |net: &Net| (0..nodes).all(|n| (0..CRASHES).all(|of| !holds(net, n, harmless(of))));
-    assert!(innocent(&net));
+    let harmless_allowed =
+        |net: &Net| (0..nodes).all(|n| (0..CRASHES).all(|of| !quarantines(net, n, harmless(of))));
+    assert!(harmless_allowed(&net));
     net.run_for(Duration::from_secs(30));
-    assert!(all_hold(&net) && innocent(&net));
+    assert!(all_quarantine(&net) && harmless_allowed(&net));
 }
 
-/// Guards against reports of crashes that are lost on the way.
+/// Guards against crash reports that are lost in transit.
 #[test]
-fn a_lost_report_is_found_by_comparing() {
-    let mut missed = 0;
+fn anti_entropy_delivers_a_lost_crash_report() {
+    let mut incomplete = 0;
     for seed in 0..16 {
-        let mut net = joined_net_with(14, seed, few_reads());
+        let mut net = joined_net_with(14, seed, scarce_reads_config());
         net.loss_percent = 60;
         for n in 0..CRASHES {
-            crash(&mut net, n);
-            net.run_for(APART);
+            crash_target(&mut net, n);
+            net.run_for(CRASH_INTERVAL);
         }
-        missed += usize::from(!all_hold(&net));
+        incomplete += usize::from(!all_quarantine(&net));
         net.loss_percent = 0;
-        net.run_until(TOLD_WITHIN, all_hold);
+        net.run_until(DISSEMINATION_TIMEOUT, all_quarantine);
     }
-    assert!(missed > 0, "nothing was lost that mattered");
+    assert!(incomplete > 0, "no loss delayed the quarantine in any run");
 }
 
-/// Guards against reports of crashes that a partition keeps apart.
+/// Guards against crash reports that stay on one side of a healed partition.
 #[test]
-fn both_sides_of_a_cut_know_soon_after_it_healed() {
+fn both_sides_of_a_partition_quarantine_soon_after_it_healed() {
     for seed in 0..16 {
-        let mut net = joined_net_with(10, seed, few_reads());
+        let mut net = joined_net_with(10, seed, scarce_reads_config());
         net.group[..2].fill(1);
         net.run_for(Duration::from_secs(1));
         for n in [0, 5, 6] {
-            crash(&mut net, n);
-            net.run_for(APART);
+            crash_target(&mut net, n);
+            net.run_for(CRASH_INTERVAL);
         }
         net.run_for(Duration::from_secs(3));
-        assert!(!(0..10).any(|n| holds(&net, n, crashing())));
+        assert!(!(0..10).any(|n| quarantines(&net, n, crashing())));
         net.group.fill(0);
-        net.run_until(TOLD_WITHIN, all_hold);
+        net.run_until(DISSEMINATION_TIMEOUT, all_quarantine);
     }
 }
 
-/// Guards against a restarted node that hands out a quarantined request.
+/// Guards against a restarted node that forwards a quarantined request.
 #[test]
-fn a_node_that_starts_again_knows_before_it_serves() {
+fn a_restarted_node_holds_the_quarantine_when_it_has_joined() {
     for seed in 0..8 {
-        let mut net = warned_net(14, seed);
-        // Also the nodes that saw it.
+        let mut net = quarantined_net(14, seed);
+        // Includes the nodes that reported the crashes.
         for n in 0..8 {
             net.stop(n);
         }
@@ -127,109 +131,109 @@
             net.start(n);
         }
         net.run_until(Duration::from_secs(20), |net| {
-            net.up().all(|node| node.joined)
+            net.running().all(|node| node.joined)
         });
-        assert!(all_hold(&net), "{seed}");
+        assert!(all_quarantine(&net), "{seed}");
     }
 }
 
-// A process stands still while the others learn of it, and wakes.
+/// Guards against a node that misses a quarantine because its process was paused.
 #[test]
-fn a_node_that_slept_hears_of_it() {
-    let mut net = joined_net_with(14, 3, few_reads());
+fn a_resumed_node_receives_the_quarantine() {
+    let mut net = joined_net_with(14, 3, scarce_reads_config());
     net.pause(9);
     net.run_for(Duration::from_secs(1));
     for n in 0..CRASHES {
-        crash(&mut net, n);
+        crash_target(&mut net, n);
     }
     net.run_for(Duration::from_secs(12));
     net.resume(9);
-    net.run_until(TOLD_WITHIN, all_hold);
+    net.run_until(DISSEMINATION_TIMEOUT, all_quarantine);
 }
 
 /// Guards against a harmless request in quarantine, though another node saw it answered.
 #[test]
-fn an_answer_elsewhere_ends_it() {
-    let mut net = warned_net(14, 4);
+fn an_answer_at_one_node_ends_the_quarantine_everywhere() {
+    let mut net = quarantined_net(14, 4);
     assert!(net.node(9).verdicts.doubts(crashing().whole()));
-    sight(&mut net, 9, Sighting::Answered(crashing().whole()));
+    observe(&mut net, 9, Sighting::Answered(crashing().whole()));
     net.run_until(Duration::from_secs(1), |net| {
-        !(0..14).any(|n| holds(net, n, crashing()))
+        !(0..14).any(|n| quarantines(net, n, crashing()))
     });
 }
 
-// Nothing is told again and again: once all know the same, comparing costs what it did.
+/// Guards against crash reports that are sent repeatedly although all nodes hold them.
 #[test]
-fn what_all_know_costs_nothing() {
-    let mut net = joined_net_with(14, 5, few_reads());
-    let bytes = |net: &Net| net.up().map(|node| node.bytes).sum::<usize>();
-    let minute = |net: &mut Net| {
+fn reports_that_all_nodes_hold_cost_no_further_bytes() {
+    let mut net = joined_net_with(14, 5, scarce_reads_config());
+    let bytes = |net: &Net| net.running().map(|node| node.bytes_sent).sum::<usize>();
+    let bytes_of_a_minute = |net: &mut Net| {
         let before = bytes(net);
         net.run_for(Duration::from_secs(60));
         bytes(net) - before
     };
-    let calm = minute(&mut net);
+    let idle = bytes_of_a_minute(&mut net);
     for n in 0..CRASHES {
-        crash(&mut net, n);
+        crash_target(&mut net, n);
     }
-    net.run_until(TOLD_WITHIN, all_hold);
+    net.run_until(DISSEMINATION_TIMEOUT, all_quarantine);
     net.run_for(Duration::from_secs(20));
-    let after = minute(&mut net);
-    assert!(after < calm + calm / 20, "{calm} before, {after} after");
+    let after = bytes_of_a_minute(&mut net);
+    assert!(after < idle + idle / 20, "{idle} before, {after} after");
 }
 
-/// What a node may spend on control in a second, in bytes.
+/// Budget of a node for control messages, in bytes per second.
 const CONTROL_BYTES_PER_S: usize = 26 * 1024;
 
-fn bytes_of_busiest(net: &Net) -> usize {
-    net.up().map(|node| node.bytes).max().unwrap_or(0)
+fn max_bytes_of_a_node(net: &Net) -> usize {
+    net.running().map(|node| node.bytes_sent).max().unwrap_or(0)
 }
 
-/// Guards against an answer for a doubted request that all nodes report at once.
+/// Guards against an answer to a suspected request that all nodes report at once.
 #[test]
-fn not_every_node_tells_of_its_answer() {
-    let mut net = warned_net(200, 6);
-    let before = bytes_of_busiest(&net);
+fn answers_at_all_nodes_stay_within_the_control_budget() {
+    let mut net = quarantined_net(200, 6);
+    let before = max_bytes_of_a_node(&net);
     for n in 0..200 {
-        sight(&mut net, n, Sighting::Answered(crashing().whole()));
+        observe(&mut net, n, Sighting::Answered(crashing().whole()));
     }
     net.run_until(Duration::from_secs(2), |net| {
-        !(0..200).any(|n| holds(net, n, crashing()))
+        !(0..200).any(|n| quarantines(net, n, crashing()))
     });
-    let spent = bytes_of_busiest(&net) - before;
+    let spent = max_bytes_of_a_node(&net) - before;
     assert!(spent < CONTROL_BYTES_PER_S, "{spent} bytes");
 }
 
 /// Guards against reports of a lost failure domain that exceed the control budget.
 #[test]
-fn the_loss_of_a_domain_stays_within_what_control_may_spend() {
-    let mut net = warned_net(80, 7);
-    let before = bytes_of_busiest(&net);
+fn the_loss_of_a_domain_stays_within_the_control_budget() {
+    let mut net = quarantined_net(80, 7);
+    let before = max_bytes_of_a_node(&net);
     for n in 0..40 {
         let ran = (0..20).map(|m| harmless(1_000 + 20 * n + m)).collect();
-        sight(&mut net, n, Sighting::Crashed(ran));
+        observe(&mut net, n, Sighting::Crashed(ran));
     }
     let seconds = 20;
     net.run_for(Duration::from_secs(seconds));
-    let spent = bytes_of_busiest(&net) - before;
-    let may = CONTROL_BYTES_PER_S * usize::try_from(seconds).unwrap();
-    assert!(spent < may, "{spent} of {may} bytes");
-    assert!(all_hold(&net));
+    let spent = max_bytes_of_a_node(&net) - before;
+    let budget = CONTROL_BYTES_PER_S * usize::try_from(seconds).unwrap();
+    assert!(spent < budget, "{spent} of {budget} bytes");
+    assert!(all_quarantine(&net));
 }
 
-/// Guards against a release that one node alone knows, or that outlasts further crashes.
+/// Guards against a release that reaches only one node, or that outlasts further crashes.
 #[test]
-fn a_release_is_known_everywhere_and_ends_with_further_crashes() {
-    let mut net = warned_net(14, 3);
-    let released = |net: &Net| (0..14).all(|n| !holds(net, n, crashing()));
-    sight(&mut net, 5, Sighting::Released(crashing().whole()));
-    let took = net.run_until(TOLD_WITHIN, released);
+fn a_release_reaches_every_node_and_ends_with_further_crashes() {
+    let mut net = quarantined_net(14, 3);
+    let released = |net: &Net| (0..14).all(|n| !quarantines(net, n, crashing()));
+    observe(&mut net, 5, Sighting::Released(crashing().whole()));
+    let took = net.run_until(DISSEMINATION_TIMEOUT, released);
     assert!(took < Duration::from_secs(1), "{took:?}");
     net.run_for(Duration::from_secs(30));
     assert!(released(&net));
     for n in 0..CRASHES {
-        crash(&mut net, n);
-        net.run_for(APART);
+        crash_target(&mut net, n);
+        net.run_for(CRASH_INTERVAL);
     }
-    net.run_until(TOLD_WITHIN, all_hold);
+    net.run_until(DISSEMINATION_TIMEOUT, all_quarantine);
 }
--- a/crates/core/src/spread/tests/net.rs
+++ b/crates/core/src/spread/tests/net.rs
@@ -1,5 +1,5 @@
-//! A tiny fake of message passing: nodes, the platform and what goes wrong
-//! between them, in simulated time and with seeded randomness.
+//! A simulated network: nodes, the platform and faults between them, in simulated
+//! time and with seeded randomness.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -24,12 +24,12 @@
 use crate::Tick;
 use crate::history::History;
 
-mod carry;
-mod meddle;
+mod control;
 mod record;
+mod transport;
 
-/// A catalogue that differs by `n`.
-pub(super) fn good(n: u64) -> String {
+/// The text of a valid catalogue whose content depends on `n`.
+pub(super) fn valid_catalogue(n: u64) -> String {
     format!(
         "
 kinds: {{lookup: {{weight: 1}}}}
@@ -45,8 +45,8 @@
     )
 }
 
-/// A platform that grants reads enough for a whole fleet that starts.
-pub(super) fn ample_reads() -> SpreadConfig {
+/// The platform allows enough reads for the start of a whole fleet.
+pub(super) fn ample_reads_config() -> SpreadConfig {
     SpreadConfig {
         reads_per_s: 16_000,
         assumed_fleet: 100,
@@ -54,8 +54,8 @@
     }
 }
 
-/// As on a platform whose reads are dear: small fleets read with all nodes.
-pub(super) fn few_reads() -> SpreadConfig {
+/// Settings for a platform with scarce reads; in small fleets every node reads.
+pub(super) fn scarce_reads_config() -> SpreadConfig {
     SpreadConfig {
         readers: 6,
         all_read: 16,
@@ -71,24 +71,24 @@
     }
 }
 
-/// Nodes that have started and joined.
+/// A fleet whose nodes have started and joined.
 pub(super) fn joined_net(n: usize, seed: u64) -> Net {
     joined_net_with(n, seed, SpreadConfig::default())
 }
 
-/// The same with other settings.
+/// As [`joined_net`], with other settings.
 pub(super) fn joined_net_with(n: usize, seed: u64, cfg: SpreadConfig) -> Net {
     let mut net = Net::new(n, seed, cfg);
     net.run_until(Duration::from_secs(20), |net| {
-        net.up().all(|node| node.joined) && net.all_at(1)
+        net.running().all(|node| node.joined) && net.all_at_revision(1)
     });
     net
 }
 
 #[derive(Debug)]
-enum Due {
-    Wake(Tick),
-    Arrive(Box<Arrival>),
+enum Scheduled {
+    Wakeup(Tick),
+    Arrival(Box<Arrival>),
     Watch {
         stream: Stream,
         after: Option<Revision>,
@@ -105,67 +105,68 @@
     /// Nodes of different groups can't reach each other.
     pub(super) group: Vec<u32>,
     /// Nodes of these groups can't reach the platform.
-    pub(super) cut_off: Vec<u32>,
-    /// Nodes that the platform turns away.
-    pub(super) turned_away: Vec<usize>,
-    /// The pairs of nodes with a connection that was opened since the others fell silent.
-    fresh: Option<BTreeSet<(usize, usize)>>,
+    pub(super) cut_off_groups: Vec<u32>,
+    /// Nodes whose reads the platform rejects.
+    pub(super) rejected_nodes: Vec<usize>,
+    /// Pairs of nodes that opened a connection after the others became silent.
+    fresh_connections: Option<BTreeSet<(usize, usize)>>,
     pub(super) loss_percent: u32,
-    pub(super) double_percent: u32,
+    pub(super) duplicate_percent: u32,
     pub(super) naive: bool,
     pub(super) seeds: Vec<std::net::SocketAddr>,
-    /// Counts messages by kind.
+    /// Number of messages by kind.
     pub(super) messages: BTreeMap<&'static str, u64>,
-    /// What was published and what came into force.
+    /// The published versions and the versions in force, over time.
     pub(super) history: History,
     rng: SmallRng,
     queue: BinaryHeap<Reverse<(Tick, u64)>>,
-    due: BTreeMap<u64, (usize, u32, Due)>,
-    next: u64,
+    scheduled: BTreeMap<u64, (usize, u32, Scheduled)>,
+    /// The key of the event that was scheduled last.
+    last_key: u64,
     generation: u32,
-    /// When each node is woken next.
-    wakes: Vec<Tick>,
+    /// The next wakeup of each node.
+    wakeups: Vec<Tick>,
     seed: u64,
 }
 
 impl Net {
-    /// `n` nodes that start together, all of them listed.
+    /// `n` listed nodes that start at the same time.
     pub(super) fn new(n: usize, seed: u64, cfg: SpreadConfig) -> Net {
-        let mut net = Net::idle(n, seed, cfg);
+        let mut net = Net::stopped(n, seed, cfg);
         for node in 0..n {
             net.start(node);
         }
         net
     }
 
-    /// `n` listed nodes of which none has started.
-    pub(super) fn idle(n: usize, seed: u64, cfg: SpreadConfig) -> Net {
+    /// `n` listed nodes that have not started.
+    pub(super) fn stopped(n: usize, seed: u64, cfg: SpreadConfig) -> Net {
         let mut platform = Platform::default();
-        platform.list((0..n).map(node::instance).collect());
+        platform.publish_list((0..n).map(node::instance).collect());
         let mut net = Net {
             now: Tick::ZERO,
             cfg: cfg.checked().unwrap(),
             nodes: (0..n).map(|_| None).collect(),
             platform,
             group: vec![0; n],
-            cut_off: Vec::new(),
-            turned_away: Vec::new(),
-            fresh: None,
+            cut_off_groups: Vec::new(),
+            rejected_nodes: Vec::new(),
+            fresh_connections: None,
             loss_percent: 0,
-            double_percent: 0,
+            duplicate_percent: 0,
             naive: false,
             seeds: Vec::new(),
             messages: BTreeMap::new(),
             history: History::new(),
             rng: SmallRng::seed_from_u64(seed),
             queue: BinaryHeap::new(),
-            due: BTreeMap::new(),
-            next: 0,
+            scheduled: BTreeMap::new(),
+            last_key: 0,
             generation: 0,
-            wakes: vec![Tick::from_micros(u64::MAX); n],
+            wakeups: vec![Tick::from_micros(u64::MAX); n],
             seed,
         };
-        net.publish(1, &good(1));
+        net.publish(1, &valid_catalogue(1));
         net.record_list();
         net
     }
@@ -176,23 +177,24 @@
         self.now = end;
     }
 
-    /// Runs until `done` holds; fails the test after `bound`.
+    /// Runs until `done` returns true and returns the simulated time that took. Panics
+    /// after `bound`.
     pub(super) fn run_until(&mut self, bound: Duration, done: impl Fn(&Net) -> bool) -> Duration {
         let start = self.now;
         let end = start + bound;
         while !done(self) {
             if !self.step(end) {
                 let mut counts = BTreeMap::new();
-                for node in self.up() {
+                for node in self.running() {
                     *counts.entry(node.applied.last()).or_insert(0) += 1;
                 }
-                panic!("not within {bound:?}: in force are {counts:?}");
+                panic!("not done within {bound:?}; revisions in force by node count: {counts:?}");
             }
         }
         self.now.since(start)
     }
 
-    pub(super) fn up(&self) -> impl Iterator<Item = &Node> {
+    pub(super) fn running(&self) -> impl Iterator<Item = &Node> {
         self.nodes.iter().flatten()
     }
 
@@ -200,9 +202,9 @@
         self.nodes[n].as_ref().unwrap()
     }
 
-    /// Whether every node has that revision of the catalogue in force.
-    pub(super) fn all_at(&self, revision: u64) -> bool {
-        self.up().all(|node| node.revision() == revision)
+    /// Whether every running node has that revision of the catalogue in force.
+    pub(super) fn all_at_revision(&self, revision: u64) -> bool {
+        self.running().all(|node| node.revision() == revision)
     }
 
     pub(super) fn assert_no_step_back(&self) {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// The nodes that read the platform as they see it.
+    /// The nodes that report themselves as readers.
     pub(super) fn readers(&self) -> Vec<usize> {
         let reads = |n: &usize| {
             let node = self.nodes[*n].as_ref();
@@ -230,7 +232,7 @@
         }
         self.queue.pop();
         self.now = self.now.max(at);
-        let Some((n, generation, due)) = self.due.remove(&key) else {
+        let Some((n, generation, event)) = self.scheduled.remove(&key) else {
             return true;
         };
         let Some(node) = &self.nodes[n] else {
@@ -239,14 +241,14 @@
         if node.generation != generation {
             return true;
         }
-        match due {
-            Due::Wake(wake) if node.paused || self.wakes[n] != wake => {}
-            Due::Wake(_) => self.event(n, Event::Wakeup),
-            Due::Arrive(arrival) => self.arrive(n, *arrival),
-            Due::Watch { stream, .. } if self.platform.silent => {
-                self.give_up(n, generation, stream, Duration::ZERO);
+        match event {
+            Scheduled::Wakeup(wake) if node.paused || self.wakeups[n] != wake => {}
+            Scheduled::Wakeup(_) => self.handle_event(n, Event::Wakeup),
+            Scheduled::Arrival(arrival) => self.arrive(n, *arrival),
+            Scheduled::Watch { stream, .. } if self.platform.silent => {
+                self.time_out_read(n, generation, stream, Duration::ZERO);
             }
-            Due::Watch { stream, .. } => {
+            Scheduled::Watch { stream, .. } => {
                 let result = self.platform.unchanged(stream);
                 self.arrive(n, Arrival::Event(Event::SourceRead { stream, result }));
             }
@@ -263,19 +265,19 @@
             return;
         }
         match arrival {
-            Arrival::Event(event) => self.event(n, event),
+            Arrival::Event(event) => self.handle_event(n, event),
             Arrival::Request {
                 from,
                 call,
                 generation,
                 message,
             } => {
-                let mut out = Vec::new();
+                let mut actions = Vec::new();
                 let reply = node
                     .machine
-                    .answer(self.now, &node::id(from), message, &mut out);
-                node.bytes += postcard::to_stdvec(&reply).unwrap().len();
-                self.carry_out(n, out);
+                    .answer(self.now, &node::id(from), message, &mut actions);
+                node.bytes_sent += postcard::to_stdvec(&reply).unwrap().len();
+                self.carry_out(n, actions);
                 self.deliver_reply(n, from, generation, call, reply);
             }
         }
@@ -289,29 +291,29 @@
         call: crate::CallId,
         reply: PeerReply,
     ) {
-        if self.group[from] != self.group[to] || self.drawn(self.loss_percent) {
+        if self.group[from] != self.group[to] || self.chance(self.loss_percent) {
             return;
         }
         if matches!(reply, PeerReply::Body(Some(_)))
             && let Some(node) = &mut self.nodes[to]
         {
-            node.bodies += 1;
+            node.bodies_received += 1;
         }
         let arrival = Arrival::Event(Event::Reply { call, reply });
         let at = self.now + self.delay();
-        self.push(at, to, generation, Due::Arrive(Box::new(arrival)));
+        self.push(at, to, generation, Scheduled::Arrival(Box::new(arrival)));
     }
 
-    pub(super) fn event(&mut self, n: usize, event: Event) {
-        let mut out = Vec::new();
+    pub(super) fn handle_event(&mut self, n: usize, event: Event) {
+        let mut actions = Vec::new();
         if let Some(node) = &mut self.nodes[n] {
-            node.machine.handle(self.now, event, &mut out);
+            node.machine.handle(self.now, event, &mut actions);
         }
-        self.carry_out(n, out);
+        self.carry_out(n, actions);
     }
 
-    fn carry_out(&mut self, n: usize, out: Vec<Action>) {
-        for action in out {
+    fn carry_out(&mut self, n: usize, actions: Vec<Action>) {
+        for action in actions {
             match action {
                 Action::Send(call) => self.send(n, *call),
                 Action::ReadSource {
@@ -320,34 +322,35 @@
                     wait,
                     freshness,
                     ..
-                } => self.read(n, stream, after, wait, freshness),
+                } => self.start_read(n, stream, after, wait, freshness),
                 other => {
                     self.record(n, &other);
-                    self.nodes[n].as_mut().unwrap().note(other);
+                    self.nodes[n].as_mut().unwrap().record(other);
                 }
             }
         }
         let node = self.nodes[n].as_ref().unwrap();
         let (wake, generation) = (node.machine.next_wakeup(), node.generation);
-        if wake != self.wakes[n] {
-            self.wakes[n] = wake;
-            // Timers are late.
+        if wake != self.wakeups[n] {
+            self.wakeups[n] = wake;
+            // Timers fire late.
             let at = wake.max(self.now) + self.delay();
-            self.push(at, n, generation, Due::Wake(wake));
+            self.push(at, n, generation, Scheduled::Wakeup(wake));
         }
     }
 
-    fn push(&mut self, at: Tick, n: usize, generation: u32, due: Due) {
-        self.next += 1;
-        self.due.insert(self.next, (n, generation, due));
-        self.queue.push(Reverse((at, self.next)));
+    fn push(&mut self, at: Tick, n: usize, generation: u32, event: Scheduled) {
+        self.last_key += 1;
+        self.scheduled.insert(self.last_key, (n, generation, event));
+        self.queue.push(Reverse((at, self.last_key)));
     }
 
     fn delay(&mut self) -> Duration {
         Duration::from_micros(self.rng.random_range(200..3_000))
     }
 
-    fn drawn(&mut self, percent: u32) -> bool {
+    /// Returns true with a probability of `percent`.
+    fn chance(&mut self, percent: u32) -> bool {
         percent > 0 && self.rng.random_range(0..100) < percent
     }
 }
--- a/crates/core/src/spread/tests/net/meddle.rs
+++ b/crates/core/src/spread/tests/net/control.rs
@@ -1,4 +1,4 @@
-//! What a test does to the fleet and to the platform.
+//! Operations of a test on the fleet and on the platform.
 
 use super::Net;
 use super::node;
@@ -16,19 +16,19 @@
         self.start_at(n, started_ms);
     }
 
-    /// Starts a node whose clock shows that time.
+    /// Starts a node whose clock shows `started_ms`, in milliseconds since 1970.
     pub(in crate::spread::tests) fn start_at(&mut self, n: usize, started_ms: u64) {
         self.generation += 1;
         let seed = self.seed * 1_000_003 + u64::from(self.generation);
-        let local = node::local(n, started_ms, self.seeds.clone());
+        let local = node::local_node(n, started_ms, self.seeds.clone());
         let cfg = self.cfg.clone();
         let machine: Box<dyn crate::Disseminate> = match self.naive {
             true => Box::new(Naive::new(cfg, local, seed, self.now)),
             false => Box::new(Spread::new(cfg, local, seed, self.now)),
         };
         self.nodes[n] = Some(Node::new(machine, self.generation));
-        self.wakes[n] = Tick::from_micros(u64::MAX);
-        self.event(n, Event::Wakeup);
+        self.wakeups[n] = Tick::from_micros(u64::MAX);
+        self.handle_event(n, Event::Wakeup);
     }
 
     pub(in crate::spread::tests) fn stop(&mut self, n: usize) {
@@ -41,20 +41,20 @@
         self.answer_watches();
     }
 
-    pub(in crate::spread::tests) fn list(&mut self, instances: Vec<crate::Instance>) {
-        self.platform.list(instances);
+    pub(in crate::spread::tests) fn publish_list(&mut self, instances: Vec<crate::Instance>) {
+        self.platform.publish_list(instances);
         self.record_list();
         self.answer_watches();
     }
 
-    /// Turns the platform's outage on or off; watches end with it.
+    /// Turns the platform's outage on or off; waiting watches fail when it begins.
     pub(in crate::spread::tests) fn set_outage(&mut self, outage: bool) {
         self.platform.outage = outage;
         self.answer_watches();
     }
 
-    /// Has the platform fall silent or answer again: watches that it has waited on
-    /// since before are answered then, and what was asked meanwhile never is.
+    /// Makes the platform silent, or lets it answer again. Watches from before the
+    /// silence are answered then; reads that began during the silence never are.
     pub(in crate::spread::tests) fn set_silent(&mut self, silent: bool) {
         self.platform.silent = silent;
         self.answer_watches();
@@ -66,7 +66,7 @@
         }
     }
 
-    /// A paused node goes on; what came meanwhile comes at once.
+    /// Resumes a paused node; everything that arrived meanwhile is processed at once.
     pub(in crate::spread::tests) fn resume(&mut self, n: usize) {
         let Some(node) = &mut self.nodes[n] else {
             return;
@@ -76,10 +76,10 @@
         for arrival in backlog {
             self.arrive(n, arrival);
         }
-        self.event(n, Event::Wakeup);
+        self.handle_event(n, Event::Wakeup);
     }
 
-    pub(in crate::spread::tests) fn phase(&mut self, n: usize, phase: Phase) {
-        self.event(n, Event::LocalPhase(phase));
+    pub(in crate::spread::tests) fn set_phase(&mut self, n: usize, phase: Phase) {
+        self.handle_event(n, Event::LocalPhase(phase));
     }
 }
--- a/crates/core/src/spread/tests/net/record.rs
+++ b/crates/core/src/spread/tests/net/record.rs
@@ -1,4 +1,4 @@
-//! Recording a run, to be judged afterwards.
+//! Recording of a run for the history checks after it.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 
 impl Net {
     pub(super) fn record_list(&mut self) {
-        let revision = Revision::new(self.platform.lists()).unwrap();
+        let revision = Revision::new(self.platform.newest_list_revision()).unwrap();
         let list = InstanceList::new(revision, self.platform.newest_list()).unwrap();
         let published = history::Event::PublishedGood {
             stream: Stream::Instances,
@@ -25,8 +25,8 @@
         self.history.record(self.now, published);
     }
 
-    /// Records a snapshot that comes into force. A process that took another's
-    /// place is a node of its own: what it knows begins with it.
+    /// Records a snapshot that comes into force. A restarted process counts as a new
+    /// node, since it starts without the state of its predecessor.
     pub(super) fn record(&mut self, n: usize, action: &Action) {
         let Action::Apply(applied) = action else {
             return;
@@ -39,7 +39,7 @@
     }
 }
 
-/// What the platform did when it published that text.
+/// The history event for the publication of a catalogue text.
 pub(super) fn published(revision: u64, text: &str) -> history::Event {
     let stream = Stream::Catalogue;
     let revision = Revision::new(revision).unwrap();
--- a/crates/core/src/spread/tests/node.rs
+++ b/crates/core/src/spread/tests/node.rs
@@ -1,4 +1,4 @@
-//! A node of the fake network: the machine under test and what it did.
+//! A node of the simulated network: the machine under test and its recorded actions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::Verdicts;
 use crate::testing;
 
-/// What waits for a node to wake.
+/// An input that is delivered to a node, or queued while it is paused.
 #[derive(Debug, Clone)]
 pub(super) enum Arrival {
     Event(Event),
@@ -38,17 +38,17 @@
     pub(super) backlog: Vec<Arrival>,
     pub(super) joined: bool,
     pub(super) snapshot: Option<Arc<Snapshot>>,
-    /// Revisions in force, catalogue and list, in the order of coming so.
+    /// Revisions of the catalogue and the list, in the order in which they came into force.
     pub(super) applied: Vec<(u64, u64)>,
     pub(super) audit: Vec<AuditEvent>,
     pub(super) states: Vec<EndpointState>,
     pub(super) verdicts: Arc<Verdicts>,
-    /// Encoded bytes of messages sent and answers given.
-    pub(super) bytes: usize,
-    /// Revisions of the catalogue that it announced.
-    pub(super) announced: Vec<u64>,
-    /// Bodies that it was sent.
-    pub(super) bodies: usize,
+    /// Encoded bytes of sent messages and replies.
+    pub(super) bytes_sent: usize,
+    /// Revisions of the catalogue that the node announced.
+    pub(super) announced_revisions: Vec<u64>,
+    /// Number of bodies that the node received.
+    pub(super) bodies_received: usize,
 }
 
 impl Node {
@@ -64,14 +64,14 @@
             audit: Vec::new(),
             states: Vec::new(),
             verdicts: Arc::default(),
-            bytes: 0,
-            announced: Vec::new(),
-            bodies: 0,
+            bytes_sent: 0,
+            announced_revisions: Vec::new(),
+            bodies_received: 0,
         }
     }
 
-    /// Notes what concerns only this node.
-    pub(super) fn note(&mut self, action: Action) {
+    /// Records an action that affects only this node.
+    pub(super) fn record(&mut self, action: Action) {
         match action {
             Action::Apply(applied) => {
                 let catalogue = applied.snapshot.catalogue().revision().get();
@@ -87,19 +87,19 @@
         }
     }
 
-    /// The catalogue's revision in force; 0 if none is.
+    /// The revision of the catalogue in force; 0 if there is none.
     pub(super) fn revision(&self) -> u64 {
         self.applied.last().map_or(0, |applied| applied.0)
     }
 
-    /// How many endpoints are in force.
+    /// The number of endpoints in the snapshot in force.
     pub(super) fn endpoints(&self) -> usize {
         let snapshot = self.snapshot.as_ref();
         let services = snapshot.into_iter().flat_map(|it| it.services());
         services.map(|(_, service)| service.endpoints.len()).sum()
     }
 
-    /// Whether a revision in force was ever followed by a lower one.
+    /// Whether a revision in force was ever replaced by a lower one.
     pub(super) fn stepped_back(&self) -> bool {
         let back = |pair: &[(u64, u64)]| pair[1].0 < pair[0].0 || pair[1].1 < pair[0].1;
         self.applied.windows(2).any(back)
@@ -119,7 +119,7 @@
     SocketAddr::from(([127, 0, 0, 1], 10_000 + u16::try_from(n).unwrap()))
 }
 
-pub(super) fn index(addr: SocketAddr) -> usize {
+pub(super) fn index_of(addr: SocketAddr) -> usize {
     usize::from(addr.port() - 10_000)
 }
 
@@ -132,7 +132,7 @@
     }
 }
 
-pub(super) fn local(n: usize, started_ms: u64, seeds: Vec<SocketAddr>) -> LocalNode {
+pub(super) fn local_node(n: usize, started_ms: u64, seeds: Vec<SocketAddr>) -> LocalNode {
     LocalNode {
         id: id(n),
         domain: domain(n),
--- a/crates/core/src/spread/tests/outages.rs
+++ b/crates/core/src/spread/tests/outages.rs
@@ -3,10 +3,10 @@
 use rstest::rstest;
 
 use super::net::Net;
-use super::net::few_reads;
-use super::net::good;
 use super::net::joined_net;
 use super::net::joined_net_with;
+use super::net::scarce_reads_config;
+use super::net::valid_catalogue;
 use super::node::Node;
 use crate::AuditEvent;
 use crate::InstanceState;
@@ -15,8 +15,8 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// A budget that is small for a fleet of 400.
-fn small_budget() -> SpreadConfig {
+/// A read budget that is small for a fleet of 400 nodes.
+fn small_budget_config() -> SpreadConfig {
     SpreadConfig {
         reads_per_s: 200,
         share_percent: 50,
@@ -29,61 +29,61 @@
 
 /// Guards against a restarting fleet that uses up the platform's read budget.
 #[test]
-fn a_herd_that_restarts_stays_within_its_share() {
-    let mut net = Net::new(400, 1, small_budget());
+fn a_restarting_fleet_stays_within_its_share() {
+    let mut net = Net::new(400, 1, small_budget_config());
     net.run_until(Duration::from_secs(20), |net| {
-        net.up().all(|node| node.joined) && net.all_at(1)
+        net.running().all(|node| node.joined) && net.all_at_revision(1)
     });
     assert!(net.platform.peak_per_s(Tick::ZERO) <= 100);
-    let again = net.now;
+    let restart = net.now;
     for n in 0..400 {
         net.start(n);
     }
     net.run_until(Duration::from_secs(20), |net| {
-        net.up().all(|node| node.joined) && net.all_at(1)
+        net.running().all(|node| node.joined) && net.all_at_revision(1)
     });
-    assert!(net.platform.peak_per_s(again) <= 100);
+    assert!(net.platform.peak_per_s(restart) <= 100);
 }
 
 /// Guards against nodes cut off from each other that together exceed the read budget.
 #[test]
-fn the_fleet_stays_within_its_share_though_each_node_believes_itself_alone() {
-    let mut net = Net::new(400, 2, small_budget());
-    net.run_until(Duration::from_secs(20), |net| net.all_at(1));
+fn isolated_nodes_together_stay_within_the_share() {
+    let mut net = Net::new(400, 2, small_budget_config());
+    net.run_until(Duration::from_secs(20), |net| net.all_at_revision(1));
     let split = net.now;
     net.group = (0..400).collect();
     net.run_for(2 * MINUTE);
     assert!(net.readers().len() > 390, "{}", net.readers().len());
     let peak = net.platform.peak_per_s(split);
     assert!(peak <= 100, "{peak} reads in a second");
-    net.publish(2, &good(2));
-    net.run_until(MINUTE, |net| net.all_at(2));
+    net.publish(2, &valid_catalogue(2));
+    net.run_until(MINUTE, |net| net.all_at_revision(2));
 }
 
-/// Guards against versions that are dropped, or missed, in repeated outages of the platform.
+/// Guards against versions that are dropped or missed in repeated platform outages.
 #[test]
-fn two_outages_change_nothing_in_force() {
+fn versions_stay_in_force_through_two_outages() {
     let mut net = joined_net(30, 3);
     net.set_outage(true);
     net.run_for(10 * MINUTE);
-    assert!(net.all_at(1));
+    assert!(net.all_at_revision(1));
     net.set_outage(false);
-    net.publish(2, &good(2));
-    net.run_until(Duration::from_secs(30), |net| net.all_at(2));
+    net.publish(2, &valid_catalogue(2));
+    net.run_until(Duration::from_secs(30), |net| net.all_at_revision(2));
     net.set_outage(true);
-    net.publish(3, &good(3));
-    let back = net.now;
+    net.publish(3, &valid_catalogue(3));
+    let second_outage = net.now;
     net.run_for(60 * MINUTE);
-    assert!(net.all_at(2));
+    assert!(net.all_at_revision(2));
     net.set_outage(false);
-    net.run_until(Duration::from_secs(30), |net| net.all_at(3));
-    assert!(net.platform.peak_per_s(back) <= 500);
+    net.run_until(Duration::from_secs(30), |net| net.all_at_revision(3));
+    assert!(net.platform.peak_per_s(second_outage) <= 500);
     net.assert_no_step_back();
 }
 
-/// Guards against a version that is missed because all readers die as it is published.
+/// Guards against a version that is missed because all readers stop as it is published.
 #[test]
-fn a_version_arrives_though_all_readers_die_as_it_is_published() {
+fn a_version_arrives_although_all_readers_stop_as_it_is_published() {
     let mut slowest = Duration::ZERO;
     for seed in 1..16 {
         let mut net = joined_net(60, seed);
@@ -91,19 +91,20 @@
         for n in net.readers() {
             net.stop(n);
         }
-        net.publish(2, &good(2));
-        let took = net.run_until(Duration::from_secs(30), |net| net.all_at(2));
+        net.publish(2, &valid_catalogue(2));
+        let took = net.run_until(Duration::from_secs(30), |net| net.all_at_revision(2));
         slowest = slowest.max(took);
         net.run_for(Duration::from_secs(30));
-        let reading = net.readers().len();
-        assert!((1..=12).contains(&reading), "{reading} nodes read");
+        let readers = net.readers().len();
+        assert!((1..=12).contains(&readers), "{readers} nodes read");
     }
     assert!(slowest <= Duration::from_secs(11), "{slowest:?}");
 }
 
-// Readers that were replaced come back; those that stepped in cease to read.
+/// Guards against nodes that took over as readers and keep reading after the chosen
+/// readers returned.
 #[test]
-fn who_stepped_in_goes_back_when_the_readers_return() {
+fn nodes_that_took_over_yield_when_the_readers_return() {
     let mut net = joined_net(30, 5);
     let readers = net.readers();
     for n in &readers {
@@ -118,47 +119,48 @@
     assert_eq!(net.readers(), readers);
 }
 
-/// Guards against an empty list after an outage, taken at its word or doubted for ever.
+/// Guards against an empty list after an outage that is applied at once, or rejected
+/// for ever.
 #[test]
-fn entries_that_lapse_in_an_outage_are_waited_for_and_no_longer() {
+fn a_list_that_lost_entries_in_an_outage_is_deferred_for_a_bounded_time() {
     let mut net = joined_net(12, 4);
     net.run_for(Duration::from_secs(5));
     let all = net.platform.newest_list();
     net.set_outage(true);
     net.run_for(Duration::from_secs(10));
-    net.list(Vec::new());
+    net.publish_list(Vec::new());
     net.set_outage(false);
-    let listed = |net: &Net| -> Vec<usize> {
-        let counts = net.up().map(|node| node.endpoints());
+    let endpoint_counts = |net: &Net| -> Vec<usize> {
+        let counts = net.running().map(|node| node.endpoints());
         counts.collect()
     };
-    let mut back = Duration::ZERO;
-    while back < Duration::from_secs(2) {
+    let mut elapsed = Duration::ZERO;
+    while elapsed < Duration::from_secs(2) {
         net.run_for(Duration::from_millis(100));
-        back += Duration::from_millis(100);
+        elapsed += Duration::from_millis(100);
         assert!(
-            listed(&net).iter().all(|n| *n == all.len()),
-            "{back:?}: {:?}",
-            listed(&net)
+            endpoint_counts(&net).iter().all(|n| *n == all.len()),
+            "{elapsed:?}: {:?}",
+            endpoint_counts(&net)
         );
     }
-    let told = |node: &Node| {
-        let waits = |event: &AuditEvent| match event {
+    let audited = |node: &Node| {
+        let deferred = |event: &AuditEvent| match event {
             AuditEvent::ListWaits { missing, .. } => *missing == 12,
             _ => false,
         };
-        node.audit.iter().any(waits)
+        node.audit.iter().any(deferred)
     };
-    assert!(net.up().any(told));
-    net.list(all[1..].to_vec());
+    assert!(net.running().any(audited));
+    net.publish_list(all[1..].to_vec());
     net.run_until(Duration::from_secs(20), |net| {
-        net.up().all(|node| node.endpoints() == all.len() - 1)
+        net.running().all(|node| node.endpoints() == all.len() - 1)
     });
 }
 
 /// Guards against an empty list after an outage in which no read failed.
 #[test]
-fn a_list_that_lacks_many_at_once_is_doubted_for_a_while() {
+fn a_list_that_lacks_many_entries_at_once_is_deferred_for_a_bounded_time() {
     let cfg = SpreadConfig {
         assumed_fleet: 12,
         ..SpreadConfig::default()
@@ -166,66 +168,67 @@
     let mut net = joined_net_with(12, 5, cfg);
     net.run_for(Duration::from_secs(5));
     let all = net.platform.newest_list();
-    net.list(all[..4].to_vec());
+    net.publish_list(all[..4].to_vec());
     net.run_for(Duration::from_millis(1_400));
-    assert!(net.up().all(|node| node.endpoints() == 12));
-    // Nodes beside targets that went aren't told by others any more: they find it
-    // out when they compare themselves with a peer.
+    assert!(net.running().all(|node| node.endpoints() == 12));
+    // Other nodes no longer send announcements to nodes of removed targets, so these
+    // nodes get the list only through anti-entropy with a peer.
     net.run_until(Duration::from_secs(3), |net| {
-        net.up().all(|node| node.endpoints() == 4)
+        net.running().all(|node| node.endpoints() == 4)
     });
 }
 
-// A target has left without a word. Its entry is gone, and that holds at once.
+/// Guards against requests to a target that left without draining and is no longer
+/// listed.
 #[test]
-fn a_single_missing_entry_is_gone_at_once() {
+fn the_removal_of_a_single_entry_is_applied_at_once() {
     let mut net = joined_net(12, 5);
     net.run_for(Duration::from_secs(5));
     let all = net.platform.newest_list();
-    net.list(all[1..].to_vec());
-    // The node beside that target is unlisted now, and may have to wait for its
-    // turn to read.
+    net.publish_list(all[1..].to_vec());
+    // The node of that target is unlisted now, and may have to wait for its next
+    // read time.
     net.run_until(Duration::from_millis(300), |net| {
-        net.up().skip(1).all(|node| node.endpoints() == 11)
+        net.running().skip(1).all(|node| node.endpoints() == 11)
     });
 }
 
-/// Guards against work for a leaving target from nodes that the platform turns away.
+/// Guards against requests to a leaving target from nodes whose reads are rejected.
 #[rstest]
 #[case::small_fleet(10)]
 #[case::large_fleet(79)]
-fn nodes_that_are_turned_away_hear_of_a_drain_in_time(#[case] nodes: usize) {
-    let mut net = joined_net_with(nodes, 9, few_reads());
+fn nodes_whose_reads_are_rejected_receive_a_drain_in_time(#[case] nodes: usize) {
+    let mut net = joined_net_with(nodes, 9, scarce_reads_config());
     net.run_for(Duration::from_secs(5));
     for third in 0..3 {
-        net.turned_away = (third..nodes).step_by(3).collect();
+        net.rejected_nodes = (third..nodes).step_by(3).collect();
         net.run_for(Duration::from_secs(3));
         let mut list = net.platform.newest_list();
         list[third + 1].state = InstanceState::Leaving;
-        net.list(list);
-        let newest = net.platform.lists();
+        net.publish_list(list);
+        let newest = net.platform.newest_list_revision();
         net.run_until(Duration::from_secs(1), |net| {
-            let held = |node: &Node| node.applied.last().is_some_and(|it| it.1 == newest);
-            net.up().all(held)
+            let has_newest = |node: &Node| node.applied.last().is_some_and(|it| it.1 == newest);
+            net.running().all(has_newest)
         });
     }
     net.assert_no_step_back();
 }
 
-/// Guards against a fleet that stays down, or behind, after losing power while it joins.
+/// Guards against a fleet that stays down, or stale, after losing power while it joins.
 #[rstest]
 #[case::small_fleet(10)]
 #[case::large_fleet(79)]
-fn a_fleet_that_loses_its_power_twice_is_back_soon(#[case] nodes: usize) {
-    let mut net = joined_net_with(nodes, 10, few_reads());
+fn a_fleet_that_loses_power_twice_recovers_soon(#[case] nodes: usize) {
+    let mut net = joined_net_with(nodes, 10, scarce_reads_config());
     for (revision, on_for_ms) in [(2, 200), (3, 5_000), (4, 150), (5, 5_000)] {
         (0..nodes).for_each(|n| net.stop(n));
         net.run_for(Duration::from_millis(1_500));
-        net.publish(revision, &good(revision));
+        net.publish(revision, &valid_catalogue(revision));
         (0..nodes).for_each(|n| net.start(n));
         if on_for_ms > 1_000 {
             net.run_until(Duration::from_secs(2), |net| {
-                net.up().all(|node| node.joined) && net.all_at(revision)
+                net.running().all(|node| node.joined) && net.all_at_revision(revision)
             });
         }
         net.run_for(Duration::from_millis(on_for_ms));
--- a/crates/core/src/spread/tests/platform.rs
+++ b/crates/core/src/spread/tests/platform.rs
@@ -1,4 +1,4 @@
-//! A fake of the platform: what it published, its switches and its readers.
+//! A simulated platform: its published values, its fault switches and its reads.
 
 use std::time::Duration;
 
@@ -14,18 +14,19 @@
     catalogues: Vec<(u64, String)>,
     lists: Vec<(u64, Vec<Instance>)>,
     pub(super) outage: bool,
-    /// Reads are taken and never answered, and watches wait until this ends.
+    /// New reads are never answered; earlier watches wait until the silence ends.
     pub(super) silent: bool,
-    /// Serve only the first so many values of each stream.
+    /// If set, only this many of the first values of each stream are served.
     pub(super) stale: Option<usize>,
-    /// Give what is served though it is older than what was asked for.
-    pub(super) hands_out_old: bool,
-    /// Serve only the first so many values to reads that take old ones.
+    /// Serve a value even if it is older than the revision in the read.
+    pub(super) serves_older: bool,
+    /// If set, only this many of the first values are served to reads that accept a
+    /// lagging answer.
     pub(super) lag: Option<usize>,
-    /// When each read began.
+    /// The start time of each read.
     pub(super) reads: Vec<Tick>,
-    /// How many of them took old values.
-    pub(super) lagging: usize,
+    /// Number of reads that accept a lagging answer.
+    pub(super) lagging_reads: usize,
 }
 
 impl Platform {
@@ -33,19 +34,19 @@
         self.catalogues.push((revision, text.to_owned()));
     }
 
-    /// Gives a published revision another content.
+    /// Replaces the content of a published revision.
     pub(super) fn replace(&mut self, revision: u64, text: &str) {
         self.catalogues.retain(|it| it.0 != revision);
         self.publish(revision, text);
     }
 
-    pub(super) fn list(&mut self, instances: Vec<Instance>) {
+    pub(super) fn publish_list(&mut self, instances: Vec<Instance>) {
         let revision = self.lists.len() as u64 + 1;
         self.lists.push((revision, instances));
     }
 
-    /// How many lists were published, whatever is served.
-    pub(super) fn lists(&self) -> u64 {
+    /// The revision of the newest published list, even if an older one is served.
+    pub(super) fn newest_list_revision(&self) -> u64 {
         self.lists.len() as u64
     }
 
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The answer, if there is one at this moment; else the read waits.
+    /// Returns the answer; `None` if the read has to wait for a newer value.
     pub(super) fn read(
         &self,
         stream: Stream,
@@ -81,11 +82,11 @@
         if newest == 0 {
             return Some(SourceResult::Nothing);
         }
-        let lacks = match self.hands_out_old {
+        let has_newer = match self.serves_older {
             true => after.is_none_or(|after| after.get() != newest),
             false => after.is_none_or(|after| after.get() < newest),
         };
-        if !lacks {
+        if !has_newer {
             return None;
         }
         let revision = Revision::new(newest).unwrap();
@@ -102,14 +103,14 @@
         Some(result)
     }
 
-    /// The answer to a watch whose time is over.
+    /// The answer to a watch whose time has elapsed.
     pub(super) fn unchanged(&self, stream: Stream) -> SourceResult {
         SourceResult::Unchanged {
             newest: Revision::new(self.newest(stream)).ok(),
         }
     }
 
-    /// The most reads that began within any second from `since` on.
+    /// The highest number of reads that began within any second from `since` on.
     pub(super) fn peak_per_s(&self, since: Tick) -> usize {
         let mut times: Vec<Tick> = self.reads.clone();
         times.retain(|at| *at >= since);
--- a/crates/core/src/spread/tests/random.rs
+++ b/crates/core/src/spread/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random runs of what goes wrong, with both ways of spreading side by side.
+//! Random sequences of faults, run on a fleet with dissemination and on a naive fleet.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 use proptest_state_machine::prop_state_machine;
 
 use super::net::Net;
-use super::net::good;
+use super::net::valid_catalogue;
 use super::node::Node;
-use super::versions::WITHOUT_SERVICE;
+use super::versions::MISSING_SERVICE;
 use crate::SpreadConfig;
 use crate::Version;
 use crate::history::Bounds;
@@ -21,27 +21,27 @@
 const NODES: usize = 8;
 
 #[derive(Debug, Clone)]
-enum Turn {
+enum Op {
     Publish,
     PublishBad,
     ChangeList,
     Loss(u32),
-    Doubling(u32),
+    Duplication(u32),
     Pause(usize),
     Resume(usize),
     Partition(u8),
-    CutOff,
+    CutOffPlatform,
     Heal,
     Restart(usize),
-    HerdRestart,
-    Stale { hands_out_old: bool },
-    Fresh,
+    RestartAll,
+    Stale { serves_older: bool },
+    EndStale,
     Outage,
-    Return,
+    EndOutage,
     Run(u64),
 }
 
-/// What was published.
+/// The newest published revisions.
 #[derive(Debug, Clone)]
 struct Published {
     revision: u64,
@@ -51,7 +51,7 @@
 
 impl ReferenceStateMachine for Published {
     type State = Published;
-    type Transition = Turn;
+    type Transition = Op;
 
     fn init_state() -> BoxedStrategy<Published> {
         let start = Published {
@@ -62,46 +62,46 @@
         Just(start).boxed()
     }
 
-    fn transitions(_state: &Published) -> BoxedStrategy<Turn> {
+    fn transitions(_state: &Published) -> BoxedStrategy<Op> {
         let node = 0..NODES;
         prop_oneof![
-            6 => Just(Turn::Publish),
-            2 => Just(Turn::PublishBad),
-            1 => Just(Turn::ChangeList),
-            1 => (0..60_u32).prop_map(Turn::Loss),
-            1 => (0..60_u32).prop_map(Turn::Doubling),
-            2 => node.clone().prop_map(Turn::Pause),
-            2 => node.clone().prop_map(Turn::Resume),
-            2 => any::<u8>().prop_map(Turn::Partition),
-            1 => Just(Turn::CutOff),
-            2 => Just(Turn::Heal),
-            2 => node.prop_map(Turn::Restart),
-            1 => Just(Turn::HerdRestart),
-            2 => any::<bool>().prop_map(|hands_out_old| Turn::Stale { hands_out_old }),
-            1 => Just(Turn::Fresh),
-            1 => Just(Turn::Outage),
-            1 => Just(Turn::Return),
-            6 => (1..2_000_u64).prop_map(Turn::Run),
-            2 => (2_000..60_000_u64).prop_map(Turn::Run),
+            6 => Just(Op::Publish),
+            2 => Just(Op::PublishBad),
+            1 => Just(Op::ChangeList),
+            1 => (0..60_u32).prop_map(Op::Loss),
+            1 => (0..60_u32).prop_map(Op::Duplication),
+            2 => node.clone().prop_map(Op::Pause),
+            2 => node.clone().prop_map(Op::Resume),
+            2 => any::<u8>().prop_map(Op::Partition),
+            1 => Just(Op::CutOffPlatform),
+            2 => Just(Op::Heal),
+            2 => node.prop_map(Op::Restart),
+            1 => Just(Op::RestartAll),
+            2 => any::<bool>().prop_map(|serves_older| Op::Stale { serves_older }),
+            1 => Just(Op::EndStale),
+            1 => Just(Op::Outage),
+            1 => Just(Op::EndOutage),
+            6 => (1..2_000_u64).prop_map(Op::Run),
+            2 => (2_000..60_000_u64).prop_map(Op::Run),
         ]
         .boxed()
     }
 
-    fn apply(mut state: Published, turn: &Turn) -> Published {
-        match turn {
-            Turn::Publish => {
+    fn apply(mut state: Published, op: &Op) -> Published {
+        match op {
+            Op::Publish => {
                 state.revision += 1;
                 state.newest_good = state.revision;
             }
-            Turn::PublishBad => state.revision += 1,
-            Turn::ChangeList => state.lists += 1,
+            Op::PublishBad => state.revision += 1,
+            Op::ChangeList => state.lists += 1,
             _ => {}
         }
         state
     }
 }
 
-/// Two fleets that meet the same, one spreading and one naive.
+/// Two fleets with the same operations; the second one is naive.
 #[derive(Debug)]
 struct Fleets([Net; 2]);
 
@@ -115,7 +115,7 @@
             ..SpreadConfig::default()
         };
         let fleet = |naive: bool| {
-            let mut net = Net::idle(NODES, 11, cfg.clone());
+            let mut net = Net::stopped(NODES, 11, cfg.clone());
             net.naive = naive;
             for node in 0..NODES {
                 net.start(node);
@@ -125,9 +125,9 @@
         Fleets([fleet(false), fleet(true)])
     }
 
-    fn apply(mut fleets: Fleets, state: &Published, turn: Turn) -> Fleets {
+    fn apply(mut fleets: Fleets, state: &Published, op: Op) -> Fleets {
         for net in &mut fleets.0 {
-            meet(net, state, &turn);
+            apply_op(net, state, &op);
         }
         fleets
     }
@@ -144,76 +144,77 @@
     }
 }
 
-fn meet(net: &mut Net, state: &Published, turn: &Turn) {
-    match turn {
-        Turn::Publish => net.publish(state.revision, &good(state.revision)),
-        Turn::PublishBad => net.publish(state.revision, WITHOUT_SERVICE),
-        Turn::ChangeList => {
+fn apply_op(net: &mut Net, state: &Published, op: &Op) {
+    match op {
+        Op::Publish => net.publish(state.revision, &valid_catalogue(state.revision)),
+        Op::PublishBad => net.publish(state.revision, MISSING_SERVICE),
+        Op::ChangeList => {
             let mut list = net.platform.newest_list();
             list[0].slots += 1;
-            net.list(list);
+            net.publish_list(list);
         }
-        Turn::Loss(percent) => net.loss_percent = *percent,
-        Turn::Doubling(percent) => net.double_percent = *percent,
-        Turn::Pause(n) => net.pause(*n),
-        Turn::Resume(n) => net.resume(*n),
-        Turn::Partition(bits) => {
+        Op::Loss(percent) => net.loss_percent = *percent,
+        Op::Duplication(percent) => net.duplicate_percent = *percent,
+        Op::Pause(n) => net.pause(*n),
+        Op::Resume(n) => net.resume(*n),
+        Op::Partition(bits) => {
             for (n, group) in net.group.iter_mut().enumerate() {
                 *group = u32::from(bits >> n & 1);
             }
         }
-        Turn::CutOff => net.cut_off = vec![1],
-        Turn::Heal => heal(net),
-        Turn::Restart(n) => net.start(*n),
-        Turn::HerdRestart => (0..NODES).for_each(|n| net.start(n)),
-        Turn::Stale { hands_out_old } => {
+        Op::CutOffPlatform => net.cut_off_groups = vec![1],
+        Op::Heal => heal(net),
+        Op::Restart(n) => net.start(*n),
+        Op::RestartAll => (0..NODES).for_each(|n| net.start(n)),
+        Op::Stale { serves_older } => {
             net.platform.stale = Some(1);
-            net.platform.hands_out_old = *hands_out_old;
+            net.platform.serves_older = *serves_older;
         }
-        Turn::Fresh => net.platform.stale = None,
-        Turn::Outage => net.set_outage(true),
-        Turn::Return => net.set_outage(false),
-        Turn::Run(ms) => net.run_for(Duration::from_millis(*ms)),
+        Op::EndStale => net.platform.stale = None,
+        Op::Outage => net.set_outage(true),
+        Op::EndOutage => net.set_outage(false),
+        Op::Run(ms) => net.run_for(Duration::from_millis(*ms)),
     }
 }
 
 fn heal(net: &mut Net) {
     net.group.fill(0);
-    net.cut_off.clear();
+    net.cut_off_groups.clear();
     net.loss_percent = 0;
-    net.double_percent = 0;
+    net.duplicate_percent = 0;
 }
 
-/// Ends all that is wrong, and returns the versions that all nodes then hold.
+/// Ends all faults, and returns the versions that each node holds then.
 ///
-/// The platform only gives its newest version. Where that is a bad one, a
-/// naive node that restarts has nothing, and a spreading one has what its
-/// peers hold; the fleets can only be compared after one more good version.
+/// The platform serves only its newest version. If that version is bad, a
+/// restarted naive node holds nothing, while a node with dissemination gets the
+/// version that its peers hold. The fleets can therefore only be compared after
+/// one more good version.
 fn heal_and_settle(net: &mut Net, state: &Published) -> Vec<(Version, Version)> {
     heal(net);
     net.platform.stale = None;
-    net.platform.hands_out_old = false;
+    net.platform.serves_older = false;
     net.set_outage(false);
     (0..NODES).for_each(|n| net.resume(n));
-    // What is still under way arrives.
+    // Messages in flight arrive.
     net.run_for(Duration::from_secs(5));
     let reachable = match state.newest_good == state.revision {
         true => state.newest_good,
-        false => net.up().map(Node::revision).max().unwrap_or(0),
+        false => net.running().map(Node::revision).max().unwrap_or(0),
     };
     if !net.naive && reachable > 0 {
         settle(net, reachable, state.lists);
     }
-    net.publish(state.revision + 1, &good(state.revision + 1));
+    net.publish(state.revision + 1, &valid_catalogue(state.revision + 1));
     settle(net, state.revision + 1, state.lists);
     net.assert_no_step_back();
     let bounds = Bounds {
         in_force: Duration::from_secs(3_600),
         ..Bounds::default()
     };
-    let found = check(&net.history, &bounds);
-    assert!(found.is_empty(), "{found:?}");
-    let held = net.up().map(|node| {
+    let violations = check(&net.history, &bounds);
+    assert!(violations.is_empty(), "{violations:?}");
+    let held = net.running().map(|node| {
         let snapshot = node.snapshot.as_ref().unwrap();
         (snapshot.catalogue(), snapshot.instances())
     });
@@ -223,7 +224,8 @@
 fn settle(net: &mut Net, revision: u64, lists: u64) {
     net.run_until(Duration::from_secs(120), |net| {
         let newest = (revision, lists);
-        net.up().all(|node| node.applied.last() == Some(&newest))
+        net.running()
+            .all(|node| node.applied.last() == Some(&newest))
     });
 }
 
@@ -235,8 +237,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Whatever a fleet meets, in whichever order: no node goes back, and once
-    // it is over, all nodes hold what naive ones hold.
+    // Guards against a node that steps back, or that holds another snapshot than the
+    // naive nodes do after all faults ended.
     #[test]
-    fn both_ways_lead_to_the_same_snapshot(sequential 1..40 => Fleets);
+    fn dissemination_leads_to_the_same_snapshot_as_naive_reads(sequential 1..40 => Fleets);
 }
