--- a/crates/core/src/catalogue.rs
+++ b/crates/core/src/catalogue.rs
@@ -1,7 +1,7 @@
-//! The operators' catalogue: services with their owner, class, limits and
-//! routes, and the weights of kinds of requests.
+//! The catalogue that operators publish: services with their owner, class, limits
+//! and routes, and the weights of kinds of requests.
 
-pub use self::callers::CallerLimits;
+pub use self::caller_limits::CallerLimits;
 pub use self::cold_start::ColdStart;
 pub use self::evacuation::Evacuation;
 pub use self::homes::Homes;
@@ -18,12 +18,12 @@
 pub use self::route::Share;
 pub use self::service::ServiceEntry;
 
-pub(crate) use self::host::without_port;
+pub(crate) use self::host::strip_port;
 
-use self::reading::Reading;
+use self::partial::PartialCatalogue;
 use crate::Document;
 
-mod callers;
+mod caller_limits;
 mod cold_start;
 mod evacuation;
 mod homes;
@@ -32,16 +32,16 @@
 mod kind;
 mod limits;
 mod parse;
+mod partial;
 mod path;
-mod reading;
 mod review;
 mod route;
 mod service;
 #[cfg(test)]
 mod tests;
 
-/// A catalogue under its version.
+/// The items of a catalogue, with their version.
 pub type Catalogue = Document<CatalogueItem>;
 
-/// The largest text of a catalogue in bytes: what the platform holds at most.
+/// The largest text of a catalogue in bytes, which is the most that the platform stores.
 pub const MAX_CATALOGUE_BYTES: usize = 1024 * 1024;
--- a/crates/core/src/catalogue/callers.rs
+++ b/crates/core/src/catalogue/caller_limits.rs
@@ -1,26 +1,26 @@
-//! What callers may send.
+//! Limits on requests and connections of callers.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Bounds on what a caller may send, and how long it may take or stay idle.
+/// Bounds on the size and duration of what a caller sends, and on its idle time.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Largest head of a request, in bytes.
     pub head_bytes: u32,
-    /// Bytes of a request's body.
+    /// Largest body of a request, in bytes.
     pub body_bytes: u64,
-    /// How long a head may take once its first byte came.
+    /// Time limit for the rest of a head after its first byte arrived.
     pub head_timeout: Duration,
-    /// How long a connection may be kept without a request.
+    /// How long a connection may stay open without a request.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Bounds for a catalogue that names none: generous, since callers of
-    /// unknown habits are cut by them.
+    /// Bounds for a catalogue that sets none. They are generous, because they cut off
+    /// callers whose requests are not known in advance.
     fn default() -> CallerLimits {
         CallerLimits {
             head_bytes: 32 * 1024,
--- a/crates/core/src/catalogue/evacuation.rs
+++ b/crates/core/src/catalogue/evacuation.rs
@@ -1,4 +1,4 @@
-//! Failure domains that operators have evacuated.
+//! Evacuations of failure domains, as ordered by operators.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,14 +6,14 @@
 use crate::DomainName;
 use crate::Revision;
 
-/// An operator's order that the targets of a failure domain get no new work.
+/// An operator's order to send no new requests to the targets of a failure domain.
 ///
-/// It is in force for as long as the catalogue has it. What runs there ends by itself,
-/// and callers that connect there are served elsewhere.
+/// It is in force while the catalogue contains it. Requests that already run there
+/// complete, and callers that connect there are served from other domains.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
     /// The evacuated failure domain.
     pub domain: DomainName,
-    /// The platform's revision at which it was ordered, where the platform tells.
+    /// The platform's revision at which it was ordered, if the platform reports one.
     pub since: Option<Revision>,
 }
--- a/crates/core/src/catalogue/homes.rs
+++ b/crates/core/src/catalogue/homes.rs
@@ -1,4 +1,4 @@
-//! Regions that requests must not leave.
+//! Regions in which the requests of a route may be served.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -25,22 +25,22 @@
 pub struct Homes(Vec<RegionName>);
 
 impl Homes {
-    /// These regions alone; every region if there are none.
+    /// Allows these regions only; allows every region if `regions` is empty.
     pub fn new(regions: impl IntoIterator<Item = RegionName>) -> Homes {
         Homes(regions.into_iter().collect())
     }
 
-    /// Whether every region may serve the requests.
+    /// Whether every region is allowed.
     pub fn is_anywhere(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether targets of a region may get the requests.
+    /// Whether targets of `region` may serve the requests.
     pub fn allows(&self, region: &RegionName) -> bool {
         self.is_anywhere() || self.0.contains(region)
     }
 
-    /// The regions, if there are any.
+    /// The allowed regions; empty if every region is allowed.
     pub fn regions(&self) -> &[RegionName] {
         &self.0
     }
--- a/crates/core/src/catalogue/host.rs
+++ b/crates/core/src/catalogue/host.rs
@@ -1,4 +1,4 @@
-//! Hosts that routes are bound to.
+//! Host names of routes.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -14,7 +14,7 @@
 /// The longest host name in bytes, as in DNS.
 const MAX_HOST_BYTES: usize = 253;
 
-/// The host that a request names, without a port.
+/// A host name without a port.
 ///
 /// # Invariants
 ///
@@ -26,8 +26,8 @@
 /// use sassafrasspool_core::HostName;
 ///
 /// let host = HostName::new("claims.example")?;
-/// assert!(host.is_named_by("Claims.example:8080"));
-/// assert!(!host.is_named_by("example"));
+/// assert!(host.matches("Claims.example:8080"));
+/// assert!(!host.matches("example"));
 /// # Ok::<(), sassafrasspool_core::Error>(())
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -35,11 +35,11 @@
 pub struct HostName(Arc<str>);
 
 impl HostName {
-    /// Checks and takes a host name.
+    /// Validates a host name.
     ///
     /// # Errors
     ///
-    /// Fails if it is empty, too long or has a byte that host names don't have.
+    /// Fails if it is empty, too long or contains a byte that host names may not contain.
     pub fn new(host: &str) -> Result<HostName> {
         HostName::try_from(Arc::from(host))
     }
@@ -49,14 +49,14 @@
         &self.0
     }
 
-    /// Whether a request's host, which may have a port, is this one.
-    pub fn is_named_by(&self, host: &str) -> bool {
-        without_port(host).eq_ignore_ascii_case(&self.0)
+    /// Whether a request's host, which may have a port, is this host; ASCII case is ignored.
+    pub fn matches(&self, host: &str) -> bool {
+        strip_port(host).eq_ignore_ascii_case(&self.0)
     }
 }
 
-/// The name in a request's host, which may have a port.
-pub(crate) fn without_port(host: &str) -> &str {
+/// A request's host without its port, if it has one.
+pub(crate) fn strip_port(host: &str) -> &str {
     host.split_once(':').map_or(host, |(name, _)| name)
 }
 
@@ -64,14 +64,14 @@
     type Error = Error;
 
     fn try_from(host: Arc<str>) -> Result<HostName> {
-        let fits = |byte: u8| {
+        let is_allowed = |byte: u8| {
             byte.is_ascii_lowercase() || byte.is_ascii_digit() || matches!(byte, b'-' | b'_' | b'.')
         };
-        if host.is_empty() || host.len() > MAX_HOST_BYTES || !host.bytes().all(fits) {
-            let reason = format!("{host:?} is no host name in lower case");
+        if host.is_empty() || host.len() > MAX_HOST_BYTES || !host.bytes().all(is_allowed) {
+            let reason = format!("{host:?} is not a host name in lower case");
             return Err(Error::new(Step::Check, reason));
         }
-        // INVARIANT: The name was just checked.
+        // INVARIANT: The name was checked above.
         Ok(HostName(host))
     }
 }
@@ -82,7 +82,7 @@
     }
 }
 
-/// Lets a map by host be asked with text.
+/// Lets a map keyed by host be queried with a `&str`.
 impl Borrow<str> for HostName {
     fn borrow(&self) -> &str {
         &self.0
--- a/crates/core/src/catalogue/item.rs
+++ b/crates/core/src/catalogue/item.rs
@@ -1,4 +1,4 @@
-//! What a catalogue is made of.
+//! Items of a catalogue and their keys.
 
 use std::fmt;
 
@@ -14,29 +14,29 @@
 use crate::ServiceEntry;
 use crate::ServiceName;
 
-/// One independently changing part of a catalogue.
+/// The unit of change of a catalogue.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CatalogueItem {
-    /// What callers may send, on all routes.
+    /// Limits on requests and connections of callers, for all routes.
     Callers(CallerLimits),
     /// A kind of request.
     Kind(Kind),
     /// A service with its routes.
     Service(ServiceEntry),
-    /// A failure domain whose targets get no new work.
+    /// A failure domain whose targets receive no new requests.
     Evacuation(Evacuation),
 }
 
-/// What identifies an item of a catalogue.
+/// The identity of an item of a catalogue.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ItemKey {
-    /// What callers may send: there is one of it.
+    /// The caller limits, of which a catalogue has at most one.
     Callers,
-    /// A kind, by name.
+    /// The name of a kind.
     Kind(KindName),
-    /// A service, by name.
+    /// The name of a service.
     Service(ServiceName),
-    /// An evacuated failure domain, by name.
+    /// The name of an evacuated failure domain.
     Evacuation(DomainName),
 }
 
--- a/crates/core/src/catalogue/limits.rs
+++ b/crates/core/src/catalogue/limits.rs
@@ -1,36 +1,36 @@
-//! Limits of an entry.
+//! Limits of a catalogue entry.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a service may take, beside each of its targets.
+/// Limits of a service, applied at each of its targets.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Requests a second that are admitted beside one target.
+    /// Requests per second that are admitted at one target.
     pub rate_per_s: u32,
-    /// Requests that run at once beside one target, if fewer than its slots.
+    /// Requests that run at once at one target, if that is fewer than its slots.
     pub concurrency: u32,
-    /// How long a request may take in all when its caller sets no deadline.
+    /// Total time of a request whose caller sets no deadline.
     pub deadline: Duration,
-    /// Limits on trying again.
+    /// Limits on retries.
     pub retry: RetryLimits,
 }
 
-/// Limits on trying a request again.
+/// Limits on the retries of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RetryLimits {
-    /// Tries in all, the first one counted.
+    /// Maximum number of attempts, including the first.
     pub attempts: u32,
-    /// Retries as a share of first tries, in percent.
+    /// Retries as a share of first attempts, in percent.
     pub budget_percent: u32,
-    /// Retries that each node may save up.
+    /// Unused retries that each node may accumulate.
     pub burst: u32,
 }
 
 impl Default for RetryLimits {
-    /// One retry, of at most every tenth request.
+    /// One retry per request, for at most every tenth request.
     fn default() -> RetryLimits {
         RetryLimits {
             attempts: 2,
--- a/crates/core/src/catalogue/path.rs
+++ b/crates/core/src/catalogue/path.rs
@@ -1,4 +1,4 @@
-//! Paths of routes.
+//! Path prefixes of routes.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -14,8 +14,8 @@
 /// The longest path of a route in bytes.
 const MAX_PATH_BYTES: usize = 256;
 
-/// A path that takes itself and everything below it, by whole segments; one
-/// that ends with `/` takes only what begins with it.
+/// A path prefix. It matches itself and everything below it, by whole segments; a
+/// prefix that ends with `/` matches only paths that begin with it.
 ///
 /// # Invariants
 ///
@@ -40,11 +40,11 @@
 pub struct RoutePath(Arc<str>);
 
 impl RoutePath {
-    /// Checks and takes a path.
+    /// Validates a path prefix.
     ///
     /// # Errors
     ///
-    /// Fails if an invariant of the type doesn't hold.
+    /// Fails if the text violates an invariant of the type.
     pub fn new(path: &str) -> Result<RoutePath> {
         RoutePath::try_from(Arc::from(path))
     }
@@ -54,7 +54,7 @@
         &self.0
     }
 
-    /// Whether a request for `path`, without its query, falls under this one.
+    /// Whether this prefix matches the path of a request, which has no query.
     pub fn takes(&self, path: &str) -> bool {
         if self.0.ends_with('/') {
             return path.starts_with(&*self.0);
@@ -71,7 +71,7 @@
 
     fn try_from(path: Arc<str>) -> Result<RoutePath> {
         check_path(&path)?;
-        // INVARIANT: The path was just checked.
+        // INVARIANT: The path was checked above.
         Ok(RoutePath(path))
     }
 }
@@ -83,28 +83,28 @@
 }
 
 fn check_path(path: &str) -> Result<()> {
-    let refuse = |why: &str| Err(Error::new(Step::Check, format!("path {path:?} {why}")));
+    let reject = |why: &str| Err(Error::new(Step::Check, format!("path {path:?} {why}")));
     if path.len() > MAX_PATH_BYTES {
-        return refuse("is longer than 256 bytes");
+        return reject("is longer than 256 bytes");
     }
     let Some(below) = path.strip_prefix('/') else {
-        return refuse("must begin with /");
+        return reject("must begin with /");
     };
     if !path
         .bytes()
         .all(|byte| byte.is_ascii_graphic() && !matches!(byte, b'?' | b'#'))
     {
-        return refuse("may only have printable ASCII without ? and #");
+        return reject("may only contain printable ASCII without ? and #");
     }
-    let odd = |segment: &str| matches!(segment, "" | "." | "..");
+    let is_forbidden = |segment: &str| matches!(segment, "" | "." | "..");
     let segments = below.strip_suffix('/').unwrap_or(below);
-    if below == "/" || (!segments.is_empty() && segments.split('/').any(odd)) {
-        return refuse("has an empty, . or .. segment");
+    if below == "/" || (!segments.is_empty() && segments.split('/').any(is_forbidden)) {
+        return reject("has an empty, . or .. segment");
     }
     Ok(())
 }
 
-/// Lets a map by path be asked with the text of a request's path.
+/// Lets a map keyed by path be queried with a `&str`.
 impl Borrow<str> for RoutePath {
     fn borrow(&self) -> &str {
         &self.0
--- a/crates/core/src/catalogue/review.rs
+++ b/crates/core/src/catalogue/review.rs
@@ -1,32 +1,32 @@
-//! Telling an operator everything that is wrong with a text.
+//! Full validation of a catalogue's text.
 
 use super::Catalogue;
-use super::Reading;
+use super::PartialCatalogue;
 use super::parse::read;
 use crate::Error;
 use crate::Faults;
 use crate::Revision;
-use crate::snapshot::check_across;
+use crate::snapshot::check_across_entries;
 
-/// Judges a text by all that a node checks before it applies it.
+/// Runs every check that a node runs before it applies a catalogue.
 ///
-/// The catalogue gets the first revision, since the platform gave it none yet.
+/// The catalogue gets revision 1, since the platform has not assigned one yet.
 ///
 /// # Errors
 ///
 /// Returns every fault within and across entries. Entries that can't be read
-/// are taken to be there, so that a route to one isn't a fault of its own.
+/// are assumed to exist, so that a route to one is not reported as another fault.
 /// Faults across entries have no place.
 pub fn review(text: &str) -> Result<Catalogue, Faults> {
-    let Reading {
+    let PartialCatalogue {
         items,
-        unread,
+        faulty,
         mut faults,
     } = read(text);
     let first = Revision::new(1).map_err(single_fault)?;
-    let held = Catalogue::new(first, items).map_err(single_fault)?;
-    faults.extend(check_across(&held, &unread));
-    faults.into_result(held)
+    let catalogue = Catalogue::new(first, items).map_err(single_fault)?;
+    faults.extend(check_across_entries(&catalogue, &faulty));
+    faults.into_result(catalogue)
 }
 
 fn single_fault(err: Error) -> Faults {
--- a/crates/core/src/catalogue/service.rs
+++ b/crates/core/src/catalogue/service.rs
@@ -1,4 +1,4 @@
-//! Services as the catalogue describes them.
+//! Service entries of the catalogue.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,19 +10,19 @@
 use crate::Route;
 use crate::ServiceName;
 
-/// One entry of the catalogue.
+/// The catalogue entry of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceEntry {
     /// The service's name.
     pub name: ServiceName,
-    /// The team that answers for it.
+    /// The team that is responsible for it.
     pub owner: OwnerName,
-    /// The class of its requests where a route names none.
+    /// The class of its requests on routes that set none.
     pub class: Class,
-    /// What it may take.
+    /// The limits at each of its targets.
     pub limits: Limits,
-    /// How its targets warm up, if they bear less at first.
+    /// How its targets warm up, if they tolerate fewer requests at first.
     pub cold_start: Option<ColdStart>,
-    /// The routes that this entry brings.
+    /// The routes that this entry adds.
     pub routes: Vec<Route>,
 }
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -12,7 +12,7 @@
 pub use self::service::ServiceKey;
 pub use self::whole::Snapshot;
 
-pub(crate) use self::check::check_across;
+pub(crate) use self::check::check_across_entries;
 
 mod build;
 mod check;
--- a/crates/core/src/snapshot/check.rs
+++ b/crates/core/src/snapshot/check.rs
@@ -36,17 +36,17 @@
             weights.0.insert(&kind.name, kind.weight);
         }
     }
-    check_across(catalogue, &[]).into_result(weights)
+    check_across_entries(catalogue, &[]).into_result(weights)
 }
 
 /// Every fault across the entries of a catalogue.
 ///
-/// What stands in `unread` is taken to be there: it has faults of its own, and
+/// What stands in `faulty` is taken to be there: it has faults of its own, and
 /// that others name it is not one more.
-pub(crate) fn check_across(catalogue: &Catalogue, unread: &[ItemKey]) -> Faults {
+pub(crate) fn check_across_entries(catalogue: &Catalogue, faulty: &[ItemKey]) -> Faults {
     let mut faults = Faults::new();
     let mut taken = HashMap::new();
-    let known = |key: ItemKey| catalogue.get(&key).is_some() || unread.contains(&key);
+    let known = |key: ItemKey| catalogue.get(&key).is_some() || faulty.contains(&key);
     for item in catalogue.iter() {
         if let CatalogueItem::Service(entry) = item {
             check_entry(&known, entry, &mut taken, &mut faults);
--- a/crates/core/src/snapshot/table.rs
+++ b/crates/core/src/snapshot/table.rs
@@ -6,7 +6,7 @@
 use crate::BoundRoute;
 use crate::HostName;
 use crate::RoutePath;
-use crate::catalogue::without_port;
+use crate::catalogue::strip_port;
 
 type ByPath = BTreeMap<RoutePath, BoundRoute>;
 
@@ -45,7 +45,7 @@
     /// The route with the longest path that takes `path`: of the host's own if
     /// one does, else of any host's.
     pub(super) fn find(&self, host: Option<&str>, path: &str) -> Option<&BoundRoute> {
-        let own = host.and_then(|host| self.of_host(without_port(host)));
+        let own = host.and_then(|host| self.of_host(strip_port(host)));
         let own = own.and_then(|routes| longest(routes, path));
         own.or_else(|| longest(&self.any_host, path))
     }
