--- a/crates/core/src/class.rs
+++ b/crates/core/src/class.rs
@@ -1,21 +1,21 @@
-//! Classes of work: who goes first where slots are short.
+//! Priority classes of requests, which decide the order when slots are short.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How urgent a request is beside others on the same target.
+/// How urgent a request is compared with others on the same target.
 ///
-/// The order is by urgency: `Critical` is the least value.
+/// Values are ordered by urgency; `Critical` is the lowest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Approvals, sign-offs, deductions: first.
+    /// Approvals, sign-offs and deductions, which are served first.
     Critical,
     /// Lookups and other interactive work.
     Standard,
-    /// Work that may wait for hours, such as archive retrievals.
+    /// Requests that may wait for hours, such as archive retrievals.
     Background,
 }
 
--- a/crates/core/src/coldness.rs
+++ b/crates/core/src/coldness.rs
@@ -1,4 +1,4 @@
-//! Until when a target counts as cold, by all that the node beside it knows.
+//! Cold state of a target, as tracked by the target's node.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 #[cfg(test)]
 mod tests;
 
-/// What the node beside a target knows of how cold it is.
+/// Until when a target is cold, as far as its node can determine.
 ///
-/// A target is cold for a time after its start, and may become cold again without a sign
-/// on its connections. The instance list tells late, so that a target is taken as cold
-/// from each event on that may have made it cold, until something tells better.
+/// A target is cold for a time after its start, and may become cold again without any
+/// effect on its connections. The instance list lags, so each event that may have made
+/// the target cold marks it as cold, until the list or a probe gives a better bound.
 ///
 /// # Invariants
 ///
-/// Once an event is known, `until` is no earlier than the end of the coldness that it
-/// began.
+/// Once an event is known, `cold_until` is no earlier than the end of the cold period
+/// that the event began.
 ///
 /// # Example
 ///
@@ -46,95 +46,98 @@
 #[derive(Debug, Default)]
 pub struct Coldness {
     listed: Option<TargetLife>,
-    /// How long the list gave the target to stay cold when it was last seen.
-    listed_for: Duration,
-    /// The start that requests are meant for, and the one before it.
-    named: [Option<TargetId>; 2],
+    /// The remaining cold time in the last list that contained the target.
+    listed_cold_for: Duration,
+    /// The current generation, as named by requests or the list, and the one before it.
+    recent_generations: [Option<TargetId>; 2],
     evacuated: bool,
-    until: Tick,
-    unproved: bool,
+    cold_until: Tick,
+    unconfirmed: bool,
 }
 
 impl Coldness {
-    /// Takes over what the instance list tells of the target.
+    /// Updates the state from the entry of the target in the instance list.
     pub fn follow_list(
         &mut self,
         now: Tick,
         start: &ColdStart,
-        life: &TargetLife,
+        generation: &TargetLife,
         cold_for: Duration,
     ) {
-        let same = self.listed.as_ref().is_some_and(|it| it.is_same(life));
-        let first = self.listed.is_none();
-        let grew = cold_for > self.listed_for;
-        self.listed_for = cold_for;
-        if same && !grew {
+        let same_generation = self
+            .listed
+            .as_ref()
+            .is_some_and(|it| it.is_same(generation));
+        let is_first_list = self.listed.is_none();
+        let extended = cold_for > self.listed_cold_for;
+        self.listed_cold_for = cold_for;
+        if same_generation && !extended {
             return;
         }
-        self.listed = Some(life.clone());
-        let known = self.named[0].as_ref() == Some(&life.id);
-        self.name(&life.id);
-        if first {
-            // The process beside the target has just started, and its list may be older
-            // than what made the target cold.
-            return self.suspect(now, start);
+        self.listed = Some(generation.clone());
+        let was_named = self.recent_generations[0].as_ref() == Some(&generation.id);
+        self.record_generation(&generation.id);
+        if is_first_list {
+            // This node has just started, and its list may be older than the event that
+            // made the target cold.
+            return self.assume_cold(now, start);
         }
         let until = now + cold_for;
-        match known && !same {
-            // Requests named this start before: both are bounds on the same coldness.
-            true => self.until = self.until.min(until),
-            false => self.until = until,
+        match was_named && !same_generation {
+            // Requests named this generation before. Both times bound the same cold period.
+            true => self.cold_until = self.cold_until.min(until),
+            false => self.cold_until = until,
         }
-        self.unproved = false;
+        self.unconfirmed = false;
     }
 
-    /// Takes over whether the target's failure domain is evacuated.
+    /// Updates whether the target's failure domain is evacuated.
     pub fn follow_evacuation(&mut self, now: Tick, start: &ColdStart, evacuated: bool) {
-        let ended = self.evacuated && !evacuated;
+        let evacuation_ended = self.evacuated && !evacuated;
         self.evacuated = evacuated;
-        if ended {
-            self.suspect(now, start);
+        if evacuation_ended {
+            self.assume_cold(now, start);
         }
     }
 
-    /// Notes that a request is meant for a start of the target, which may be one that the
-    /// list held here doesn't name yet.
-    pub fn follow_request(&mut self, now: Tick, start: &ColdStart, life: &str) {
-        let is_known = |id: &TargetId| id.as_str() == life;
-        if self.named.iter().flatten().any(is_known) {
+    /// Records the generation of the target that a request names. The local instance
+    /// list may not contain that generation yet.
+    pub fn follow_request(&mut self, now: Tick, start: &ColdStart, generation: &str) {
+        let is_known = |id: &TargetId| id.as_str() == generation;
+        if self.recent_generations.iter().flatten().any(is_known) {
             return;
         }
-        if let Ok(id) = TargetId::new(life) {
-            self.name(&id);
-            self.suspect(now, start);
+        if let Ok(id) = TargetId::new(generation) {
+            self.record_generation(&id);
+            self.assume_cold(now, start);
         }
     }
 
-    /// Takes over how much longer the target itself says that it is cold.
+    /// Records the remaining cold time that the target itself reported.
     pub fn probed(&mut self, now: Tick, left: Duration) {
-        self.until = now + left;
-        self.unproved = false;
+        self.cold_until = now + left;
+        self.unconfirmed = false;
     }
 
-    /// Until when the target counts as cold.
+    /// Until when the target is treated as cold.
     pub const fn until(&self) -> Tick {
-        self.until
+        self.cold_until
     }
 
-    /// Whether the target may be warm already, so that asking it is worth a probe.
+    /// Whether the cold state is only assumed, so that a probe may show that the target is warm.
     pub const fn is_unproved(&self) -> bool {
-        self.unproved
+        self.unconfirmed
     }
 
-    fn suspect(&mut self, now: Tick, start: &ColdStart) {
-        self.until = now + start.lasts;
-        self.unproved = true;
+    fn assume_cold(&mut self, now: Tick, start: &ColdStart) {
+        self.cold_until = now + start.lasts;
+        self.unconfirmed = true;
     }
 
-    fn name(&mut self, id: &TargetId) {
-        if self.named[0].as_ref() != Some(id) {
-            let before = self.named[0].replace(id.clone());
-            self.named[1] = before;
+    fn record_generation(&mut self, id: &TargetId) {
+        if self.recent_generations[0].as_ref() != Some(id) {
+            let before = self.recent_generations[0].replace(id.clone());
+            self.recent_generations[1] = before;
         }
     }
 }
--- a/crates/core/src/coldness/tests.rs
+++ b/crates/core/src/coldness/tests.rs
@@ -16,7 +16,7 @@
     }
 }
 
-fn life(id: &str) -> TargetLife {
+fn generation(id: &str) -> TargetLife {
     TargetLife {
         id: TargetId::new(id).unwrap(),
         listed_at: 1,
@@ -32,19 +32,20 @@
     Duration::from_millis(ms)
 }
 
-/// A target that was listed as warm and has proved it.
+/// A target that is listed as warm and that a probe confirmed as warm.
 fn warm() -> Coldness {
     let mut coldness = Coldness::default();
-    coldness.follow_list(at(0), &start(), &life("i-1"), Duration::ZERO);
+    coldness.follow_list(at(0), &start(), &generation("i-1"), Duration::ZERO);
     coldness.probed(at(10), Duration::ZERO);
     coldness
 }
 
-/// Guards against a node that restarts beside a cold target and trusts an older list.
+/// Guards against a restarted node that applies the load of a warm target to a cold one,
+/// because its list is older than the event that made the target cold.
 #[test]
-fn a_target_is_cold_at_the_start_of_its_node_until_it_tells() {
+fn a_target_is_cold_after_a_restart_of_its_node_until_a_probe() {
     let mut coldness = Coldness::default();
-    coldness.follow_list(at(500), &start(), &life("i-1"), Duration::ZERO);
+    coldness.follow_list(at(500), &start(), &generation("i-1"), Duration::ZERO);
     assert!(coldness.is_unproved());
     assert_eq!(coldness.until(), at(500) + LASTS);
     coldness.probed(at(510), millis(700));
@@ -52,41 +53,42 @@
     assert!(!coldness.is_unproved());
 }
 
-/// Guards against the load of a warm target on the next start at its address.
+/// Guards against sending the load of a warm target to the next generation at its address.
 #[test]
-fn a_new_start_is_cold_for_as_long_as_the_list_says() {
+fn a_new_generation_is_cold_for_the_listed_time() {
     let mut coldness = warm();
-    coldness.follow_list(at(9_000), &start(), &life("i-2"), millis(2_400));
+    coldness.follow_list(at(9_000), &start(), &generation("i-2"), millis(2_400));
     assert_eq!(coldness.until(), at(11_400));
-    // Another list with the same entry doesn't begin the time anew.
-    coldness.follow_list(at(10_000), &start(), &life("i-2"), millis(2_400));
+    // Another list with the same entry doesn't restart the cold period.
+    coldness.follow_list(at(10_000), &start(), &generation("i-2"), millis(2_400));
     assert_eq!(coldness.until(), at(11_400));
 }
 
-/// Guards against requests of nodes whose list is ahead of the own one.
+/// Guards against overload of a new generation that only lists of other nodes contain yet.
 #[test]
-fn a_start_that_requests_name_first_is_cold() {
+fn a_generation_that_requests_name_before_the_list_is_cold() {
     let mut coldness = warm();
     coldness.follow_request(at(5_000), &start(), "i-2");
     assert_eq!(coldness.until(), at(5_000) + LASTS);
     assert!(coldness.is_unproved());
-    // Late requests for the start before it change nothing.
+    // Late requests for the previous generation change nothing.
     coldness.follow_request(at(6_000), &start(), "i-1");
     assert_eq!(coldness.until(), at(5_000) + LASTS);
-    // The list tells less, and both are bounds.
-    coldness.follow_list(at(5_100), &start(), &life("i-2"), millis(1_000));
+    // The list gives a shorter time. Both times are bounds, so the lower one applies.
+    coldness.follow_list(at(5_100), &start(), &generation("i-2"), millis(1_000));
     assert_eq!(coldness.until(), at(6_100));
 }
 
-/// Guards against a warm target's load on one that became cold under the same name.
+/// Guards against the load of a warm target on one that became cold again without a new
+/// generation.
 #[test]
-fn a_target_that_is_cold_again_is_limited_again() {
+fn a_target_that_is_listed_as_cold_again_is_cold() {
     let mut coldness = warm();
-    coldness.follow_list(at(20_000), &start(), &life("i-1"), millis(1_500));
+    coldness.follow_list(at(20_000), &start(), &generation("i-1"), millis(1_500));
     assert_eq!(coldness.until(), at(21_500));
 }
 
-/// Guards against the full load on targets that became cold while they were evacuated.
+/// Guards against full load on targets that became cold during an evacuation.
 #[test]
 fn a_target_is_cold_after_each_evacuation() {
     let mut coldness = warm();
--- a/crates/core/src/deadline.rs
+++ b/crates/core/src/deadline.rs
@@ -1,7 +1,7 @@
-//! Until when a request may run.
+//! Deadlines of requests.
 //!
-//! Instances' clocks differ, so a deadline travels as the time that remains
-//! and becomes a tick again on arrival.
+//! The clocks of instances differ, so a deadline is sent as the remaining time and
+//! converted back to a tick on arrival.
 
 use std::time::Duration;
 
@@ -10,18 +10,17 @@
 #[cfg(test)]
 mod tests;
 
-/// The part of the remaining time that each hop keeps for itself, as one part
-/// in so many.
-const HOP_SHARE: u32 = 50;
-/// The most that a hop keeps for itself.
+/// The margin that each hop keeps is the remaining time divided by this number.
+const HOP_MARGIN_DIVISOR: u32 = 50;
+/// The largest margin that a hop keeps.
 const MAX_HOP_MARGIN: Duration = Duration::from_millis(5);
 
-/// The tick at which a request is given up.
+/// The tick at which a request times out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Deadline(Tick);
 
 impl Deadline {
-    /// The deadline of a request that may take `timeout` from `now` on.
+    /// The deadline that is `timeout` after `now`.
     pub fn within(now: Tick, timeout: Duration) -> Deadline {
         Deadline(now + timeout)
     }
@@ -31,7 +30,7 @@
         Deadline(tick)
     }
 
-    /// The tick at which it passes.
+    /// The tick at which the deadline passes.
     pub const fn tick(self) -> Tick {
         self.0
     }
@@ -46,12 +45,12 @@
         self.0.since(now)
     }
 
-    /// What remains for the next hop, which is less than what remains here, so
-    /// that the refusal of a later hop still finds its way back in time.
+    /// The remaining time to send to the next hop. It is shorter than the remaining
+    /// time here, so that a refusal of a later hop still arrives in time.
     ///
-    /// Zero means that nothing is left and nothing must be sent.
+    /// Zero means that no time is left and that nothing must be sent.
     pub fn remaining_beyond(self, now: Tick) -> Duration {
         let left = self.remaining(now);
-        left - (left / HOP_SHARE).min(MAX_HOP_MARGIN)
+        left - (left / HOP_MARGIN_DIVISOR).min(MAX_HOP_MARGIN)
     }
 }
--- a/crates/core/src/deadline/tests.rs
+++ b/crates/core/src/deadline/tests.rs
@@ -8,24 +8,24 @@
 #[derive(Debug)]
 struct Case {
     left_ms: u64,
-    beyond_us: u64,
+    next_hop_us: u64,
 }
 
 #[rstest]
-#[case(Case { left_ms: 0, beyond_us: 0 })]
-#[case(Case { left_ms: 1, beyond_us: 980 })]
-#[case(Case { left_ms: 100, beyond_us: 98_000 })]
-#[case(Case { left_ms: 10_000, beyond_us: 9_995_000 })]
-fn a_hop_leaves_less_than_it_has(#[case] case: Case) {
+#[case(Case { left_ms: 0, next_hop_us: 0 })]
+#[case(Case { left_ms: 1, next_hop_us: 980 })]
+#[case(Case { left_ms: 100, next_hop_us: 98_000 })]
+#[case(Case { left_ms: 10_000, next_hop_us: 9_995_000 })]
+fn a_hop_subtracts_its_margin_up_to_the_maximum(#[case] case: Case) {
     let now = Tick::from_millis(500);
     let deadline = Deadline::within(now, Duration::from_millis(case.left_ms));
-    let beyond = Duration::from_micros(case.beyond_us);
-    assert_eq!(deadline.remaining_beyond(now), beyond, "{case:?}");
+    let next_hop = Duration::from_micros(case.next_hop_us);
+    assert_eq!(deadline.remaining_beyond(now), next_hop, "{case:?}");
     assert_eq!(deadline.passed(now), case.left_ms == 0);
 }
 
 #[test]
-fn nineteen_hops_leave_most_of_a_second() {
+fn nineteen_hops_leave_at_least_900_ms_of_a_second() {
     let now = Tick::from_millis(500);
     let step = |deadline: Deadline, _| Deadline::within(now, deadline.remaining_beyond(now));
     let first = Deadline::within(now, Duration::from_secs(1));
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,5 +1,5 @@
-//! The crate's one error type. It says at which step something failed and, if
-//! another process was concerned, which peer it was.
+//! The error type of this crate. An error has the step at which it arose and the
+//! peer, if another process was involved.
 
 use std::error;
 use std::fmt;
@@ -23,15 +23,15 @@
     Delta,
     /// Binding a snapshot.
     Bind,
-    /// Reading the platform.
+    /// Reading from the platform.
     Source,
     /// Exchanging messages with another node.
     Exchange,
     /// Choosing an endpoint.
     Route,
-    /// Admission beside the target.
+    /// Admission at the target's node.
     Admission,
-    /// Handing a request to its target or to the next node.
+    /// Sending a request to its target or to the next node.
     Forward,
     /// Opening a listener or a connection.
     Connect,
@@ -60,7 +60,7 @@
     }
 }
 
-/// An error with its step, the peer if one was concerned, and its cause.
+/// An error with its step, its peer if one was involved, and its cause.
 ///
 /// # Example
 ///
@@ -83,7 +83,7 @@
 }
 
 impl Error {
-    /// An error at `step` with a message for a person.
+    /// An error at `step` with a message for operators.
     pub fn new(step: Step, message: impl Into<String>) -> Error {
         Error(Box::new(Inner {
             step,
@@ -93,26 +93,26 @@
         }))
     }
 
-    /// The same error, naming the peer at which it arose.
+    /// Adds the peer at which the error arose.
     #[must_use]
     pub fn at_peer(mut self, peer: impl fmt::Display) -> Error {
         self.0.peer = Some(peer.to_string());
         self
     }
 
-    /// The same error with what caused it.
+    /// Adds the cause of the error.
     #[must_use]
     pub fn with_cause(mut self, cause: impl Into<Box<dyn error::Error + Send + Sync>>) -> Error {
         self.0.cause = Some(cause.into());
         self
     }
 
-    /// The step at which it arose.
+    /// The step at which the error arose.
     pub fn step(&self) -> Step {
         self.0.step
     }
 
-    /// The peer at which it arose, if one was concerned.
+    /// The peer at which the error arose, if one was involved.
     pub fn peer(&self) -> Option<&str> {
         self.0.peer.as_deref()
     }
--- a/crates/core/src/fault.rs
+++ b/crates/core/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of operators' input, collected so that all are told at once.
+//! Faults of operators' input, collected so that all are reported at once.
 
 use std::error;
 use std::fmt;
@@ -7,16 +7,16 @@
 
 mod place;
 
-/// One fault: where it stands, what it concerns and why it is one.
+/// One fault: its place, the entry and field that it concerns, and the reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// Line and column in the text, if it came from one.
+    /// Line and column in the text, if the input was a text.
     pub place: Option<Place>,
     /// The entry concerned, such as a service's name; may be empty.
     pub entry: String,
     /// The field of the entry; may be empty.
     pub field: String,
-    /// Why the value is refused.
+    /// Why the value is rejected.
     pub reason: String,
 }
 
@@ -69,28 +69,28 @@
         });
     }
 
-    /// Takes over the faults of `other`.
+    /// Adds the faults of `other`.
     pub fn extend(&mut self, other: Faults) {
         self.0.extend(other.0);
     }
 
-    /// Whether none was found.
+    /// Whether there is no fault.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The faults in the order in which they were found.
+    /// The faults in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = &Fault> {
         self.0.iter()
     }
 
-    /// `value` if there was no fault.
+    /// Returns `value` if there is no fault.
     ///
     /// # Errors
     ///
     /// Returns the faults if there are any.
     pub fn into_result<T>(self, value: T) -> Result<T, Faults> {
-        // INVARIANT: An error is only returned when a fault was added.
+        // INVARIANT: An error is returned only if a fault was added.
         if self.is_empty() {
             Ok(value)
         } else {
--- a/crates/core/src/fault/place.rs
+++ b/crates/core/src/fault/place.rs
@@ -1,13 +1,13 @@
-//! A place in a text.
+//! Places in a text.
 
 use std::fmt;
 
-/// Line and column, both counted from one.
+/// A line and a column, both counted from one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// Line, from one.
+    /// The line, from one.
     pub line: usize,
-    /// Column in characters, from one.
+    /// The column in characters, from one.
     pub column: usize,
 }
 
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,5 +1,5 @@
-//! Checked names. Each kind of name is a type of its own, so that an owner
-//! can't stand where a service is meant.
+//! Validated names. Each kind of name has its own type, so that the compiler rejects
+//! an owner's name in place of a service's name.
 
 pub use self::names::DomainName;
 pub use self::names::InstanceId;
--- a/crates/core/src/id/check.rs
+++ b/crates/core/src/id/check.rs
@@ -1,4 +1,4 @@
-//! What all names have in common.
+//! The rule that all names follow.
 
 use crate::Error;
 use crate::Result;
@@ -10,8 +10,8 @@
 /// Checks that a name is 1 to 64 bytes of `a-z`, `0-9`, `-`, `_` and `.`, and
 /// begins with a letter or digit.
 ///
-/// Names go into metrics labels, header values and log lines, so that only
-/// what is safe in all of them is taken.
+/// Names are written to metrics labels, header values and log lines, so only
+/// bytes that are safe in all of them are allowed.
 pub(super) fn check_name(what: &str, name: &str) -> Result<()> {
     if name.is_empty() || name.len() > MAX_NAME_BYTES {
         return Err(Error::new(
@@ -22,8 +22,8 @@
             ),
         ));
     }
-    let first_fits = name.starts_with(|c: char| c.is_ascii_lowercase() || c.is_ascii_digit());
-    if !first_fits || !name.bytes().all(is_name_byte) {
+    let first_is_allowed = name.starts_with(|c: char| c.is_ascii_lowercase() || c.is_ascii_digit());
+    if !first_is_allowed || !name.bytes().all(is_name_byte) {
         return Err(Error::new(
             Step::Check,
             format!(
--- a/crates/core/src/id/tests.rs
+++ b/crates/core/src/id/tests.rs
@@ -5,21 +5,21 @@
 #[derive(Debug)]
 struct Case {
     name: &'static str,
-    taken: bool,
+    valid: bool,
 }
 
 #[rstest]
-#[case(Case { name: "workshop-desk", taken: true })]
-#[case(Case { name: "0", taken: true })]
-#[case(Case { name: "a.b_c-9", taken: true })]
-#[case(Case { name: "", taken: false })]
-#[case(Case { name: "-desk", taken: false })]
-#[case(Case { name: "Desk", taken: false })]
-#[case(Case { name: "desk\r\nx: y", taken: false })]
-#[case(Case { name: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa", taken: false })]
-fn names_are_checked(#[case] case: Case) {
-    assert_eq!(ServiceName::new(case.name).is_ok(), case.taken, "{case:?}");
+#[case(Case { name: "workshop-desk", valid: true })]
+#[case(Case { name: "0", valid: true })]
+#[case(Case { name: "a.b_c-9", valid: true })]
+#[case(Case { name: "", valid: false })]
+#[case(Case { name: "-desk", valid: false })]
+#[case(Case { name: "Desk", valid: false })]
+#[case(Case { name: "desk\r\nx: y", valid: false })]
+#[case(Case { name: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa", valid: false })]
+fn only_valid_names_are_accepted(#[case] case: Case) {
+    assert_eq!(ServiceName::new(case.name).is_ok(), case.valid, "{case:?}");
     let json = serde_json::to_string(case.name).unwrap();
-    let read = serde_json::from_str::<ServiceName>(&json);
-    assert_eq!(read.is_ok(), case.taken, "{case:?}");
+    let decoded = serde_json::from_str::<ServiceName>(&json);
+    assert_eq!(decoded.is_ok(), case.valid, "{case:?}");
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,14 +1,14 @@
 /*!
-Every decision of a configuration distribution system for a service mesh,
+The decision logic of a configuration distribution system for a service mesh,
 without I/O, clock or runtime.
 
-Time enters as [`Tick`], randomness as a seeded generator, the network as
-events; what is to be done comes back as values. The same code can therefore
-be driven by a daemon, by a benchmark and by a test.
+Callers pass in time as [`Tick`], randomness as a seeded generator and network
+input as events, and get back values that describe the actions to take. A daemon,
+a benchmark and a test can therefore run the same code.
 
 # Tour
 
-Operators publish a catalogue. [`catalogue::parse`] checks its text and gives
+Operators publish a catalogue. [`catalogue::parse`] checks its text and returns
 every fault at once, each with its place:
 
 ```
@@ -28,15 +28,15 @@
       - {path: /adjuster/approvals, kind: approval, idempotent: false}
 ";
 let items = catalogue::parse(text)?;
-let held = Catalogue::new(Revision::new(1)?, items)?;
-assert_eq!(held.version().revision().get(), 1);
+let catalogue = Catalogue::new(Revision::new(1)?, items)?;
+assert_eq!(catalogue.version().revision().get(), 1);
 # Ok::<(), Box<dyn std::error::Error>>(())
 ```
 
-A [`Document`] is a set of items under one [`Version`]; two versions differ by
-a [`Delta`], which only applies to the base it was made from and only if the
-result has the digest that was announced. A [`Snapshot`] binds a catalogue and
-an instance list together, and is what a request is routed by.
+A [`Document`] is a set of items with one [`Version`]. A [`Delta`] describes the
+difference between two versions; it applies only to the base from which it was made,
+and only if the result has the announced digest. A [`Snapshot`] binds a catalogue to
+an instance list and is used to route requests.
 */
 
 mod admit;
--- a/crates/core/src/load.rs
+++ b/crates/core/src/load.rs
@@ -1,4 +1,4 @@
-//! What answers tell of the load at their target.
+//! Load reports, which answers carry about their target.
 
 use std::fmt;
 
@@ -9,31 +9,31 @@
 #[cfg(test)]
 mod tests;
 
-/// The load beside a target when an answer left it.
+/// The load at a target when one of its answers was sent.
 ///
-/// It is a hint: it steers the choice of an endpoint and proves nothing.
+/// It is a hint for the choice of an endpoint and may be wrong.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that the target runs.
+    /// Requests that run at the target.
     pub in_flight: u16,
-    /// Requests that it may run at once.
+    /// Requests that the target may run at once.
     pub slots: u16,
     /// Requests that wait for a slot.
     pub queued: u16,
 }
 
 impl LoadReport {
-    /// Reads the form that [`fmt::Display`] writes.
+    /// Parses the format that [`fmt::Display`] writes.
     ///
     /// # Errors
     ///
-    /// Fails unless it is three numbers below 65,536 between slashes.
+    /// Fails unless the text is three numbers below 65,536, separated by slashes.
     pub fn parse(text: &str) -> Result<LoadReport> {
-        LoadReport::read(text)
-            .ok_or_else(|| Error::new(Step::Check, format!("{text:?} isn't a load report")))
+        LoadReport::parse_parts(text)
+            .ok_or_else(|| Error::new(Step::Check, format!("{text:?} is not a load report")))
     }
 
-    fn read(text: &str) -> Option<LoadReport> {
+    fn parse_parts(text: &str) -> Option<LoadReport> {
         let (in_flight, rest) = text.split_once('/')?;
         let (slots, queued) = rest.split_once('/')?;
         Some(LoadReport {
--- a/crates/core/src/load/tests.rs
+++ b/crates/core/src/load/tests.rs
@@ -3,7 +3,7 @@
 use crate::LoadReport;
 
 #[test]
-fn a_report_reads_as_it_is_written() {
+fn a_report_survives_a_round_trip_through_text() {
     let load = LoadReport {
         in_flight: 7,
         slots: 10,
@@ -20,6 +20,6 @@
 #[case("7/10/65536")]
 #[case("-1/10/0")]
 #[case("7/10/x")]
-fn anything_else_is_refused(#[case] text: &str) {
+fn a_malformed_report_is_rejected(#[case] text: &str) {
     assert!(LoadReport::parse(text).is_err());
 }
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -1,4 +1,4 @@
-//! What the tests of several modules need.
+//! Support for the tests of several modules.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Limits that no test reaches by chance.
+/// Limits that are high enough not to affect tests of other behaviour.
 pub(crate) const LIMITS: Limits = Limits {
     rate_per_s: 100_000,
     concurrency: 100,
--- a/crates/core/src/tick.rs
+++ b/crates/core/src/tick.rs
@@ -1,12 +1,11 @@
-//! Time as the decisions see it: a count that the caller supplies.
+//! Time as a count that the caller passes in.
 //!
-//! Wall clocks step and differ between instances, so no decision reads one.
+//! Wall clocks step and differ between instances, so this crate never reads one.
 
 use std::ops::Add;
 use std::time::Duration;
 
-/// Microseconds since a start that the caller chose, on a clock that never
-/// goes back.
+/// Microseconds since a start that the caller chose, on a monotonic clock.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Tick(u64);
 
@@ -29,7 +28,7 @@
         self.0
     }
 
-    /// How long after `earlier` this tick is; zero if it isn't after it.
+    /// The time from `earlier` to this tick; zero if this tick isn't later.
     pub fn since(self, earlier: Tick) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
