--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,8 +1,8 @@
-//! What became of a request that has no answer: either it is proved that it
-//! was not run, or nothing is known.
+//! Outcomes of requests without an answer: either it is proved that the request
+//! was not run, or its outcome is unknown.
 //!
-//! A [`Refusal`] can only be made before a request is handed over, a [`Loss`]
-//! only after it. Which of the two it is decides whether it may go out again.
+//! A [`Refusal`] can be made only before a request is handed over, a [`Loss`] only
+//! after it. This distinction decides whether the request may be retried.
 
 pub use self::failure::Failure;
 pub use self::loss::Loss;
--- a/crates/core/src/outcome/failure.rs
+++ b/crates/core/src/outcome/failure.rs
@@ -1,21 +1,21 @@
-//! A try without an answer, as whoever made it sees it.
+//! Failed attempts, as seen by the node that made them.
 
 use crate::Loss;
 use crate::Outcome;
 use crate::Refusal;
 
-/// Why one try brought no answer.
+/// Why an attempt got no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-#[must_use = "a failure is either tried again or told to the caller"]
+#[must_use = "a failure is either retried or reported to the caller"]
 pub enum Failure {
-    /// The try was refused before it was handed to a target.
+    /// The attempt was refused before it was handed over to a target.
     Refused(Refusal),
-    /// The try was handed over, or may have been.
+    /// The attempt was handed over, or may have been.
     Lost(Loss),
 }
 
 impl Failure {
-    /// What is known of the request.
+    /// What is known about the request.
     pub const fn outcome(&self) -> Outcome {
         match self {
             Failure::Refused(refusal) => refusal.outcome(),
--- a/crates/core/src/outcome/loss.rs
+++ b/crates/core/src/outcome/loss.rs
@@ -1,11 +1,11 @@
-//! Losses.
+//! Requests that were handed over and got no complete answer.
 
 use std::fmt;
 
 use crate::Outcome;
 use crate::Step;
 
-/// Why a request that was handed over got no whole answer.
+/// Why a request that was handed over got no complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum LossCause {
@@ -13,13 +13,13 @@
     Timeout,
     /// The connection broke before an answer began.
     ConnectionLost,
-    /// The answer was cut short.
+    /// The answer was truncated.
     AnswerCut,
-    /// The answer was to another request, or not the target's.
+    /// The answer belonged to another request, or did not come from the target.
     AnswerSpoiled,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// A peer further on said that the outcome is unknown.
+    /// A node on a later hop reported that the outcome is unknown.
     Peer,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// The end of a request that was handed over and has no whole answer.
+/// The end of a request that was handed over and got no complete answer.
 ///
 /// Its outcome is always [`Outcome::Unknown`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,22 +48,22 @@
 }
 
 impl Loss {
-    /// A loss at a step.
+    /// A loss at `step`.
     pub const fn new(step: Step, cause: LossCause) -> Loss {
         Loss { step, cause }
     }
 
-    /// What is known of the request: nothing.
+    /// What is known about the request, which is always [`Outcome::Unknown`].
     pub const fn outcome(&self) -> Outcome {
         Outcome::Unknown
     }
 
-    /// The step at which it was lost.
+    /// The step at which the request was lost.
     pub const fn step(&self) -> Step {
         self.step
     }
 
-    /// Why it was lost.
+    /// Why the request was lost.
     pub const fn cause(&self) -> LossCause {
         self.cause
     }
--- a/crates/core/src/outcome/reason.rs
+++ b/crates/core/src/outcome/reason.rs
@@ -1,4 +1,4 @@
-//! Why requests are refused.
+//! Reasons for refusals.
 
 use std::fmt;
 
@@ -6,33 +6,33 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum Reason {
-    /// No route takes its path.
+    /// No route matches its path.
     NoRoute,
-    /// No endpoint of its service takes new work.
+    /// No endpoint of its service accepts new requests.
     NoEndpoint,
-    /// No connection to the endpoint was made, so that nothing was sent.
+    /// The connection to the endpoint failed, so nothing was sent.
     Connect,
-    /// The node or its target takes no new work because it is leaving.
+    /// The node or its target accepts no new requests because it is draining.
     Draining,
     /// The target has not started yet.
     Starting,
-    /// The entry's rate is used up.
+    /// The rate limit of the catalogue entry is exhausted.
     RateLimited,
     /// All slots are taken and the queue is full.
     QueueFull,
-    /// More urgent work took its place in the queue.
+    /// A more urgent request took its place in the queue.
     Displaced,
-    /// It waited in the queue for as long as is allowed.
+    /// It waited in the queue for the longest time that is allowed.
     QueueTimeout,
-    /// It would wait longer than its deadline allows.
+    /// After its expected wait for a slot it would end after its deadline.
     DeadlineTooShort,
     /// Its deadline passed before it was handed over.
     DeadlinePassed,
     /// This node doesn't own the request's key.
     NotOwner,
-    /// This node can't prove that its instance list is still in force.
+    /// This node can't prove that its instance list is still valid.
     LeaseLapsed,
-    /// This node owns the request's key since too short a time.
+    /// This node has owned the request's key for too short a time.
     Settling,
     /// The window of request keys is full.
     WindowFull,
@@ -40,27 +40,27 @@
     EarlierRunning,
     /// An earlier attempt with the same key may have run.
     EarlierUnknown,
-    /// Its body is larger than the bound.
+    /// Its body is larger than the limit.
     TooLarge,
     /// Its key is empty or too long.
     BadKey,
-    /// It has passed more nodes than a call may.
+    /// It has passed more nodes than the maximum.
     TooManyHops,
     /// This node holds no configuration yet.
     NoConfiguration,
-    /// Its caller broke off before it was whole.
+    /// Its caller disconnected before the request was complete.
     CallerGone,
-    /// The target got it and said that it did not run it, for its load.
+    /// The target received it and answered that it did not run it because of its load.
     TargetShed,
-    /// The target got it and said that it is not the life that was meant.
+    /// The target received it and answered that the request names another generation.
     OtherLife,
-    /// Targets crash under it, so that none is to run it.
+    /// Requests with its content crash targets, so no target may run it.
     Quarantined,
     /// Operators have evacuated the failure domain of the target.
     Evacuated,
-    /// The target is cold and bears no more requests now.
+    /// The target is cold and tolerates no more requests at present.
     ColdStart,
-    /// Its route may only be served in other regions.
+    /// Its route may be served only in other regions.
     NotAtHome,
 }
 
@@ -138,8 +138,8 @@
             .find(|reason| reason.as_str() == name)
     }
 
-    /// Whether it says that this endpoint is the wrong one, and nothing of how
-    /// loaded the service is: another endpoint may well take the request.
+    /// Whether it concerns this endpoint only and doesn't depend on the load of the
+    /// service, so that another endpoint may well accept the request.
     pub const fn is_misplaced(self) -> bool {
         matches!(
             self,
@@ -152,20 +152,20 @@
         )
     }
 
-    /// Whether the request had come as far as the target, which refused it.
+    /// Whether the target itself received the request and refused it.
     pub const fn is_of_target(self) -> bool {
         matches!(self, Reason::TargetShed | Reason::OtherLife)
     }
 
-    /// Whether the owner of the request's key gave it after it had proved that
-    /// the key was never used: nothing of the request has run then, whichever
-    /// attempt this was.
-    pub const fn is_after_proof(self) -> bool {
+    /// Whether the owner of the request's key gives this reason only after it has
+    /// proved that the key was never used. No attempt of the request has run then,
+    /// whichever attempt this was.
+    pub const fn proves_key_unused(self) -> bool {
         self.is_overload() || matches!(self, Reason::WindowFull)
     }
 
-    /// Whether the service as a whole may be short, so that trying again costs
-    /// others their place.
+    /// Whether the whole service may be overloaded, so that a retry may displace
+    /// other requests.
     pub const fn is_overload(self) -> bool {
         matches!(
             self,
--- a/crates/core/src/outcome/refusal.rs
+++ b/crates/core/src/outcome/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals.
+//! Refusals of requests that were not handed over.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 use crate::Reason;
 use crate::Step;
 
-/// The answer to an attempt that was never handed over.
+/// The answer to an attempt that was not handed over.
 ///
 /// # Invariants
 ///
-/// The attempt that it answers was not run. Its outcome is that of the request
-/// as the caller knows it: it is [`Outcome::Unknown`] if an earlier attempt
+/// The attempt that it answers was not run. Its outcome is the outcome of the
+/// whole request for the caller: it is [`Outcome::Unknown`] if an earlier attempt
 /// with the same key may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use = "a refusal is the final answer and must reach the caller"]
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A refusal of an attempt while nothing is known of an earlier one.
+    /// A refusal of an attempt while the outcome of an earlier attempt is unknown.
     pub const fn unknown(step: Step, reason: Reason) -> Refusal {
         Refusal {
             outcome: Outcome::Unknown,
@@ -44,41 +44,41 @@
         }
     }
 
-    /// The same refusal, telling when to come back.
+    /// Sets the time after which the caller may retry.
     pub const fn after(mut self, wait: Duration) -> Refusal {
         self.retry_after = Some(wait);
         self
     }
 
-    /// The same refusal as the caller of a keyed request gets it, when earlier
-    /// attempts with the key may have been sent.
+    /// The refusal to send to the caller of a keyed request, if earlier attempts with
+    /// the key may have been sent.
     ///
-    /// That this attempt wasn't run says nothing of those: unless the key's
-    /// owner proved that it was never used, the outcome is unknown. A caller
-    /// that was told otherwise might ask anew under another key.
+    /// Earlier attempts may have run although this attempt was not run. Unless the
+    /// key's owner proved that the key was never used, the outcome is unknown. A
+    /// caller that gets another outcome might send the request again with a new key.
     pub const fn of_repeat(mut self) -> Refusal {
-        if !self.reason.is_after_proof() {
+        if !self.reason.proves_key_unused() {
             self.outcome = Outcome::Unknown;
         }
         self
     }
 
-    /// What is known of the request.
+    /// What is known about the request.
     pub const fn outcome(&self) -> Outcome {
         self.outcome
     }
 
-    /// The step at which it was refused.
+    /// The step at which the attempt was refused.
     pub const fn step(&self) -> Step {
         self.step
     }
 
-    /// Why it was refused.
+    /// Why the attempt was refused.
     pub const fn reason(&self) -> Reason {
         self.reason
     }
 
-    /// When the caller may come back, if that is known.
+    /// The time after which the caller may retry, if it is known.
     pub const fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
--- a/crates/core/src/outcome/result.rs
+++ b/crates/core/src/outcome/result.rs
@@ -1,13 +1,13 @@
-//! The two outcomes of a request without an answer.
+//! The outcomes of a request without an answer.
 
 use std::fmt;
 
-/// What is known of a request that got no answer of its target.
+/// What is known about a request that got no answer from its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// It is proved that no target has run it.
     NotRun,
-    /// It may have run, once at most.
+    /// It may have run, at most once.
     Unknown,
 }
 
--- a/crates/core/src/outcome/tests.rs
+++ b/crates/core/src/outcome/tests.rs
@@ -4,11 +4,14 @@
 use crate::Reason;
 
 #[test]
-fn names_lead_back_to_what_they_name() {
+fn each_reason_and_outcome_is_found_by_its_name() {
     let mut seen = HashSet::new();
     for reason in Reason::ALL {
         assert_eq!(Reason::from_name(reason.as_str()), Some(reason));
-        assert!(seen.insert(reason.as_str()), "{reason} stands twice");
+        assert!(
+            seen.insert(reason.as_str()),
+            "the name {reason} is used twice"
+        );
         assert!(!(reason.is_misplaced() && reason.is_overload()));
     }
     for outcome in [Outcome::NotRun, Outcome::Unknown] {
--- a/crates/core/src/patience.rs
+++ b/crates/core/src/patience.rs
@@ -1,37 +1,39 @@
-//! Telling a caller's later attempts from its first.
+//! Detection of callers' retries from the timeouts that they name.
 
 use std::time::Duration;
 
 #[cfg(test)]
 mod tests;
 
-/// Steps of an octave by which times are told apart: each is 4% longer than the
-/// one before, so that first attempts of callers that shorten the time they name
-/// by up to 15% fill four of them.
-const STEPS: f64 = 16.0;
+/// Histogram buckets per octave of timeouts. Each bucket is 4% longer than the one
+/// before, so first attempts of callers that randomly shorten their timeout by up to
+/// 15% fill four buckets.
+const BUCKETS_PER_OCTAVE: f64 = 16.0;
 
-/// Times that are counted until all counts are halved, so that callers that change
-/// their ways are followed.
+/// Number of counted timeouts at which all counts are halved, so that the histogram
+/// follows callers that change their timeouts.
 const HALVE_AFTER_SAMPLES: u32 = 512;
 
-/// A step belongs to the first attempts if it has a quarter of the fullest one's
-/// count: what is left after a refusal spreads over fifteen steps or more.
+/// A bucket belongs to the first attempts if it has at least a quarter of the count of
+/// the fullest bucket. The remaining timeouts of retries after a refusal spread over
+/// fifteen buckets or more.
 const MODE_SHARE_DIVISOR: u32 = 4;
 
-/// The most steps that first attempts fill. Times that spread over more, by a
-/// third, have nothing usual about them.
-const MAX_MODE_WIDTH_STEPS: usize = 8;
+/// The maximum number of buckets that first attempts fill. Timeouts that spread over
+/// more buckets, by a third, have no usual value.
+const MAX_MODE_WIDTH_BUCKETS: usize = 8;
 
-/// How long callers of a route wait at their first attempt.
+/// Histogram of the caller timeouts of a route, which estimates the timeout of first
+/// attempts.
 ///
-/// A caller that tries again has an attempt of its own and says how long it
-/// still waits. That alone looks like a first attempt in a hurry; but first
-/// attempts all say nearly the same time, while what is left later is spread
-/// widely below it. The times that stand closest are those of first attempts.
+/// A caller that retries sends a new request and names its remaining timeout. Such a
+/// request alone looks like a first attempt with a short timeout. But first attempts
+/// all name nearly the same timeout, while the remaining timeouts of retries spread
+/// widely below it. The most densely counted timeouts are those of first attempts.
 ///
-/// Times that are alike count as well as equal ones: callers shorten theirs by some
-/// percent at random, and one that comes back unseen takes the slot of another that
-/// could be in time.
+/// Similar timeouts are counted together, because callers shorten theirs by some
+/// percent at random. An undetected retry takes the slot of another request that
+/// could still be answered in time.
 ///
 /// # Example
 ///
@@ -51,95 +53,98 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Patience {
-    /// By step, the lowest first.
-    counted: Vec<Step>,
+    /// The filled buckets, by increasing number.
+    buckets: Vec<Bucket>,
     total: u32,
 }
 
-/// The times that were named within one step.
+/// The timeouts that were counted in one bucket.
 #[derive(Debug, Clone)]
-struct Step {
+struct Bucket {
     number: u16,
     count: u32,
     sum: Duration,
 }
 
 impl Patience {
-    /// Takes in how long a caller says that it waits.
-    pub fn note(&mut self, wait: Duration) {
-        let number = step_of(wait);
+    /// Counts the timeout that a caller named.
+    pub fn note(&mut self, timeout: Duration) {
+        let number = bucket_of(timeout);
         let at = self
-            .counted
-            .binary_search_by_key(&number, |step| step.number);
+            .buckets
+            .binary_search_by_key(&number, |bucket| bucket.number);
         match at {
             Ok(at) => {
-                self.counted[at].count += 1;
-                self.counted[at].sum += wait;
+                self.buckets[at].count += 1;
+                self.buckets[at].sum += timeout;
             }
             Err(at) => {
-                let step = Step {
+                let bucket = Bucket {
                     number,
                     count: 1,
-                    sum: wait,
+                    sum: timeout,
                 };
-                self.counted.insert(at, step);
+                self.buckets.insert(at, bucket);
             }
         }
         self.total += 1;
         if self.total >= HALVE_AFTER_SAMPLES {
-            self.forget();
+            self.halve_counts();
         }
     }
 
-    /// How long ago the first attempt was, of a caller that waits for `wait`
-    /// now; zero if this looks like the first.
-    pub fn since_first(&self, wait: Duration) -> Duration {
-        let Some(first) = self.first_attempts() else {
+    /// The time since the first attempt of a caller that now names the timeout `timeout`;
+    /// zero if this request looks like the first attempt.
+    pub fn since_first(&self, timeout: Duration) -> Duration {
+        let Some(first) = self.first_attempt_buckets() else {
             return Duration::ZERO;
         };
-        if first.iter().any(|step| step.number <= step_of(wait)) {
+        if first
+            .iter()
+            .any(|bucket| bucket.number <= bucket_of(timeout))
+        {
             return Duration::ZERO;
         }
-        let count: u32 = first.iter().map(|step| step.count).sum();
-        let sum: Duration = first.iter().map(|step| step.sum).sum();
-        (sum / count.max(1)).saturating_sub(wait)
+        let count: u32 = first.iter().map(|bucket| bucket.count).sum();
+        let sum: Duration = first.iter().map(|bucket| bucket.sum).sum();
+        (sum / count.max(1)).saturating_sub(timeout)
     }
 
-    /// The steps of first attempts: the fullest, those that are nearly as full
-    /// right below it, and all above.
-    fn first_attempts(&self) -> Option<&[Step]> {
-        let counted = self.counted.iter().enumerate();
-        let (top, fullest) = counted.max_by_key(|(_, step)| step.count)?;
+    /// The buckets of first attempts: the fullest bucket, the adjacent buckets below it
+    /// that have at least a quarter of its count, and all buckets above it.
+    fn first_attempt_buckets(&self) -> Option<&[Bucket]> {
+        let buckets = self.buckets.iter().enumerate();
+        let (top, fullest) = buckets.max_by_key(|(_, bucket)| bucket.count)?;
         let mut at = top;
         if fullest.count < 2 {
             return None;
         }
         let least = fullest.count.div_ceil(MODE_SHARE_DIVISOR);
-        while let Some(below) = at.checked_sub(1).map(|below| &self.counted[below]) {
-            if below.number + 1 != self.counted[at].number || below.count < least {
+        while let Some(below) = at.checked_sub(1).map(|below| &self.buckets[below]) {
+            if below.number + 1 != self.buckets[at].number || below.count < least {
                 break;
             }
             at -= 1;
         }
-        if top - at >= MAX_MODE_WIDTH_STEPS {
+        if top - at >= MAX_MODE_WIDTH_BUCKETS {
             return None;
         }
-        Some(&self.counted[at..])
+        Some(&self.buckets[at..])
     }
 
-    fn forget(&mut self) {
-        for step in &mut self.counted {
-            step.sum = step.sum * (step.count / 2) / step.count.max(1);
-            step.count /= 2;
+    fn halve_counts(&mut self) {
+        for bucket in &mut self.buckets {
+            bucket.sum = bucket.sum * (bucket.count / 2) / bucket.count.max(1);
+            bucket.count /= 2;
         }
-        self.counted.retain(|step| step.count > 0);
-        self.total = self.counted.iter().map(|step| step.count).sum();
+        self.buckets.retain(|bucket| bucket.count > 0);
+        self.total = self.buckets.iter().map(|bucket| bucket.count).sum();
     }
 }
 
-/// The step that a time is in; times below a millisecond are in the first.
-fn step_of(wait: Duration) -> u16 {
-    let ms = (wait.as_secs_f64() * 1_000.0).max(1.0);
-    // Far below the bound even for a day.
-    (ms.log2() * STEPS) as u16
+/// The number of the bucket of a timeout; timeouts below a millisecond are in the first.
+fn bucket_of(timeout: Duration) -> u16 {
+    let ms = (timeout.as_secs_f64() * 1_000.0).max(1.0);
+    // Even for a day, the number is far below the maximum of `u16`.
+    (ms.log2() * BUCKETS_PER_OCTAVE) as u16
 }
--- a/crates/core/src/patience/tests.rs
+++ b/crates/core/src/patience/tests.rs
@@ -6,9 +6,9 @@
     Duration::from_millis(n)
 }
 
-/// Guards against first attempts that can't be told from later ones under overload.
+/// Guards against first attempts that are not distinguished from retries under overload.
 #[test]
-fn first_attempts_stand_out_among_many_later_ones() {
+fn first_attempts_are_detected_among_many_retries() {
     let mut patience = Patience::default();
     for n in 0..500 {
         patience.note(ms(2_500));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn without_a_usual_time_every_attempt_counts_as_the_first() {
+fn without_a_usual_timeout_every_attempt_counts_as_the_first() {
     let mut patience = Patience::default();
     for n in 0..100 {
         patience.note(ms(100 + n * 13));
@@ -28,18 +28,18 @@
     assert_eq!(patience.since_first(ms(100)), Duration::ZERO);
 }
 
-// Operators give callers more time. The new time is taken over soon.
+/// Guards against an estimate that keeps the old timeout after operators raised it.
 #[test]
-fn a_new_usual_time_takes_the_place_of_the_old() {
+fn a_new_usual_timeout_replaces_the_old_one() {
     let mut patience = Patience::default();
     (0..1_000).for_each(|_| patience.note(ms(2_500)));
     (0..65).for_each(|_| patience.note(ms(4_000)));
     assert!(patience.since_first(ms(3_500)) <= ms(500));
 }
 
-/// Guards against deadlines that vary a little and are taken for later attempts.
+/// Guards against first attempts whose timeouts vary a little and are taken for retries.
 #[test]
-fn first_attempts_need_not_say_the_same_to_the_millisecond() {
+fn first_attempts_may_name_slightly_different_timeouts() {
     let mut patience = Patience::default();
     for n in 0..900 {
         patience.note(ms(1_275 + (n * 7_919) % 225));
--- a/crates/core/src/request/handed_over.rs
+++ b/crates/core/src/request/handed_over.rs
@@ -1,4 +1,4 @@
-//! The state in which nothing can be taken back.
+//! The states of a request after it was handed over to its target.
 
 use crate::Answered;
 use crate::Loss;
@@ -10,10 +10,10 @@
 use crate::Step;
 use crate::Tick;
 
-/// The request was given to a connection to the target.
+/// The state of a request that was passed to a connection to the target.
 ///
-/// It ends in an answer or a [`Loss`]. The one way back to a refusal asks for
-/// the proof that the connection took nothing:
+/// It ends in an answer or a [`Loss`]. To refuse it after all takes the proof that the
+/// connection sent nothing, or the target's answer that it did not run the request:
 ///
 /// ```compile_fail
 /// use sassafrasspool_core::HandedOver;
@@ -30,13 +30,13 @@
     pub(super) permit: Permit,
 }
 
-/// The proof that a connection took no byte of a request.
+/// The proof that a connection sent no byte of a request.
 #[derive(Debug)]
 pub struct NothingSent(());
 
 impl NothingSent {
-    /// The proof by the count of all bytes that the connection's socket took,
-    /// before the request was given to it and after it failed.
+    /// The proof from the count of all bytes that were written to the connection's
+    /// socket, before the request was passed to it and after the connection failed.
     ///
     /// # Example
     ///
@@ -52,7 +52,7 @@
 }
 
 impl Request<HandedOver> {
-    /// The target began its answer.
+    /// Records that the target began its answer.
     pub fn answered(self) -> Request<Answered> {
         let permit = self.state.permit;
         Request {
@@ -62,24 +62,24 @@
         }
     }
 
-    /// The connection failed before it took a byte: the request was not run.
+    /// Refuses the request as not run, because the connection failed before it sent a byte.
     pub fn take_back(self, now: Tick, proof: NothingSent) -> Refusal {
         let NothingSent(()) = proof;
         self.state.permit.release(now);
-        // INVARIANT: The proof says that the target can't have seen any of it.
+        // INVARIANT: The proof shows that the target received nothing of the request.
         Refusal::not_run(Step::Forward, Reason::Connect)
     }
 
-    /// The target itself said in its answer that it did not run the request.
+    /// Refuses the request because the target answered that it did not run it.
     ///
-    /// The caller of this has read that in an answer to this very request.
+    /// Call this only after reading such an answer to this same request.
     pub fn declined(self, now: Tick, reason: Reason) -> Refusal {
         self.state.permit.release(now);
-        // INVARIANT: Only the target knows, and it says that it wasn't run.
+        // INVARIANT: Only the target can state that it did not run the request, and it did.
         Refusal::not_run(Step::Forward, reason)
     }
 
-    /// No answer came, and what became of the request is unknown.
+    /// Ends the request without an answer; its outcome is unknown.
     pub fn lost(self, now: Tick, cause: LossCause) -> Loss {
         self.state.permit.release(now);
         Loss::new(Step::Forward, cause)
@@ -87,12 +87,12 @@
 }
 
 impl Request<Answered> {
-    /// The whole answer was sent on.
+    /// Ends the request after its whole answer was forwarded.
     pub fn finish(self, now: Tick) {
         self.state.permit.release(now);
     }
 
-    /// The answer was cut short, so that the caller must see an error.
+    /// Ends the request after its answer was truncated, so that the caller must get an error.
     pub fn cut(self, now: Tick, cause: LossCause) -> Loss {
         self.state.permit.release(now);
         Loss::new(Step::Forward, cause)
--- a/crates/core/src/request/states.rs
+++ b/crates/core/src/request/states.rs
@@ -1,8 +1,8 @@
-//! The states before and after the target has a request.
+//! States of a request before it is handed over and after the target began its answer.
 
 use crate::Permit;
 
-/// The request arrived and nothing was decided.
+/// The state of a request that arrived and is not admitted yet.
 #[derive(Debug)]
 pub struct Received(());
 
@@ -12,13 +12,13 @@
     }
 }
 
-/// The request holds a slot and has not been sent to the target.
+/// The state of a request that holds a slot and was not sent to the target.
 #[derive(Debug)]
 pub struct Admitted {
     pub(super) permit: Permit,
 }
 
-/// The target began its answer; the slot is held until the answer ends.
+/// The state of a request whose answer has begun; it holds its slot until the answer ends.
 #[derive(Debug)]
 pub struct Answered {
     pub(super) permit: Permit,
--- a/crates/core/src/request/tests.rs
+++ b/crates/core/src/request/tests.rs
@@ -25,19 +25,20 @@
     request.admit(permit)
 }
 
-/// Guards against an approval that runs after its caller has given up.
+/// Guards against an approval that runs after the deadline of its caller, because the
+/// process was paused between admission and hand-over.
 #[test]
-fn a_pause_before_the_hand_over_ends_the_request() {
+fn a_request_whose_deadline_passed_before_the_hand_over_is_refused() {
     let admission = Admission::new(AdmissionSettings::default(), 1).unwrap();
-    let woken = NOW + Duration::from_secs(10);
-    let refusal = admitted(&admission).hand_over(woken).unwrap_err();
+    let resumed = NOW + Duration::from_secs(10);
+    let refusal = admitted(&admission).hand_over(resumed).unwrap_err();
     assert_eq!(refusal.outcome(), Outcome::NotRun);
     assert_eq!(refusal.reason(), Reason::DeadlinePassed);
     assert_eq!(admission.load().in_flight, 0, "the slot is free again");
 }
 
 #[test]
-fn every_end_gives_the_slot_back() {
+fn every_end_of_a_request_releases_its_slot() {
     let admission = Admission::new(AdmissionSettings::default(), 1).unwrap();
     let later = NOW + Duration::from_millis(10);
     let _ = admitted(&admission).refuse(later, Step::Admission, Reason::Draining);
--- a/crates/core/src/request/whole.rs
+++ b/crates/core/src/request/unsent.rs
@@ -1,4 +1,4 @@
-//! Requests and what may happen to them until they are handed over.
+//! Requests, and the transitions until they are handed over.
 
 use crate::Admitted;
 use crate::Ask;
@@ -13,11 +13,11 @@
 use crate::Step;
 use crate::Tick;
 
-/// A request beside its target.
+/// A request at its target's node.
 ///
 /// # Invariants
 ///
-/// A value in state [`Received`] or [`Admitted`] was not sent to the target.
+/// A request in state [`Received`] or [`Admitted`] was not sent to the target.
 ///
 /// # Example
 ///
@@ -44,12 +44,12 @@
 }
 
 impl<S> Request<S> {
-    /// How urgent it is.
+    /// The priority class of the request.
     pub const fn class(&self) -> Class {
         self.class
     }
 
-    /// Until when it may run.
+    /// The deadline of the request.
     pub const fn deadline(&self) -> Deadline {
         self.deadline
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// What admission needs to know of it, with the limits of its entry.
+    /// The input to admission, with the limits of the catalogue entry.
     pub const fn ask<'a>(&self, limits: &'a Limits) -> Ask<'a> {
         Ask {
             class: self.class,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes the slot that admission gave.
+    /// Moves to the admitted state with the slot that admission granted.
     pub fn admit(self, permit: Permit) -> Request<Admitted> {
         Request {
             class: self.class,
@@ -102,9 +102,9 @@
     ///
     /// Refuses as not run if the deadline has passed.
     pub fn hand_over(self, now: Tick) -> Result<Request<HandedOver>, Refusal> {
-        // A process that was paused between admission and here would run work
-        // that its caller gave up long ago. The clock counts on during a pause,
-        // so that reading it again at this last moment finds it out.
+        // A process that was paused between admission and this point would run a
+        // request whose caller timed out long ago. The clock continues during a pause,
+        // so reading it again right before the send detects this.
         if self.deadline.passed(now) {
             self.state.permit.release(now);
             return Err(Refusal::not_run(Step::Forward, Reason::DeadlinePassed));
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Gives the slot back and refuses the request as not run.
+    /// Releases the slot and refuses the request as not run.
     pub fn refuse(self, now: Tick, step: Step, reason: Reason) -> Refusal {
         self.state.permit.release(now);
         // INVARIANT: A request in this state was not sent.
