--- a/crates/core/src/patience.rs
+++ b/crates/core/src/patience.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The time since the first attempt of a caller that now names the timeout `timeout`;
+    /// The time since the first attempt of a caller that now names `timeout`;
     /// zero if this request looks like the first attempt.
     pub fn since_first(&self, timeout: Duration) -> Duration {
         let Some(first) = self.first_attempt_buckets() else {
--- a/crates/core/src/snapshot/build.rs
+++ b/crates/core/src/snapshot/build.rs
@@ -1,4 +1,4 @@
-//! Building a snapshot.
+//! Construction of a snapshot.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,14 +22,14 @@
 use crate::ServiceName;
 use crate::Snapshot;
 
-/// Collects the parts of a snapshot.
+/// The parts of a snapshot under construction.
 #[derive(Debug)]
 pub(super) struct Builder<'a> {
     catalogue: &'a Catalogue,
     services: SlotMap<ServiceKey, BoundService>,
     by_name: HashMap<ServiceName, ServiceKey>,
     routes: RouteTable,
-    callers: CallerLimits,
+    caller_limits: CallerLimits,
     evacuations: Vec<Evacuation>,
 }
 
@@ -40,7 +40,7 @@
             services: SlotMap::with_key(),
             by_name: HashMap::new(),
             routes: RouteTable::default(),
-            callers: CallerLimits::default(),
+            caller_limits: CallerLimits::default(),
             evacuations: Vec::new(),
         }
     }
@@ -48,21 +48,21 @@
     pub(super) fn build(mut self, instances: &InstanceList) -> Result<Snapshot, Faults> {
         let weights = check(self.catalogue)?;
         if let Some(CatalogueItem::Callers(limits)) = self.catalogue.get(&ItemKey::Callers) {
-            self.callers = *limits;
+            self.caller_limits = *limits;
         }
         self.add_evacuations();
         self.add_services();
         self.add_routes(&weights);
-        // INVARIANT: Every key was given out by the maps that go in here.
+        // INVARIANT: Every key was created by the maps that are moved into the snapshot.
         let mut snapshot = Snapshot {
             catalogue: self.catalogue.version(),
             instances: instances.version(),
             services: self.services,
             by_name: Arc::new(self.by_name),
             endpoints: SlotMap::with_key(),
-            in_order: Vec::new(),
+            endpoints_by_id: Vec::new(),
             routes: Arc::new(self.routes),
-            callers: self.callers,
+            caller_limits: self.caller_limits,
             evacuations: Arc::from(self.evacuations),
         };
         snapshot.add_endpoints(instances);
@@ -96,7 +96,7 @@
                 continue;
             };
             for route in &entry.routes {
-                // The check found every service, so that none is passed over.
+                // The check found every service, so no route is skipped.
                 let first = route.services().next();
                 let Some(&service) = first.and_then(|name| self.by_name.get(name)) else {
                     continue;
--- a/crates/core/src/snapshot/check.rs
+++ b/crates/core/src/snapshot/check.rs
@@ -1,4 +1,4 @@
-//! What must hold across the entries of a catalogue.
+//! Checks across the entries of a catalogue.
 
 use std::collections::HashMap;
 
@@ -18,13 +18,13 @@
 pub(super) struct Weights<'a>(HashMap<&'a KindName, u32>);
 
 impl Weights<'_> {
-    /// The weight of a kind; one if it isn't declared.
+    /// The weight of a kind; 1 if the kind isn't declared.
     pub(super) fn of(&self, kind: &KindName) -> u32 {
         self.0.get(kind).copied().unwrap_or(1)
     }
 }
 
-/// Checks a whole catalogue and returns its weights.
+/// Checks a whole catalogue and returns the weights of its kinds.
 ///
 /// # Errors
 ///
@@ -41,44 +41,45 @@
 
 /// Every fault across the entries of a catalogue.
 ///
-/// What stands in `faulty` is taken to be there: it has faults of its own, and
-/// that others name it is not one more.
+/// Entries in `faulty` are assumed to exist: their own faults are reported already, and
+/// a reference to such an entry is not another fault.
 pub(crate) fn check_across_entries(catalogue: &Catalogue, faulty: &[ItemKey]) -> Faults {
     let mut faults = Faults::new();
-    let mut taken = HashMap::new();
-    let known = |key: ItemKey| catalogue.get(&key).is_some() || faulty.contains(&key);
+    let mut service_by_path = HashMap::new();
+    let exists = |key: ItemKey| catalogue.get(&key).is_some() || faulty.contains(&key);
     for item in catalogue.iter() {
         if let CatalogueItem::Service(entry) = item {
-            check_entry(&known, entry, &mut taken, &mut faults);
+            check_entry(&exists, entry, &mut service_by_path, &mut faults);
         }
     }
     faults
 }
 
 fn check_entry<'a>(
-    known: &impl Fn(ItemKey) -> bool,
+    exists: &impl Fn(ItemKey) -> bool,
     entry: &'a ServiceEntry,
-    taken: &mut HashMap<(Option<&'a HostName>, &'a RoutePath), &'a ServiceName>,
+    service_by_path: &mut HashMap<(Option<&'a HostName>, &'a RoutePath), &'a ServiceName>,
     faults: &mut Faults,
 ) {
     for (i, route) in entry.routes.iter().enumerate() {
         let place = format!("{}.routes[{i}]", entry.name);
-        check_route(known, &place, route, faults);
-        if let Some(other) = taken.insert((route.host.as_ref(), &route.path), &entry.name) {
+        check_route(exists, &place, route, faults);
+        if let Some(other) = service_by_path.insert((route.host.as_ref(), &route.path), &entry.name)
+        {
             let reason = format!("{} is already taken by {other}", route.path);
             faults.add(&place, "path", reason);
         }
     }
 }
 
-fn check_route(known: &impl Fn(ItemKey) -> bool, place: &str, route: &Route, faults: &mut Faults) {
+fn check_route(exists: &impl Fn(ItemKey) -> bool, place: &str, route: &Route, faults: &mut Faults) {
     for service in route.services() {
-        if !known(ItemKey::Service(service.clone())) {
+        if !exists(ItemKey::Service(service.clone())) {
             let reason = format!("there is no service {service}");
             faults.add(place, "service", reason);
         }
     }
-    if !known(ItemKey::Kind(route.kind.clone())) {
+    if !exists(ItemKey::Kind(route.kind.clone())) {
         let reason = format!("there is no kind {}", route.kind);
         faults.add(place, "kind", reason);
     }
--- a/crates/core/src/snapshot/endpoint.rs
+++ b/crates/core/src/snapshot/endpoint.rs
@@ -1,17 +1,17 @@
-//! Endpoints of services.
+//! Endpoints of a snapshot.
 
 use crate::Instance;
 use crate::ServiceKey;
 
 slotmap::new_key_type! {
-    /// Names an endpoint within one snapshot.
+    /// The key of an endpoint within one snapshot.
     pub struct EndpointKey;
 }
 
-/// An instance as an endpoint of a service that the snapshot holds.
+/// An instance as an endpoint of a service of the same snapshot.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// The service that it belongs to.
+    /// The service to which it belongs.
     pub service: ServiceKey,
     /// The instance as the platform lists it.
     pub instance: Instance,
--- a/crates/core/src/snapshot/whole.rs
+++ b/crates/core/src/snapshot/index.rs
@@ -1,4 +1,4 @@
-//! The snapshot itself.
+//! The snapshot, with its lookups of services, endpoints and routes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,13 +24,13 @@
 use crate::ServiceName;
 use crate::Version;
 
-/// A catalogue and an instance list, bound together.
+/// A catalogue bound to an instance list.
 ///
 /// # Invariants
 ///
-/// Every service key of a route or an endpoint names a service of `services`,
-/// and every endpoint key of a service an endpoint of `endpoints`. `in_order` names
-/// each endpoint once.
+/// Every service key of a route or an endpoint is a key of `services`, and every
+/// endpoint key of a service is a key of `endpoints`. `endpoints_by_id` contains the
+/// key of each endpoint once.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
     pub(super) catalogue: Version,
@@ -38,44 +38,44 @@
     pub(super) services: SlotMap<ServiceKey, BoundService>,
     pub(super) by_name: Arc<HashMap<ServiceName, ServiceKey>>,
     pub(super) endpoints: SlotMap<EndpointKey, Endpoint>,
-    /// All endpoints, in the order of their instance ids.
-    pub(super) in_order: Vec<EndpointKey>,
+    /// The keys of all endpoints, in the order of their instance ids.
+    pub(super) endpoints_by_id: Vec<EndpointKey>,
     pub(super) routes: Arc<RouteTable>,
-    pub(super) callers: CallerLimits,
-    /// The failure domains whose targets get no new work.
+    pub(super) caller_limits: CallerLimits,
+    /// The failure domains whose targets receive no new requests.
     pub(super) evacuations: Arc<[Evacuation]>,
 }
 
 impl Snapshot {
     /// Binds a catalogue and an instance list.
     ///
-    /// Instances of services that the catalogue doesn't have are left out: the
-    /// list lags, and a service may go before its instances do.
+    /// Instances of services that the catalogue doesn't contain are left out: the list
+    /// lags, and a service may be removed before its instances.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the catalogue: a route to a service that isn't
-    /// there, a kind that isn't declared, a path that is taken twice.
+    /// Returns every fault of the catalogue: a route to a missing service, an
+    /// undeclared kind, or a path of two routes.
     pub fn build(catalogue: &Catalogue, instances: &InstanceList) -> Result<Snapshot, Faults> {
         Builder::new(catalogue).build(instances)
     }
 
     /// The same catalogue, bound to another instance list.
     ///
-    /// Lists change far more often than catalogues, and whenever a fleet is
-    /// renewed. Routes depend on the catalogue alone and are shared: to build all of
-    /// them anew would hold up a node with a tenth of a core for milliseconds.
+    /// Lists change far more often than catalogues, and whenever the instances of a
+    /// fleet are replaced. Routes depend only on the catalogue and are shared: building
+    /// all of them again would block a node with a tenth of a core for milliseconds.
     pub fn with_instances(&self, instances: &InstanceList) -> Snapshot {
-        // What the endpoints are made of isn't copied only to be dropped.
+        // The fields are set one by one, so that no endpoints are copied and then dropped.
         let mut bound = Snapshot {
             catalogue: self.catalogue,
             instances: instances.version(),
             services: self.services.clone(),
             by_name: Arc::clone(&self.by_name),
             endpoints: SlotMap::with_key(),
-            in_order: Vec::new(),
+            endpoints_by_id: Vec::new(),
             routes: Arc::clone(&self.routes),
-            callers: self.callers,
+            caller_limits: self.caller_limits,
             evacuations: Arc::clone(&self.evacuations),
         };
         for service in bound.services.values_mut() {
@@ -94,10 +94,10 @@
                 service,
                 instance: instance.clone(),
             });
-            // INVARIANT: The service is one of those that its name leads to, and
-            // the list is in the order of its ids.
+            // INVARIANT: The key comes from `by_name`, which has only keys of `services`,
+            // and the list is in the order of its ids.
             self.services[service].endpoints.push(key);
-            self.in_order.push(key);
+            self.endpoints_by_id.push(key);
         }
     }
 
@@ -135,8 +135,10 @@
     /// The endpoint of an instance.
     pub fn find_endpoint(&self, id: &InstanceId) -> Option<EndpointKey> {
         let id_of = |key: &EndpointKey| &self.endpoints[*key].instance.id;
-        let place = self.in_order.binary_search_by(|key| id_of(key).cmp(id));
-        place.ok().map(|place| self.in_order[place])
+        let position = self
+            .endpoints_by_id
+            .binary_search_by(|key| id_of(key).cmp(id));
+        position.ok().map(|position| self.endpoints_by_id[position])
     }
 
     /// The endpoints of a service, in the order of their instance ids.
@@ -148,46 +150,46 @@
         keys.filter_map(|key| self.endpoints.get(key).map(|endpoint| (key, endpoint)))
     }
 
-    /// All routes: those of any host, then those of each host, in the order of
+    /// All routes: first those of any host, then those of each host, in the order of
     /// their paths.
     pub fn routes(&self) -> impl Iterator<Item = &BoundRoute> {
         self.routes.iter()
     }
 
-    /// The route of a request: among those of its host, or else of any host,
-    /// the one with the longest path that takes `path`, which has no query.
+    /// The route of a request: the route of its host with the longest path that matches
+    /// `path`, or otherwise such a route of any host. `path` has no query.
     pub fn match_route(&self, host: Option<&str>, path: &str) -> Option<&BoundRoute> {
         self.routes.find(host, path)
     }
 
-    /// Whether a route may not be served in every region.
+    /// Whether a route is restricted to some regions.
     pub fn has_homes(&self) -> bool {
         self.routes.has_homes()
     }
 
-    /// The failure domains whose targets get no new work.
+    /// The failure domains whose targets receive no new requests.
     pub fn evacuations(&self) -> &[Evacuation] {
         &self.evacuations
     }
 
-    /// Whether the targets of a failure domain get no new work.
+    /// Whether a failure domain is evacuated, so that its targets receive no new requests.
     pub fn is_evacuated(&self, domain: &DomainName) -> bool {
         self.evacuations.iter().any(|it| it.domain == *domain)
     }
 
-    /// Whether the target of an instance gets new work: it isn't about to leave, and its
-    /// failure domain isn't evacuated.
+    /// Whether the target of an instance receives new requests: it isn't leaving, and
+    /// its failure domain isn't evacuated.
     pub fn takes_work(&self, instance: &Instance) -> bool {
         instance.state == InstanceState::Live && !self.is_evacuated(&instance.domain)
     }
 
     /// The number of endpoints of all services.
     pub fn endpoint_count(&self) -> usize {
-        self.in_order.len()
+        self.endpoints_by_id.len()
     }
 
-    /// What callers may send.
+    /// The limits on requests and connections of callers.
     pub fn callers(&self) -> &CallerLimits {
-        &self.callers
+        &self.caller_limits
     }
 }
--- a/crates/core/src/snapshot/route.rs
+++ b/crates/core/src/snapshot/route.rs
@@ -3,33 +3,33 @@
 use crate::Route;
 use crate::ServiceKey;
 
-/// A route together with the services that it leads to.
+/// A route with the keys of its services.
 #[derive(Debug, Clone)]
 pub struct BoundRoute {
     /// The route as the catalogue describes it.
     pub route: Route,
-    /// The service, which the same snapshot holds; the first of a split.
+    /// The service, which is in the same snapshot; the first one of a split.
     pub service: ServiceKey,
-    /// How requests are divided; empty if all go to `service`.
+    /// How requests are divided among services; empty if all go to `service`.
     pub split: Vec<BoundShare>,
-    /// How much one answered request counts, by its kind.
+    /// The weight of one answered request, from its kind.
     pub weight: u32,
 }
 
-/// One service's part of a route's requests.
+/// One service's share of a route's requests.
 #[derive(Debug, Clone, Copy)]
 pub struct BoundShare {
-    /// The service, which the same snapshot holds.
+    /// The service, which is in the same snapshot.
     pub service: ServiceKey,
-    /// Its part, in proportion to the weights of the others.
+    /// Its share in proportion to the weights of the others.
     pub weight: u32,
 }
 
 impl BoundRoute {
-    /// The service of one request, by a number that was drawn at random for it.
+    /// Chooses the service of one request from a random number `draw`.
     ///
-    /// Each request is drawn by itself, so that the shares hold at every node
-    /// without its knowing of the others' requests.
+    /// Each request is drawn independently, so that the shares hold at every node
+    /// without data about the requests of other nodes.
     pub fn choose(&self, draw: u64) -> ServiceKey {
         let total: u64 = self.split.iter().map(|share| u64::from(share.weight)).sum();
         if total == 0 {
--- a/crates/core/src/snapshot/service.rs
+++ b/crates/core/src/snapshot/service.rs
@@ -6,7 +6,7 @@
 use crate::ServiceEntry;
 
 slotmap::new_key_type! {
-    /// Names a service within one snapshot.
+    /// The key of a service within one snapshot.
     pub struct ServiceKey;
 }
 
@@ -15,6 +15,6 @@
 pub struct BoundService {
     /// The service as the catalogue describes it.
     pub entry: Arc<ServiceEntry>,
-    /// Its endpoints, by instance id; may be empty.
+    /// Its endpoints, in the order of their instance ids; may be empty.
     pub endpoints: Vec<EndpointKey>,
 }
--- a/crates/core/src/snapshot/table.rs
+++ b/crates/core/src/snapshot/table.rs
@@ -1,4 +1,4 @@
-//! Routes by host and path.
+//! The route table, indexed by host and path.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -15,12 +15,12 @@
 pub(super) struct RouteTable {
     by_host: HashMap<HostName, ByPath>,
     any_host: ByPath,
-    /// Whether a route may not be served everywhere.
+    /// Whether a route is restricted to some regions.
     has_homes: bool,
 }
 
 impl RouteTable {
-    /// Takes a route in under its host and path.
+    /// Adds a route under its host and path.
     pub(super) fn insert(&mut self, bound: BoundRoute) {
         let path = bound.route.path.clone();
         self.has_homes |= !bound.route.homes.is_anywhere();
@@ -31,7 +31,7 @@
         routes.insert(path, bound);
     }
 
-    /// Whether a route may not be served everywhere.
+    /// Whether a route is restricted to some regions.
     pub(super) fn has_homes(&self) -> bool {
         self.has_homes
     }
@@ -42,15 +42,15 @@
         self.any_host.values().chain(of_hosts)
     }
 
-    /// The route with the longest path that takes `path`: of the host's own if
-    /// one does, else of any host's.
+    /// The route with the longest path that matches `path`: among the routes of the
+    /// host if one matches, otherwise among the routes of any host.
     pub(super) fn find(&self, host: Option<&str>, path: &str) -> Option<&BoundRoute> {
-        let own = host.and_then(|host| self.of_host(strip_port(host)));
-        let own = own.and_then(|routes| longest(routes, path));
-        own.or_else(|| longest(&self.any_host, path))
+        let routes = host.and_then(|host| self.routes_of_host(strip_port(host)));
+        let found = routes.and_then(|routes| longest_match(routes, path));
+        found.or_else(|| longest_match(&self.any_host, path))
     }
 
-    fn of_host(&self, host: &str) -> Option<&ByPath> {
+    fn routes_of_host(&self, host: &str) -> Option<&ByPath> {
         match self.by_host.get(host) {
             Some(routes) => Some(routes),
             None if host.bytes().any(|byte| byte.is_ascii_uppercase()) => {
@@ -61,17 +61,17 @@
     }
 }
 
-/// Looks for ever shorter parts of `path`: whole segments, each with the slash
-/// that follows it and then without.
-fn longest<'a>(routes: &'a ByPath, path: &str) -> Option<&'a BoundRoute> {
-    let mut part = path;
-    while !part.is_empty() {
-        if let Some(found) = routes.get(part) {
+/// Looks up ever shorter prefixes of `path` by whole segments, each one first with and
+/// then without its trailing slash.
+fn longest_match<'a>(routes: &'a ByPath, path: &str) -> Option<&'a BoundRoute> {
+    let mut prefix = path;
+    while !prefix.is_empty() {
+        if let Some(found) = routes.get(prefix) {
             return Some(found);
         }
-        part = match part.strip_suffix('/') {
-            Some(cut) => cut,
-            None => &part[..=part.rfind('/')?],
+        prefix = match prefix.strip_suffix('/') {
+            Some(shorter) => shorter,
+            None => &prefix[..=prefix.rfind('/')?],
         };
     }
     None
--- a/crates/core/src/snapshot/tests.rs
+++ b/crates/core/src/snapshot/tests.rs
@@ -44,7 +44,7 @@
 #[case(Matched { path: "/claims/approve", service: "adjuster-desk" })]
 #[case(Matched { path: "/claims/approve/7/", service: "adjuster-desk" })]
 #[case(Matched { path: "/claims/approved", service: "workshop-desk" })]
-fn the_longest_path_by_whole_segments_wins(#[case] case: Matched) {
+fn the_longest_path_that_matches_whole_segments_is_chosen(#[case] case: Matched) {
     let snapshot = build(GOOD).unwrap();
     let found = snapshot.match_route(None, case.path).unwrap();
     let service = snapshot.service(found.service).unwrap();
@@ -55,23 +55,23 @@
 struct Broken {
     from: &'static str,
     to: &'static str,
-    told: &'static str,
+    expected: &'static str,
 }
 
-/// Guards against a version in force whose route leads nowhere.
+/// Guards against a version that is applied although a route names a missing service or kind.
 #[rstest]
 #[case(Broken { from: "service: adjuster-desk}", to: "service: appeals}",
-    told: "workshop-desk.routes[1]: service: there is no service appeals" })]
+    expected: "workshop-desk.routes[1]: service: there is no service appeals" })]
 #[case(Broken { from: "kind: approval", to: "kind: payout",
-    told: "workshop-desk.routes[1]: kind: there is no kind payout" })]
+    expected: "workshop-desk.routes[1]: kind: there is no kind payout" })]
 #[case(Broken { from: "path: /claims/approve", to: "path: /",
-    told: "workshop-desk.routes[1]: path: / is already taken by workshop-desk" })]
-fn a_route_without_what_it_names_refuses_the_whole_version(#[case] case: Broken) {
+    expected: "workshop-desk.routes[1]: path: / is already taken by workshop-desk" })]
+fn a_version_with_a_fault_in_a_route_is_rejected(#[case] case: Broken) {
     let faults = build(&GOOD.replace(case.from, case.to)).unwrap_err();
-    assert_eq!(faults.to_string(), case.told);
+    assert_eq!(faults.to_string(), case.expected);
 }
 
-/// What a snapshot says of its endpoints: service and instance, in order.
+/// The service and instance of each endpoint of a snapshot, sorted.
 fn endpoints(snapshot: &Snapshot) -> Vec<(String, String)> {
     let of_service = |service: &BoundService| {
         let endpoints = snapshot.endpoints_of(service);
@@ -94,9 +94,9 @@
     InstanceList::new(Revision::new(revision).unwrap(), instances).unwrap()
 }
 
-/// Guards against endpoints of an old list that a new snapshot keeps.
+/// Guards against endpoints of an old list that stay in the snapshot with a new list.
 #[test]
-fn another_list_gives_what_building_anew_does() {
+fn replacing_the_list_equals_building_from_scratch() {
     let revision = Revision::new(1).unwrap();
     let catalogue = Catalogue::new(revision, catalogue::parse(GOOD).unwrap()).unwrap();
     let lists = [
@@ -115,13 +115,15 @@
     let mut bound = Snapshot::build(&catalogue, &lists[0]).unwrap();
     for list in &lists {
         bound = bound.with_instances(list);
-        let anew = Snapshot::build(&catalogue, list).unwrap();
-        assert_eq!(endpoints(&bound), endpoints(&anew));
-        assert_eq!(bound.instances(), anew.instances());
+        let rebuilt = Snapshot::build(&catalogue, list).unwrap();
+        assert_eq!(endpoints(&bound), endpoints(&rebuilt));
+        assert_eq!(bound.instances(), rebuilt.instances());
         for id in ["a", "b", "c", "d"] {
             let id = InstanceId::new(id).unwrap();
             let found = bound.find_endpoint(&id).and_then(|key| bound.endpoint(key));
-            let listed = endpoints(&anew).iter().any(|(_, it)| *it == id.to_string());
+            let listed = endpoints(&rebuilt)
+                .iter()
+                .any(|(_, it)| *it == id.to_string());
             assert_eq!(found.map(|it| &it.instance.id), listed.then_some(&id));
         }
         let routed = bound.match_route(None, "/claims/approve").unwrap();
--- a/crates/core/src/yaml.rs
+++ b/crates/core/src/yaml.rs
@@ -1,9 +1,9 @@
-//! Reading YAML so that every fault is told at once, each with its place.
+//! YAML parsing that reports every fault at once, each with its place.
 //!
-//! A derived reader stops at its first fault. Operators who fix a catalogue
-//! or settings file want the whole list, so the text is first read into a
-//! [`Tree`] by the YAML library and then taken apart by [`Table`], which
-//! notes what is missing, unknown or out of range and goes on.
+//! A derived deserializer stops at its first fault. Operators who fix a catalogue or
+//! settings file need the whole list. The YAML library therefore first parses the
+//! text into a [`Tree`]. A [`Table`] then reads the tree field by field, records what
+//! is missing, unknown or out of range, and continues.
 
 pub use self::table::Table;
 pub use self::tree::Field;
@@ -18,23 +18,23 @@
 mod tests;
 mod tree;
 
-/// Reads a text into a tree.
+/// Parses a text into a tree.
 ///
 /// # Errors
 ///
-/// Fails with the one fault at which the text stops being YAML: a key that
-/// stands twice is such a fault.
+/// Fails with the first fault in the syntax of the text. A duplicate key is such a
+/// fault.
 pub fn parse(text: &str) -> Result<Tree, Faults> {
-    let read = serde_saphyr::from_str::<serde_saphyr::Spanned<Tree>>(text);
-    read.map(|spanned| spanned.value).map_err(|err| {
-        let place = err.location().map(|at| place_of(&at));
+    let parsed = serde_saphyr::from_str::<serde_saphyr::Spanned<Tree>>(text);
+    parsed.map(|spanned| spanned.value).map_err(|err| {
+        let place = err.location().map(|at| to_place(&at));
         let mut faults = Faults::new();
         faults.add_at(place, "", "", err.without_snippet().to_string());
         faults
     })
 }
 
-fn place_of(at: &serde_saphyr::Location) -> Place {
+fn to_place(at: &serde_saphyr::Location) -> Place {
     Place {
         line: usize::try_from(at.line()).unwrap_or(usize::MAX),
         column: usize::try_from(at.column()).unwrap_or(usize::MAX),
--- a/crates/core/src/yaml/table.rs
+++ b/crates/core/src/yaml/table.rs
@@ -1,4 +1,4 @@
-//! Taking a table apart, field by field, noting every fault.
+//! Reading of a table field by field, which records every fault.
 
 use std::ops::RangeInclusive;
 
@@ -11,9 +11,9 @@
 
 /// A table that is being read.
 ///
-/// Each method that reads a field takes it out; [`Table::finish`] then notes
-/// what is left as unknown. A method that finds a fault notes it and returns
-/// `None`, so that reading goes on with the next field.
+/// Each method that reads a field removes it; [`Table::finish`] then reports the
+/// remaining fields as unknown. A method that finds a fault records it and returns
+/// `None`, so that reading continues with the next field.
 #[derive(Debug)]
 pub struct Table<'t> {
     entry: String,
@@ -22,9 +22,9 @@
 }
 
 impl<'t> Table<'t> {
-    /// Begins to read `tree`, which belongs to the entry named `entry`.
+    /// Starts reading `tree`, which belongs to the entry named `entry`.
     ///
-    /// Returns `None` and notes a fault if it isn't a table.
+    /// Returns `None` and records a fault if it isn't a table.
     pub fn open(
         entry: impl Into<String>,
         tree: &'t Tree,
@@ -54,15 +54,15 @@
         self.place
     }
 
-    /// Takes a field that may be missing.
+    /// Removes and returns a field that may be missing.
     pub fn optional(&mut self, key: &str) -> Option<&'t Placed> {
         let at = self.fields.iter().position(|field| field.key == key)?;
         let field = self.fields.remove(at);
-        let missing = matches!(field.value.tree, Tree::Scalar(Scalar::Null));
-        (!missing).then_some(&field.value)
+        let is_null = matches!(field.value.tree, Tree::Scalar(Scalar::Null));
+        (!is_null).then_some(&field.value)
     }
 
-    /// Takes a field that must be there.
+    /// Removes and returns a required field.
     pub fn required(&mut self, key: &str, faults: &mut Faults) -> Option<&'t Placed> {
         let found = self.optional(key);
         if found.is_none() {
@@ -71,12 +71,12 @@
         found
     }
 
-    /// Takes all fields that are left, as for a table whose keys are names.
+    /// Removes and returns all remaining fields, for instance of a table whose keys are names.
     pub fn rest(&mut self) -> Vec<&'t Field> {
         std::mem::take(&mut self.fields)
     }
 
-    /// Takes a required text and checks it by `check`.
+    /// Reads a required text and checks it with `check`.
     pub fn text<T, E: ToString>(
         &mut self,
         key: &str,
@@ -84,10 +84,10 @@
         check: impl FnOnce(&str) -> Result<T, E>,
     ) -> Option<T> {
         let placed = self.required(key, faults)?;
-        self.checked_text(key, placed, faults, check)
+        self.check_text(key, placed, faults, check)
     }
 
-    /// Takes a text that may be missing and checks it by `check`.
+    /// Reads a text that may be missing and checks it with `check`.
     pub fn optional_text<T, E: ToString>(
         &mut self,
         key: &str,
@@ -95,10 +95,10 @@
         check: impl FnOnce(&str) -> Result<T, E>,
     ) -> Option<T> {
         let placed = self.optional(key)?;
-        self.checked_text(key, placed, faults, check)
+        self.check_text(key, placed, faults, check)
     }
 
-    /// Takes a required whole number within `range`.
+    /// Reads a required whole number within `range`.
     pub fn number(
         &mut self,
         key: &str,
@@ -106,10 +106,10 @@
         faults: &mut Faults,
     ) -> Option<u64> {
         let placed = self.required(key, faults)?;
-        self.checked_number(key, placed, range, faults)
+        self.check_number(key, placed, range, faults)
     }
 
-    /// Takes a whole number within `range`, or `default` if it is missing.
+    /// Reads a whole number within `range`, or returns `default` if it is missing.
     pub fn number_or(
         &mut self,
         key: &str,
@@ -118,12 +118,12 @@
         faults: &mut Faults,
     ) -> Option<u64> {
         match self.optional(key) {
-            Some(placed) => self.checked_number(key, placed, range, faults),
+            Some(placed) => self.check_number(key, placed, range, faults),
             None => Some(default),
         }
     }
 
-    /// Takes a truth value, or `default` if it is missing.
+    /// Reads a boolean, or returns `default` if it is missing.
     pub fn flag_or(&mut self, key: &str, default: bool, faults: &mut Faults) -> Option<bool> {
         let Some(placed) = self.optional(key) else {
             return Some(default);
@@ -131,25 +131,25 @@
         if let Tree::Scalar(Scalar::Bool(value)) = placed.tree {
             return Some(value);
         }
-        self.mismatch(key, placed, "true or false", faults);
+        self.add_type_fault(key, placed, "true or false", faults);
         None
     }
 
-    /// Takes a table that may be missing.
+    /// Reads a table that may be missing.
     pub fn table(&mut self, key: &str, faults: &mut Faults) -> Option<Table<'t>> {
         let placed = self.optional(key)?;
-        let entry = self.nested(key);
+        let entry = self.nested_entry(key);
         Table::open(entry, &placed.tree, placed.place, faults)
     }
 
-    /// Takes a table that must be there.
+    /// Reads a required table.
     pub fn required_table(&mut self, key: &str, faults: &mut Faults) -> Option<Table<'t>> {
         let placed = self.required(key, faults)?;
-        let entry = self.nested(key);
+        let entry = self.nested_entry(key);
         Table::open(entry, &placed.tree, placed.place, faults)
     }
 
-    /// Takes a list that may be missing; it is then empty.
+    /// Reads a list; a missing list is empty.
     pub fn list(&mut self, key: &str, faults: &mut Faults) -> &'t [Placed] {
         let Some(placed) = self.optional(key) else {
             return &[];
@@ -157,25 +157,25 @@
         if let Tree::List(items) = &placed.tree {
             return items;
         }
-        self.mismatch(key, placed, "a list", faults);
+        self.add_type_fault(key, placed, "a list", faults);
         &[]
     }
 
-    /// Notes each field that nobody took as unknown.
+    /// Reports each field that was not read as unknown.
     pub fn finish(self, faults: &mut Faults) {
         for field in self.fields {
             faults.add_at(Some(field.place), &self.entry, &field.key, "is unknown");
         }
     }
 
-    fn nested(&self, key: &str) -> String {
+    fn nested_entry(&self, key: &str) -> String {
         if self.entry.is_empty() {
             return key.to_owned();
         }
         format!("{}.{key}", self.entry)
     }
 
-    fn checked_text<T, E: ToString>(
+    fn check_text<T, E: ToString>(
         &self,
         key: &str,
         placed: &Placed,
@@ -183,7 +183,7 @@
         check: impl FnOnce(&str) -> Result<T, E>,
     ) -> Option<T> {
         let Tree::Scalar(Scalar::Text(text)) = &placed.tree else {
-            self.mismatch(key, placed, "text", faults);
+            self.add_type_fault(key, placed, "text", faults);
             return None;
         };
         match check(text) {
@@ -195,7 +195,7 @@
         }
     }
 
-    fn checked_number(
+    fn check_number(
         &self,
         key: &str,
         placed: &Placed,
@@ -203,7 +203,7 @@
         faults: &mut Faults,
     ) -> Option<u64> {
         let Tree::Scalar(Scalar::Unsigned(n)) = placed.tree else {
-            self.mismatch(key, placed, "a whole number", faults);
+            self.add_type_fault(key, placed, "a whole number", faults);
             return None;
         };
         if range.contains(&n) {
@@ -214,8 +214,8 @@
         None
     }
 
-    fn mismatch(&self, key: &str, placed: &Placed, wanted: &str, faults: &mut Faults) {
-        let reason = format!("must be {wanted}, is {}", placed.tree.describe());
+    fn add_type_fault(&self, key: &str, placed: &Placed, expected: &str, faults: &mut Faults) {
+        let reason = format!("must be {expected}, is {}", placed.tree.describe());
         faults.add_at(Some(placed.place), &self.entry, key, reason);
     }
 }
--- a/crates/core/src/yaml/tree.rs
+++ b/crates/core/src/yaml/tree.rs
@@ -1,4 +1,4 @@
-//! A YAML value with the places of its parts.
+//! YAML values with the places of their parts.
 
 use std::fmt;
 
@@ -9,10 +9,10 @@
 use serde::de::Visitor;
 use serde_saphyr::Spanned;
 
-use super::place_of;
+use super::to_place;
 use crate::Place;
 
-/// A value of any shape.
+/// A YAML value.
 #[derive(Debug, Clone)]
 pub enum Tree {
     /// A single value.
@@ -26,19 +26,19 @@
 /// A single value.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Scalar {
-    /// Nothing.
+    /// The null value.
     Null,
-    /// True or false.
+    /// A boolean.
     Bool(bool),
-    /// A whole number that isn't negative.
+    /// A non-negative whole number.
     Unsigned(u64),
     /// Any other number.
     Float(f64),
-    /// Text.
+    /// A text.
     Text(String),
 }
 
-/// A value and where it stands.
+/// A value with its place.
 #[derive(Debug, Clone)]
 pub struct Placed {
     /// The value.
@@ -59,7 +59,7 @@
 }
 
 impl Tree {
-    /// What kind of value this is, for messages.
+    /// The type of this value, for messages.
     pub fn describe(&self) -> &'static str {
         match self {
             Tree::Scalar(Scalar::Null) => "nothing",
@@ -75,7 +75,7 @@
 impl Placed {
     fn from_spanned(spanned: Spanned<Tree>) -> Placed {
         Placed {
-            place: place_of(&spanned.referenced),
+            place: to_place(&spanned.referenced),
             tree: spanned.value,
         }
     }
@@ -150,7 +150,7 @@
         while let Some(key) = map.next_key::<Spanned<String>>()? {
             let value = map.next_value::<Spanned<Tree>>()?;
             fields.push(Field {
-                place: place_of(&key.referenced),
+                place: to_place(&key.referenced),
                 key: key.value,
                 value: Placed::from_spanned(value),
             });
