--- a/crates/core/src/class.rs
+++ b/crates/core/src/class.rs
@@ -13,7 +13,7 @@
 pub enum Class {
     /// Approvals, sign-offs and deductions, which are served first.
     Critical,
-    /// Lookups and other interactive work.
+    /// Lookups and other interactive requests.
     Standard,
     /// Requests that may wait for hours, such as archive retrievals.
     Background,
--- a/crates/core/src/request/handed_over.rs
+++ b/crates/core/src/request/handed_over.rs
@@ -12,8 +12,8 @@
 
 /// The state of a request that was passed to a connection to the target.
 ///
-/// It ends in an answer or a [`Loss`]. To refuse it after all takes the proof that the
-/// connection sent nothing, or the target's answer that it did not run the request:
+/// It ends in an answer or a [`Loss`]. It can be refused only with the proof that the
+/// connection sent nothing, or after the target answered that it did not run it:
 ///
 /// ```compile_fail
 /// use sassafrasspool_core::HandedOver;
--- a/crates/core/tests/requests/endpoint.rs
+++ b/crates/core/tests/requests/endpoint.rs
@@ -1,4 +1,4 @@
-//! A target with the node beside it.
+//! A simulated target with its node.
 
 use sassafrasspool_core::Admission;
 use sassafrasspool_core::AdmissionSettings;
@@ -9,7 +9,7 @@
 use sassafrasspool_core::Serving;
 use sassafrasspool_core::Tick;
 
-/// The stage of a target.
+/// The lifecycle stage of a target.
 #[derive(Debug)]
 pub(crate) enum Stage {
     Up(Drain<Serving>),
@@ -17,7 +17,7 @@
     Down,
 }
 
-/// A target, which can crash and come back.
+/// A target, which can crash and restart.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) instance: Instance,
@@ -25,9 +25,9 @@
     pub(crate) stage: Stage,
     pub(crate) incarnation: u64,
     pub(crate) slowness: u64,
-    pub(crate) lies: bool,
+    pub(crate) reports_idle: bool,
     pub(crate) running: u32,
-    pub(crate) leaves_by: Tick,
+    pub(crate) stops_at_latest: Tick,
 }
 
 impl Endpoint {
@@ -39,13 +39,13 @@
             stage: Stage::Up(Drain::serving()),
             incarnation: 1,
             slowness: 1,
-            lies: false,
+            reports_idle: false,
             running: 0,
-            leaves_by: Tick::ZERO,
+            stops_at_latest: Tick::ZERO,
         }
     }
 
-    /// Its process is replaced by a new one.
+    /// Replaces the process with a new one.
     pub(crate) fn restart(&mut self) {
         let next = self.incarnation + 1;
         *self = Endpoint::new(self.instance.clone());
@@ -53,7 +53,7 @@
     }
 
     pub(crate) fn load(&self) -> LoadReport {
-        match self.lies {
+        match self.reports_idle {
             true => LoadReport {
                 in_flight: 0,
                 slots: 10,
--- a/crates/core/tests/requests/main.rs
+++ b/crates/core/tests/requests/main.rs
@@ -1,5 +1,5 @@
-//! Routing, admission and retries together, driven by a small simulation on
-//! injected time, beside a naive version: any endpoint, no queue, no retry.
+//! Simulation of routing, admission and retries together, on injected time. Runs are
+//! compared with those of a naive policy: any endpoint, no queue, no retry.
 
 use std::time::Duration;
 
@@ -20,65 +20,71 @@
 mod sim;
 mod tally;
 
-/// The slots of all endpoints over the time that a request takes on average.
+/// The slots of all endpoints divided by the mean service time of a request.
 const CAPACITY_PER_S: f64 = 1_000.0;
 
 fn run(policy: Policy, load: Load, faults: &[Fault], seed: u64) -> Tally {
     let mut sim = Sim::new(policy, seed);
     for fault in faults {
-        sim.plan(*fault);
+        sim.schedule_fault(*fault);
     }
-    sim.offer(&load);
+    sim.schedule_load(&load);
     sim.run()
 }
 
-fn at(ms: u64, kind: FaultKind) -> Fault {
+fn fault_at(ms: u64, kind: FaultKind) -> Fault {
     Fault { ms, kind }
 }
 
-/// Guards against requests that are lost, doubled or falsely refused under random faults.
+/// Guards against requests that are lost, run twice or falsely refused under random faults.
 #[test]
-fn neither_version_breaks_a_promise_and_ours_serves_more() {
+fn no_policy_violates_a_promise_and_the_full_one_serves_more() {
     let mut served = [0, 0];
     for seed in 1..=20 {
         let load = Load::mixed(0.6 * CAPACITY_PER_S, Duration::from_secs(10));
         let faults = Fault::draw(seed);
-        let ours = run(Policy::Full, load, &faults, seed);
+        let full = run(Policy::Full, load, &faults, seed);
         let naive = run(Policy::Naive, load, &faults, seed);
-        assert_eq!(ours.violations, [], "seed {seed}");
+        assert_eq!(full.violations, [], "seed {seed}");
         assert_eq!(naive.violations, [], "seed {seed}");
-        assert_eq!(ours.offered, naive.offered, "the load is the same");
-        served[0] += ours.served();
+        assert_eq!(
+            full.offered, naive.offered,
+            "both policies get the same load"
+        );
+        served[0] += full.served();
         served[1] += naive.served();
     }
     assert!(served[0] > served[1], "{served:?}");
 }
 
 #[derive(Debug)]
-struct LeftOut {
+struct BrokenRule {
     policy: Policy,
-    breaks: Promise,
+    violated: Promise,
 }
 
-/// Guards against a check that passes with a rule left out.
+/// Guards against a checker that finds no violation when a rule is not followed.
 #[rstest]
-#[case(LeftOut { policy: Policy::RetryUnknown, breaks: Promise::AtMostOnce })]
-#[case(LeftOut { policy: Policy::UnknownAsNotRun, breaks: Promise::TrueRefusal })]
-#[case(LeftOut { policy: Policy::DrainTakesWork, breaks: Promise::LeavingRests })]
-#[case(LeftOut { policy: Policy::StopAtOnce, breaks: Promise::GracefulStop })]
-#[case(LeftOut { policy: Policy::RefusalDropped, breaks: Promise::WholeAnswer })]
-fn a_rule_left_out_is_found(#[case] case: LeftOut) {
+#[case(BrokenRule { policy: Policy::RetryUnknown, violated: Promise::AtMostOnce })]
+#[case(BrokenRule { policy: Policy::UnknownAsNotRun, violated: Promise::TrueRefusal })]
+#[case(BrokenRule { policy: Policy::AdmitWhileDraining, violated: Promise::LeavingRests })]
+#[case(BrokenRule { policy: Policy::StopWithoutWaiting, violated: Promise::GracefulStop })]
+#[case(BrokenRule { policy: Policy::DropRefusals, violated: Promise::WholeAnswer })]
+fn a_policy_without_a_rule_is_detected(#[case] case: BrokenRule) {
     let found = (1..=20).any(|seed| {
         let load = Load::mixed(CAPACITY_PER_S, Duration::from_secs(10));
         let tally = run(case.policy, load, &Fault::draw(seed), seed);
-        tally.violations.iter().any(|v| v.promise() == case.breaks)
+        tally
+            .violations
+            .iter()
+            .any(|v| v.promise() == case.violated)
     });
-    assert!(found, "{case:?} goes unseen");
+    assert!(found, "{case:?} is not detected");
 }
 
-/// Guards against critical work that is crowded out under overload.
+/// Guards against critical requests that are displaced by others under overload.
 #[test]
-fn at_twice_the_capacity_critical_work_gets_through() {
+fn at_twice_the_capacity_critical_requests_are_served() {
     let load = Load::mixed(2.0 * CAPACITY_PER_S, Duration::from_secs(10));
     let tally = run(Policy::Full, load, &[], 1);
     let critical = tally.share_served(Class::Critical);
@@ -88,12 +94,12 @@
     assert_eq!(tally.violations, []);
 }
 
-/// Guards against background work that holds interactive work up, or stops for good.
+/// Guards against background requests that delay interactive ones, or that starve.
 #[test]
-fn background_work_yields_and_goes_on() {
+fn background_requests_yield_without_starving() {
     let load = Load {
         per_s: [200.0, 300.0, 2_000.0],
-        time: Duration::from_secs(10),
+        duration: Duration::from_secs(10),
     };
     let tally = run(Policy::Full, load, &[], 1);
     assert!(tally.share_served(Class::Critical) > 0.99);
@@ -101,19 +107,21 @@
     assert!(tally.share_served(Class::Background) > 0.15);
 }
 
-/// Guards against requests that fail at an endpoint which nobody could connect to.
+/// Guards against requests that fail because an endpoint crashed, although a failed
+/// connection permits a retry at another endpoint.
 #[test]
-fn a_crashed_endpoint_costs_only_what_it_ran() {
+fn a_crash_loses_only_the_requests_that_the_endpoint_ran() {
     let load = Load::mixed(0.5 * CAPACITY_PER_S, Duration::from_secs(5));
-    let faults = [at(1_000, FaultKind::Crash(0))];
+    let faults = [fault_at(1_000, FaultKind::Crash(0))];
     let tally = run(Policy::Full, load, &faults, 3);
     assert_eq!(tally.refused(), 0, "{tally:?}");
-    assert!(tally.unknown() <= 10, "at most what its slots held");
+    assert!(tally.unknown() <= 10, "at most the requests in its slots");
 }
 
-/// Guards against requests that fail while instances drain, one of them unheard.
+/// Guards against requests that fail while two instances drain, one of which gets the
+/// order twice.
 #[test]
-fn a_drain_is_not_noticed() {
+fn a_drain_fails_no_request() {
     let load = Load::mixed(0.5 * CAPACITY_PER_S, Duration::from_secs(5));
     let drains = [
         FaultKind::Drain(0),
@@ -121,49 +129,52 @@
         FaultKind::Drain(0),
     ];
     let faults = [1_000, 1_000, 1_010].into_iter().zip(drains);
-    let faults: Vec<_> = faults.map(|(ms, kind)| at(ms, kind)).collect();
+    let faults: Vec<_> = faults.map(|(ms, kind)| fault_at(ms, kind)).collect();
     let tally = run(Policy::Full, load, &faults, 4);
     assert_eq!((tally.refused(), tally.unknown()), (0, 0), "{tally:?}");
     assert_eq!(tally.violations, []);
 }
 
-/// Guards against an endpoint that draws all requests by claiming to be idle.
+/// Guards against an endpoint that attracts all requests by reporting that it is idle.
 #[test]
-fn a_lying_load_report_starves_nobody() {
+fn a_false_load_report_costs_few_requests() {
     let load = Load::mixed(0.7 * CAPACITY_PER_S, Duration::from_secs(5));
-    let lie = [at(0, FaultKind::Lie(0))];
-    let honest = run(Policy::Full, load, &[], 5);
-    let lied = run(Policy::Full, load, &lie, 5);
+    let false_report = [fault_at(0, FaultKind::ReportIdle(0))];
+    let without = run(Policy::Full, load, &[], 5);
+    let with = run(Policy::Full, load, &false_report, 5);
     let share = |tally: &Tally| tally.served() as f64 / tally.offered as f64;
     assert!(
-        share(&lied) > share(&honest) - 0.02,
+        share(&with) > share(&without) - 0.02,
         "{} {}",
-        share(&lied),
-        share(&honest)
+        share(&with),
+        share(&without)
     );
 }
 
-/// Guards against a slow endpoint that slows all requests down.
+/// Guards against a slow endpoint that slows down all requests.
 #[test]
-fn a_slow_endpoint_is_left_out() {
+fn a_slow_endpoint_gets_few_requests() {
     let load = Load::mixed(0.5 * CAPACITY_PER_S, Duration::from_secs(10));
-    let slow = [at(1_000, FaultKind::Slow(0, 20))];
+    let slow = [fault_at(1_000, FaultKind::Slow(0, 20))];
     let tally = run(Policy::Full, load, &slow, 6);
     assert!(tally.runs_at(0) * 12 < tally.served() as usize, "{tally:?}");
 }
 
-/// Guards against a retry that fails at an endpoint which has begun to drain.
+/// Guards against a retry that fails at an endpoint that has begun to drain.
 #[test]
-fn a_drain_during_a_retry_is_not_noticed() {
+fn a_drain_during_a_retry_fails_no_request() {
     let load = Load::mixed(0.25 * CAPACITY_PER_S, Duration::from_secs(3));
     let kinds = [
         FaultKind::Crash(0),
         FaultKind::Drain(1),
-        FaultKind::DrainUnheard(2),
+        FaultKind::DrainUnannounced(2),
     ];
-    let faults = kinds.map(|kind| at(1_000, kind));
+    let faults = kinds.map(|kind| fault_at(1_000, kind));
     let tally = run(Policy::Full, load, &faults, 7);
     assert_eq!(tally.refused(), 0, "{tally:?}");
-    assert!(tally.unknown() <= 10, "at most what the crash cut off");
+    assert!(
+        tally.unknown() <= 10,
+        "at most the requests that ran at the crash"
+    );
     assert_eq!(tally.violations, []);
 }
--- a/crates/core/tests/requests/policy.rs
+++ b/crates/core/tests/requests/policy.rs
@@ -1,20 +1,20 @@
-//! Who decides.
+//! The policies that runs compare.
 
-/// The decisions that a run uses.
+/// The rules that a run follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Policy {
-    /// All of this crate.
+    /// All rules of this crate.
     Full,
     /// Any endpoint, no queue, no retry.
     Naive,
-    /// As full, but a lost request is tried again.
+    /// As `Full`, but a lost request is retried.
     RetryUnknown,
-    /// As full, but a lost request is told not to have run.
+    /// As `Full`, but a lost request is reported as not run.
     UnknownAsNotRun,
-    /// As full, but a leaving target goes on to take work.
-    DrainTakesWork,
-    /// As full, but a planned stop doesn't wait.
-    StopAtOnce,
-    /// As full, but some refusals never reach their caller.
-    RefusalDropped,
+    /// As `Full`, but a draining target continues to admit requests.
+    AdmitWhileDraining,
+    /// As `Full`, but a planned stop doesn't wait for running requests.
+    StopWithoutWaiting,
+    /// As `Full`, but some refusals are not sent to their caller.
+    DropRefusals,
 }
--- a/crates/core/tests/requests/sim.rs
+++ b/crates/core/tests/requests/sim.rs
@@ -1,4 +1,4 @@
-//! A discrete simulation: callers' nodes, the nodes beside targets, and time.
+//! A discrete-event simulation of callers' nodes and targets' nodes.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -48,11 +48,11 @@
 
 const ENDPOINTS: usize = 5;
 const DOMAINS: [&str; 3] = ["bayanzurkh", "khan-uul", "sukhbaatar"];
-const ONE_WAY: Duration = Duration::from_micros(500);
+const ONE_WAY_LATENCY: Duration = Duration::from_micros(500);
 const DEADLINE: Duration = Duration::from_secs(1);
-const MEAN_US: u64 = 50_000;
-/// How long the word of a leaving target takes to reach other nodes.
-const WORD: Duration = Duration::from_millis(300);
+const MEAN_SERVICE_US: u64 = 50_000;
+/// How long the announcement of a draining target takes to reach other nodes.
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(300);
 const DRAIN_BOUND: Duration = Duration::from_secs(20);
 const CATALOGUE: &str = "
 services:
@@ -63,27 +63,28 @@
       {rate_per_s: 100000, concurrency: 10, deadline_ms: 1000, retry: {attempts: 2, budget_percent: 10}}
 ";
 
+/// A scheduled event, most with the id of a request or the index of an endpoint.
 #[derive(Debug)]
 enum Work {
     Arrive(u64, Class),
-    Reach(u64),
-    Expire(u64),
-    Finish(u64),
-    GiveUp(u64),
+    ReachEndpoint(u64),
+    ExpireQueued(u64),
+    FinishRun(u64),
+    TimeOut(u64),
     Fault(FaultKind),
-    Heard(usize, u64, Intake),
+    IntakeAnnounced(usize, u64, Intake),
     PollDrain(usize),
 }
 
 type Wakes = Arc<Mutex<Vec<(u64, Result<Permit, Refusal>)>>>;
 
-/// The simulation.
+/// The state of the simulation.
 pub(crate) struct Sim {
     policy: Policy,
     now: Tick,
     rng: SmallRng,
     work: BinaryHeap<Reverse<(Tick, u64)>>,
-    planned: BTreeMap<u64, Work>,
+    scheduled: BTreeMap<u64, Work>,
     snapshot: Snapshot,
     service: ServiceKey,
     limits: Limits,
@@ -100,9 +101,9 @@
         let instances: Vec<_> = (0..ENDPOINTS).map(instance).collect();
         let items = catalogue::parse(CATALOGUE).unwrap();
         let first = Revision::new(1).unwrap();
-        let held = Catalogue::new(first, items).unwrap();
+        let catalogue = Catalogue::new(first, items).unwrap();
         let list = InstanceList::new(first, instances.clone()).unwrap();
-        let snapshot = Snapshot::build(&held, &list).unwrap();
+        let snapshot = Snapshot::build(&catalogue, &list).unwrap();
         let name = ServiceName::new("workshop-desk").unwrap();
         let (service, bound) = snapshot.find_service(&name).unwrap();
         let limits = bound.entry.limits;
@@ -112,7 +113,7 @@
             now: Tick::ZERO,
             rng: SmallRng::seed_from_u64(seed),
             work: BinaryHeap::new(),
-            planned: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             service,
             limits,
             callers: callers.into(),
@@ -128,61 +129,66 @@
         }
     }
 
-    pub(crate) fn plan(&mut self, fault: Fault) {
-        self.at(Tick::from_millis(fault.ms), Work::Fault(fault.kind));
+    pub(crate) fn schedule_fault(&mut self, fault: Fault) {
+        self.schedule_at(Tick::from_millis(fault.ms), Work::Fault(fault.kind));
     }
 
-    /// Plans the arrival of requests with exponential gaps.
-    pub(crate) fn offer(&mut self, load: &Load) {
+    /// Schedules the arrival of requests with exponentially distributed gaps.
+    pub(crate) fn schedule_load(&mut self, load: &Load) {
         for class in Class::ALL {
             let mean_us = 1_000_000.0 / load.per_s[class.index()];
             let mut at = Tick::ZERO;
             loop {
                 at = at + Duration::from_micros(exponential(&mut self.rng, mean_us));
-                if at.since(Tick::ZERO) >= load.time {
+                if at.since(Tick::ZERO) >= load.duration {
                     break;
                 }
                 self.tally.offered += 1;
-                self.at(at, Work::Arrive(self.tally.offered, class));
+                self.schedule_at(at, Work::Arrive(self.tally.offered, class));
             }
         }
     }
 
-    /// Runs until nothing is left to do.
+    /// Runs until no event is left.
     pub(crate) fn run(mut self) -> Tally {
         while let Some(Reverse((at, key))) = self.work.pop() {
             self.now = at;
-            let work = self.planned.remove(&key).unwrap();
-            self.take(work);
-            self.wake();
+            let work = self.scheduled.remove(&key).unwrap();
+            self.handle(work);
+            self.handle_wakes();
         }
         self.tally.violations = check(&self.history, &Bounds::default());
         self.tally
     }
 
-    fn at(&mut self, at: Tick, work: Work) {
-        let key = self.planned.last_key_value().map_or(0, |(key, _)| key + 1);
-        self.planned.insert(key, work);
+    fn schedule_at(&mut self, at: Tick, work: Work) {
+        let key = self
+            .scheduled
+            .last_key_value()
+            .map_or(0, |(key, _)| key + 1);
+        self.scheduled.insert(key, work);
         self.work.push(Reverse((at, key)));
     }
 
-    fn after(&mut self, wait: Duration, work: Work) {
-        self.at(self.now + wait, work);
+    fn schedule_after(&mut self, wait: Duration, work: Work) {
+        self.schedule_at(self.now + wait, work);
     }
 
     fn record(&mut self, event: Event) {
         self.history.record(self.now, event);
     }
 
-    fn take(&mut self, work: Work) {
+    fn handle(&mut self, work: Work) {
         match work {
             Work::Arrive(id, class) => self.arrive(id, class),
-            Work::Reach(id) => self.reach(id),
-            Work::Expire(id) => self.expire(id),
-            Work::Finish(id) => self.finish(id),
-            Work::GiveUp(id) => self.give_up(id),
-            Work::Fault(kind) => self.fault(kind),
-            Work::Heard(i, incarnation, intake) => self.heard(i, incarnation, intake),
+            Work::ReachEndpoint(id) => self.reach_endpoint(id),
+            Work::ExpireQueued(id) => self.expire_queued(id),
+            Work::FinishRun(id) => self.finish_run(id),
+            Work::TimeOut(id) => self.time_out(id),
+            Work::Fault(kind) => self.apply_fault(kind),
+            Work::IntakeAnnounced(i, incarnation, intake) => {
+                self.mark_intake(i, incarnation, intake)
+            }
             Work::PollDrain(i) => self.poll_drain(i),
         }
     }
--- a/crates/core/tests/requests/sim/call.rs
+++ b/crates/core/tests/requests/sim/call.rs
@@ -1,4 +1,4 @@
-//! A request and where it stands.
+//! The state of a simulated request.
 
 use sassafrasspool_core::Class;
 use sassafrasspool_core::Deadline;
@@ -11,7 +11,7 @@
 use sassafrasspool_core::Request;
 use sassafrasspool_core::Tries;
 
-/// A request and where it stands.
+/// A request with its attempts and its position in a queue or at an endpoint.
 pub(super) struct Call {
     pub(super) class: Class,
     pub(super) caller: usize,
@@ -21,8 +21,8 @@
     pub(super) picked: Option<Picked>,
     pub(super) endpoint: usize,
     pub(super) incarnation: u64,
-    pub(super) waits: Option<(Queued, Request<Received>)>,
-    pub(super) runs: Option<(Request<HandedOver>, Pass)>,
+    pub(super) queued: Option<(Queued, Request<Received>)>,
+    pub(super) running: Option<(Request<HandedOver>, Pass)>,
     pub(super) naive_run: bool,
     pub(super) ended: bool,
 }
--- a/crates/core/tests/requests/sim/calls.rs
+++ b/crates/core/tests/requests/sim/calls.rs
@@ -1,4 +1,4 @@
-//! What happens to requests.
+//! Events of requests.
 
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
 
 use super::DEADLINE;
 use super::ENDPOINTS;
-use super::MEAN_US;
-use super::ONE_WAY;
+use super::MEAN_SERVICE_US;
+use super::ONE_WAY_LATENCY;
 use super::Sim;
 use super::Work;
 use super::call::Call;
@@ -46,8 +46,14 @@
         let caller = self.rng.random_range(0..self.callers.len());
         let deadline = Deadline::within(self.now, DEADLINE);
         let budget = self.callers[caller].1.budget(self.service).unwrap();
-        let again = self.policy == Policy::RetryUnknown;
-        let tries = Tries::first(Hop::First, again, &self.limits.retry, deadline, budget);
+        let is_repeatable = self.policy == Policy::RetryUnknown;
+        let tries = Tries::first(
+            Hop::First,
+            is_repeatable,
+            &self.limits.retry,
+            deadline,
+            budget,
+        );
         let call = Call {
             class,
             caller,
@@ -57,17 +63,17 @@
             picked: None,
             endpoint: 0,
             incarnation: 0,
-            waits: None,
-            runs: None,
+            queued: None,
+            running: None,
             naive_run: false,
             ended: false,
         };
         self.calls.insert(id, call);
-        self.at(deadline.tick(), Work::GiveUp(id));
+        self.schedule_at(deadline.tick(), Work::TimeOut(id));
         self.send(id, Refusal::not_run(Step::Route, Reason::NoEndpoint).into());
     }
 
-    /// Sends a request to an endpoint, or ends it with `last` if there is none.
+    /// Sends a request to an endpoint, or ends it with `last` if none can be picked.
     pub(super) fn send(&mut self, id: u64, last: Failure) {
         let call = self.calls.get_mut(&id).unwrap();
         if self.policy == Policy::Naive {
@@ -87,26 +93,26 @@
                 Err(_) => return self.end(id, last),
             }
         }
-        self.after(ONE_WAY, Work::Reach(id));
+        self.schedule_after(ONE_WAY_LATENCY, Work::ReachEndpoint(id));
     }
 
-    pub(super) fn reach(&mut self, id: u64) {
+    pub(super) fn reach_endpoint(&mut self, id: u64) {
         let call = self.calls.get_mut(&id).unwrap();
         let endpoint = &mut self.endpoints[call.endpoint];
         call.incarnation = endpoint.incarnation;
         if matches!(endpoint.stage, Stage::Down) {
             let refusal = Refusal::not_run(Step::Connect, Reason::Connect);
-            return self.miss(id, refusal.into(), Verdict::NoConnection);
+            return self.fail_attempt(id, refusal.into(), Verdict::NoConnection);
         }
         if self.policy == Policy::Naive {
             let busy = endpoint.running >= endpoint.instance.slots;
             if busy || matches!(endpoint.stage, Stage::Draining(_)) {
                 let refusal = Refusal::not_run(Step::Admission, Reason::QueueFull);
-                return self.miss(id, refusal.into(), Verdict::Shed);
+                return self.fail_attempt(id, refusal.into(), Verdict::Shed);
             }
             endpoint.running += 1;
             call.naive_run = true;
-            return self.start(id);
+            return self.start_run(id);
         }
         let request = Request::received(call.class, call.deadline);
         let wakes = self.wakes.clone();
@@ -118,48 +124,48 @@
             Offer::Admitted(permit) => self.hand_over(id, request, permit),
             Offer::Queued(queued) => {
                 let until = queued.until();
-                call.waits = Some((queued, request));
-                self.at(until, Work::Expire(id));
+                call.queued = Some((queued, request));
+                self.schedule_at(until, Work::ExpireQueued(id));
             }
-            Offer::Refused(refusal) => self.refused(id, refusal),
+            Offer::Refused(refusal) => self.fail_refused(id, refusal),
         }
     }
 
-    pub(super) fn wake(&mut self) {
+    pub(super) fn handle_wakes(&mut self) {
         loop {
             let wakes = std::mem::take(&mut *self.wakes.lock().unwrap());
             if wakes.is_empty() {
                 return;
             }
             for (id, verdict) in wakes {
-                let waits = self.calls.get_mut(&id).and_then(|call| call.waits.take());
-                let Some((_, request)) = waits else { continue };
+                let queued = self.calls.get_mut(&id).and_then(|call| call.queued.take());
+                let Some((_, request)) = queued else { continue };
                 match verdict {
                     Ok(permit) => self.hand_over(id, request, permit),
-                    Err(refusal) => self.refused(id, refusal),
+                    Err(refusal) => self.fail_refused(id, refusal),
                 }
             }
         }
     }
 
-    pub(super) fn expire(&mut self, id: u64) {
-        let waits = self.calls.get_mut(&id).and_then(|call| call.waits.take());
-        let Some((queued, request)) = waits else {
+    pub(super) fn expire_queued(&mut self, id: u64) {
+        let queued = self.calls.get_mut(&id).and_then(|call| call.queued.take());
+        let Some((queued, request)) = queued else {
             return;
         };
         match queued.expire(self.now) {
-            Some(refusal) => self.refused(id, refusal),
-            // Its waker was called and is looked at next.
-            None => panic!("a wake was missed: {request:?}"),
+            Some(refusal) => self.fail_refused(id, refusal),
+            // Its waker was called, and that event is handled right afterwards.
+            None => panic!("the wake of a queued request was not handled: {request:?}"),
         }
     }
 
-    pub(super) fn refused(&mut self, id: u64, refusal: Refusal) {
+    pub(super) fn fail_refused(&mut self, id: u64, refusal: Refusal) {
         let verdict = match refusal.reason() {
             Reason::Draining => Verdict::Draining,
             _ => Verdict::Shed,
         };
-        self.miss(id, refusal.into(), verdict);
+        self.fail_attempt(id, refusal.into(), verdict);
     }
 
     pub(super) fn hand_over(&mut self, id: u64, request: Request<Received>, permit: Permit) {
@@ -171,45 +177,48 @@
         };
         let pass = match gate.map(|gate| gate.enter()) {
             Some(Ok(pass)) => pass,
-            // The naive drain takes work through a gate of nobody's.
-            Some(Err(_)) if self.policy == Policy::DrainTakesWork => {
+            // Under this policy, a request is admitted through a gate that no drain closes.
+            Some(Err(_)) if self.policy == Policy::AdmitWhileDraining => {
                 sassafrasspool_core::Gate::open().enter().unwrap()
             }
-            Some(Err(refusal)) => return self.refused(id, refusal),
-            None => return self.refused(id, request.refuse(Step::Connect, Reason::Connect)),
+            Some(Err(refusal)) => return self.fail_refused(id, refusal),
+            None => return self.fail_refused(id, request.refuse(Step::Connect, Reason::Connect)),
         };
         match request.admit(permit).hand_over(self.now) {
             Ok(request) => {
-                call.runs = Some((request, pass));
-                self.start(id);
+                call.running = Some((request, pass));
+                self.start_run(id);
             }
-            Err(refusal) => self.refused(id, refusal),
+            Err(refusal) => self.fail_refused(id, refusal),
         }
     }
 
-    pub(super) fn start(&mut self, id: u64) {
+    pub(super) fn start_run(&mut self, id: u64) {
         let endpoint = self.calls[&id].endpoint;
         self.tally.runs[endpoint] += 1;
         let target = self.endpoints[endpoint].instance.id.clone();
         let request = RequestId(id);
         self.record(Event::RunStarted { request, target });
         let slowness = self.endpoints[endpoint].slowness;
-        let took = self.rng.random_range(MEAN_US / 2..MEAN_US * 3 / 2) * slowness;
-        self.after(Duration::from_micros(took), Work::Finish(id));
+        let took = self
+            .rng
+            .random_range(MEAN_SERVICE_US / 2..MEAN_SERVICE_US * 3 / 2)
+            * slowness;
+        self.schedule_after(Duration::from_micros(took), Work::FinishRun(id));
     }
 
-    pub(super) fn finish(&mut self, id: u64) {
+    pub(super) fn finish_run(&mut self, id: u64) {
         let call = self.calls.get_mut(&id).unwrap();
         let endpoint = &mut self.endpoints[call.endpoint];
         let crashed = endpoint.incarnation != call.incarnation;
-        let runs = call.runs.take();
+        let running = call.running.take();
         if call.naive_run && !crashed {
             endpoint.running -= 1;
         }
-        if crashed || (runs.is_none() && !call.naive_run) {
+        if crashed || (running.is_none() && !call.naive_run) {
             return;
         }
-        if let Some((request, pass)) = runs {
+        if let Some((request, pass)) = running {
             request.answered().finish(self.now);
             drop(pass);
         }
@@ -234,8 +243,8 @@
         }
     }
 
-    /// The deadline passes: what runs goes on, but nobody waits for it.
-    pub(super) fn give_up(&mut self, id: u64) {
+    /// The deadline passes. A running request continues, but its caller has timed out.
+    pub(super) fn time_out(&mut self, id: u64) {
         let call = self.calls.get_mut(&id).unwrap();
         if call.ended {
             return;
@@ -243,8 +252,8 @@
         if let Some(picked) = call.picked.take() {
             picked.finish(self.now, Verdict::Failed);
         }
-        // Leaving the queue proves that it wasn't run.
-        let failure = match call.waits.take() {
+        // A request that is still queued was not run.
+        let failure = match call.queued.take() {
             Some((queued, request)) => {
                 drop(queued);
                 request
@@ -256,8 +265,8 @@
         self.end(id, failure);
     }
 
-    /// A try brought no answer.
-    pub(super) fn miss(&mut self, id: u64, failure: Failure, verdict: Verdict) {
+    /// An attempt got no answer.
+    pub(super) fn fail_attempt(&mut self, id: u64, failure: Failure, verdict: Verdict) {
         let call = self.calls.get_mut(&id).unwrap();
         if call.ended {
             return;
@@ -278,20 +287,20 @@
         if std::mem::replace(&mut call.ended, true) {
             return;
         }
-        let ends = &mut self.tally.by_class[call.class.index()];
+        let counts = &mut self.tally.by_class[call.class.index()];
         let request = RequestId(id);
         let outcome = match self.policy {
             Policy::UnknownAsNotRun => Outcome::NotRun,
             _ => failure.outcome(),
         };
         match outcome {
-            Outcome::NotRun if self.policy == Policy::RefusalDropped && id.is_multiple_of(2) => {}
+            Outcome::NotRun if self.policy == Policy::DropRefusals && id.is_multiple_of(2) => {}
             Outcome::NotRun => {
-                ends.refused += 1;
+                counts.refused += 1;
                 self.record(Event::RefusedNotRun { request });
             }
             Outcome::Unknown => {
-                ends.unknown += 1;
+                counts.unknown += 1;
                 self.record(Event::Unknown { request });
             }
         }
--- a/crates/core/tests/requests/sim/faults.rs
+++ b/crates/core/tests/requests/sim/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong with endpoints.
+//! Faults of endpoints.
 
 use std::time::Duration;
 
@@ -15,71 +15,71 @@
 use sassafrasspool_core::history::Bounds;
 use sassafrasspool_core::history::Event;
 
+use super::ANNOUNCEMENT_DELAY;
 use super::DRAIN_BOUND;
 use super::ENDPOINTS;
 use super::Sim;
-use super::WORD;
 use super::Work;
 use super::call::Call;
 use crate::endpoint::Stage;
 use crate::policy::Policy;
 
-/// Something that goes wrong at a time.
+/// A fault with its time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Fault {
     pub(crate) ms: u64,
     pub(crate) kind: FaultKind,
 }
 
-/// What goes wrong, at which endpoint.
+/// A kind of fault with the index of its endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum FaultKind {
     Crash(usize),
     Drain(usize),
-    /// No other node hears that it leaves.
-    DrainUnheard(usize),
+    /// A drain that is not announced to other nodes.
+    DrainUnannounced(usize),
     Restart(usize),
     Slow(usize, u64),
-    Lie(usize),
+    ReportIdle(usize),
 }
 
 impl Fault {
-    /// A dozen faults within ten seconds.
+    /// Draws twelve random faults within ten seconds.
     pub(crate) fn draw(seed: u64) -> Vec<Fault> {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut one = |_| {
+        let mut draw_one = |_| {
             let i = rng.random_range(0..ENDPOINTS);
             let kind = match rng.random_range(0..8) {
                 0 | 1 => FaultKind::Crash(i),
                 2 => FaultKind::Drain(i),
-                3 => FaultKind::DrainUnheard(i),
+                3 => FaultKind::DrainUnannounced(i),
                 4 | 5 => FaultKind::Restart(i),
                 6 => FaultKind::Slow(i, rng.random_range(2..20)),
-                _ => FaultKind::Lie(i),
+                _ => FaultKind::ReportIdle(i),
             };
             let ms = rng.random_range(500..9_500);
             Fault { ms, kind }
         };
-        (0..12).map(&mut one).collect()
+        (0..12).map(&mut draw_one).collect()
     }
 }
 
 impl Sim {
-    pub(super) fn fault(&mut self, kind: FaultKind) {
+    pub(super) fn apply_fault(&mut self, kind: FaultKind) {
         match kind {
             FaultKind::Crash(i) => self.crash(i),
             FaultKind::Drain(i) => self.drain(i, true),
-            FaultKind::DrainUnheard(i) => self.drain(i, false),
+            FaultKind::DrainUnannounced(i) => self.drain(i, false),
             FaultKind::Restart(i) => {
                 if matches!(self.endpoints[i].stage, Stage::Down) {
                     self.endpoints[i].restart();
                     let node = self.endpoints[i].instance.id.clone();
                     self.record(Event::NodeBack { node });
-                    self.tell(i, Intake::Open);
+                    self.announce(i, Intake::Open);
                 }
             }
             FaultKind::Slow(i, slowness) => self.endpoints[i].slowness = slowness,
-            FaultKind::Lie(i) => self.endpoints[i].lies = true,
+            FaultKind::ReportIdle(i) => self.endpoints[i].reports_idle = true,
         }
     }
 
@@ -89,44 +89,44 @@
         }
         let target = self.endpoints[i].instance.id.clone();
         self.record(Event::Crashed { target });
-        // A crash during a planned stop ends that too, without a cut by it.
+        // A crash during a planned stop also ends the stop; the stop itself cuts off no request.
         self.endpoints[i].stage = Stage::Down;
         self.endpoints[i].incarnation += 1;
-        self.lose(i);
+        self.break_connections(i);
     }
 
-    /// The connections to an endpoint break.
-    pub(super) fn lose(&mut self, i: usize) {
-        let open = |call: &Call| {
-            let held = call.runs.is_some() || call.waits.is_some() || call.naive_run;
+    /// Breaks all connections to an endpoint.
+    pub(super) fn break_connections(&mut self, i: usize) {
+        let is_open = |call: &Call| {
+            let held = call.running.is_some() || call.queued.is_some() || call.naive_run;
             held && !call.ended && call.endpoint == i
         };
-        let open = self.calls.iter().filter(|(_, call)| open(call));
+        let open = self.calls.iter().filter(|(_, call)| is_open(call));
         let open: Vec<u64> = open.map(|(id, _)| *id).collect();
         for id in open {
             let call = self.calls.get_mut(&id).unwrap();
-            call.waits = None;
-            if let Some((request, _)) = call.runs.take() {
+            call.queued = None;
+            if let Some((request, _)) = call.running.take() {
                 let _ = request.lost(self.now, LossCause::ConnectionLost);
             }
             let loss = Loss::new(Step::Forward, LossCause::ConnectionLost);
-            self.miss(id, loss.into(), Verdict::Failed);
+            self.fail_attempt(id, loss.into(), Verdict::Failed);
         }
     }
 
-    pub(super) fn drain(&mut self, i: usize, heard: bool) {
+    pub(super) fn drain(&mut self, i: usize, announced: bool) {
         let endpoint = &mut self.endpoints[i];
         let target = endpoint.instance.id.clone();
         match std::mem::replace(&mut endpoint.stage, Stage::Down) {
             Stage::Up(drain) => {
-                endpoint.leaves_by = self.now + 3 * Bounds::default().leaving;
+                endpoint.stops_at_latest = self.now + 3 * Bounds::default().leaving;
                 endpoint.stage = Stage::Draining(drain.begin(self.now, DRAIN_BOUND));
-                if self.policy != Policy::DrainTakesWork {
+                if self.policy != Policy::AdmitWhileDraining {
                     endpoint.admission.close(Reason::Draining);
                 }
                 self.record(Event::DrainBegan { target });
-                if heard {
-                    self.tell(i, Intake::Closed);
+                if announced {
+                    self.announce(i, Intake::Closed);
                 }
                 self.poll_drain(i);
             }
@@ -144,38 +144,41 @@
             Stage::Draining(drain) => drain,
             other => return endpoint.stage = other,
         };
-        let wait = naive || self.policy == Policy::DrainTakesWork;
-        let wait = wait && self.now < endpoint.leaves_by;
+        let wait = naive || self.policy == Policy::AdmitWhileDraining;
+        let wait = wait && self.now < endpoint.stops_at_latest;
         match drain.poll(self.now) {
             Progress::Over(over) if !wait => {
                 let cut = over.cut();
-                self.stopped(i, cut);
+                self.stop(i, cut);
             }
             Progress::Over(over) => {
                 endpoint.stage = Stage::Draining(over.reopen().begin(self.now, DRAIN_BOUND));
-                self.after(Duration::from_millis(10), Work::PollDrain(i));
+                self.schedule_after(Duration::from_millis(10), Work::PollDrain(i));
             }
-            Progress::Waiting(_) if self.policy == Policy::StopAtOnce => self.stopped(i, 0),
+            Progress::Waiting(_) if self.policy == Policy::StopWithoutWaiting => self.stop(i, 0),
             Progress::Waiting(drain) => {
                 endpoint.stage = Stage::Draining(drain);
-                self.after(Duration::from_millis(10), Work::PollDrain(i));
+                self.schedule_after(Duration::from_millis(10), Work::PollDrain(i));
             }
         }
     }
 
-    pub(super) fn stopped(&mut self, i: usize, cut: u64) {
+    pub(super) fn stop(&mut self, i: usize, cut: u64) {
         let target = self.endpoints[i].instance.id.clone();
         self.record(Event::DrainEnded { target, cut });
         self.endpoints[i].incarnation += 1;
-        self.lose(i);
+        self.break_connections(i);
     }
 
-    pub(super) fn tell(&mut self, i: usize, intake: Intake) {
+    pub(super) fn announce(&mut self, i: usize, intake: Intake) {
         let incarnation = self.endpoints[i].incarnation;
-        self.after(WORD, Work::Heard(i, incarnation, intake));
+        self.schedule_after(
+            ANNOUNCEMENT_DELAY,
+            Work::IntakeAnnounced(i, incarnation, intake),
+        );
     }
 
-    pub(super) fn heard(&mut self, i: usize, incarnation: u64, intake: Intake) {
+    pub(super) fn mark_intake(&mut self, i: usize, incarnation: u64, intake: Intake) {
         let endpoint = &self.endpoints[i];
         if endpoint.incarnation > incarnation && intake == Intake::Open {
             return;
--- a/crates/core/tests/requests/sim/setup.rs
+++ b/crates/core/tests/requests/sim/setup.rs
@@ -1,4 +1,4 @@
-//! The fleet that is simulated.
+//! Callers and instances of the simulated fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
