--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admit.rs
@@ -1,42 +1,41 @@
-//! Admission beside a target: what runs now, what waits shortly, and what is
-//! refused at once as not run.
+//! Admission control at a target's node: which requests run now, which wait shortly, and
+//! which are refused at once without being run.
 //!
-//! A target runs as many requests as it has slots. What finds no slot waits in
-//! a short queue, bounded in length and by each request's deadline; what can't
-//! be served in time is refused as soon as that is known, so that the caller
-//! can act while there is time. Critical work goes first; standard work goes
-//! before background work by a set weight, so that neither stops for good.
+//! A target runs as many requests as it has slots. A request that finds no free slot waits
+//! in a short queue, bounded in length and by each request's deadline. A request that can't
+//! be served in time is refused as soon as that is known, so that the caller still has time
+//! to try elsewhere. Critical requests go first. Standard requests go before background
+//! requests by a set weight, so that neither class starves.
 //!
-//! Within a class those go first that take the least of a slot's time, and of
-//! those that take as long the ones whose answer can still be worth most to their
-//! callers. Were the oldest to go first, under more load than the target bears
-//! all would wait until their answers are late; so as many are answered, but
-//! most of them in time.
+//! Within a class the requests that take the least slot time go first. Among those that
+//! take about as long, the one that has to start first to meet its soft deadline goes
+//! first. If the oldest request went first, under overload every request would wait until
+//! its answer is late. This order answers as many requests, and most of them in time.
 
-pub use self::ask::Ask;
-pub use self::ask::ColdLimit;
-pub use self::ask::Offer;
-pub(crate) use self::bucket::Bucket;
+pub use self::admission::Admission;
 pub use self::cold_tolerance::ColdTolerance;
-pub use self::control::Admission;
 pub use self::permit::Permit;
 pub use self::queued::Queued;
+pub use self::request::Ask;
+pub use self::request::ColdLimit;
+pub use self::request::Offer;
 pub use self::settings::AdmissionSettings;
+pub(crate) use self::token_bucket::Bucket;
 pub use self::wake::Waker;
 
-mod ask;
-mod bucket;
+mod admission;
 mod cold_tolerance;
-mod control;
 mod permit;
 mod precedence;
 mod queue;
 mod queued;
+mod request;
 mod reserve;
+mod service_times;
 mod settings;
 mod state;
 #[cfg(test)]
 mod tests;
-mod took;
+mod token_bucket;
 mod wake;
 mod warm_up;
--- a/crates/core/src/admit/control.rs
+++ b/crates/core/src/admit/admission.rs
@@ -1,4 +1,4 @@
-//! Admission as the traffic threads use it.
+//! Admission control of one target, as the traffic threads use it.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use super::queue::WaitKey;
+use super::service_times::WorkType;
 use super::state::Decision;
 use super::state::State;
-use super::took::Work;
 use super::wake::Wake;
 use super::wake::Waker;
 use crate::AdmissionSettings;
@@ -27,7 +27,7 @@
 use crate::Step;
 use crate::Tick;
 
-/// Admission beside one target, shared by all traffic threads.
+/// Admission control of one target, shared by all traffic threads.
 ///
 /// # Example
 ///
@@ -64,15 +64,15 @@
 #[derive(Debug, Clone)]
 pub struct Admission(Arc<Shared>);
 
-/// What admission and the permits share.
+/// The state that admission control, permits and queued requests share.
 pub(super) struct Shared(Mutex<State>);
 
 impl Admission {
-    /// Admission to a target with `slots`.
+    /// Creates admission control for a target with `slots` slots.
     ///
     /// # Errors
     ///
-    /// Fails without slots, or with more than 65,535.
+    /// Fails with no slots, or with more than 65,535.
     pub fn new(settings: AdmissionSettings, slots: u32) -> Result<Admission> {
         if slots == 0 || slots > u32::from(u16::MAX) {
             return Err(Error::new(Step::Check, "a target has 1 to 65535 slots"));
@@ -81,55 +81,57 @@
         Ok(Admission(Arc::new(Shared(Mutex::new(state)))))
     }
 
-    /// Asks for a slot.
+    /// Requests a slot.
     ///
-    /// `waker` is only made if the request is to wait.
+    /// `waker` is only called if the request is queued.
     pub fn offer(&self, now: Tick, ask: &Ask<'_>, waker: impl FnOnce() -> Waker) -> Offer {
         let mut wakes = Vec::new();
-        let decision = self.0.lock().offer(now, ask, waker, &mut wakes);
+        let decision = self.0.lock().decide(now, ask, waker, &mut wakes);
         wakes.into_iter().for_each(Wake::call);
         match decision {
             Decision::Run(work) => Offer::Admitted(Permit::new(&self.0, work, now)),
-            Decision::Wait(key, until) => Offer::Queued(Queued::new(&self.0, key, until)),
+            Decision::Wait(key, expires_at) => Offer::Queued(Queued::new(&self.0, key, expires_at)),
             Decision::Refuse(refusal) => Offer::Refused(refusal),
         }
     }
 
-    /// What a request would be told that asked for a slot now, if that is no.
+    /// The refusal that a request would get if it requested a slot now; nothing if it would
+    /// be admitted or queued.
     ///
-    /// It takes no slot and no place: who hears of a refusal can keep the body of
-    /// its request to itself.
+    /// This takes neither a slot nor a place in the queue. A caller that gets a refusal
+    /// needn't send the body of its request.
     pub fn foresee(&self, now: Tick, ask: &Ask<'_>) -> Option<Refusal> {
-        self.0.lock().foresee(now, ask)
+        self.0.lock().predict_refusal(now, ask)
     }
 
-    /// Gives what is free to those who wait for a cold target, and tells when it bears the
-    /// next; nothing if nobody waits for that.
+    /// Gives free slots to requests that are queued for a cold target. Returns when its rate
+    /// limit admits the next one; nothing if no request waits for that.
     pub fn refill(&self, now: Tick) -> Option<Tick> {
         let mut wakes = Vec::new();
-        let next = self.0.lock().refill(now, &self.0, &mut wakes);
+        let next = self.0.lock().admit_queued(now, &self.0, &mut wakes);
         wakes.into_iter().for_each(Wake::call);
         next
     }
 
-    /// How long a request of that class would wait behind all others of it.
+    /// The expected wait of a request of that class behind all queued requests that are of
+    /// its class or more urgent.
     pub fn expected_wait(&self, class: Class) -> Duration {
-        self.0.lock().wait_of_class(class)
+        self.0.lock().expected_class_wait(class)
     }
 
-    /// The load as answers carry it.
+    /// The load report that answers carry.
     pub fn load(&self) -> LoadReport {
         self.0.lock().load()
     }
 
-    /// Refuses new and waiting requests from now on; what runs goes on.
+    /// Refuses new and queued requests from now on; running requests continue.
     pub fn close(&self, reason: Reason) {
         let mut wakes = Vec::new();
         self.0.lock().close(reason, &mut wakes);
         wakes.into_iter().for_each(Wake::call);
     }
 
-    /// Takes back [`Admission::close`] for that reason.
+    /// Reverts [`Admission::close`] for that reason.
     pub fn open(&self, reason: Reason) {
         self.0.lock().open(reason);
     }
@@ -137,24 +139,30 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // Nothing under the lock calls foreign code but the making of a waker,
-        // before which the state is whole: a poisoned lock is still usable.
+        // The only foreign code that runs under the lock is the closure that makes a
+        // waker. The state is consistent before that: a poisoned lock is still usable.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn release(self: &Arc<Shared>, now: Option<Tick>, work: Work, since: Tick) {
+    pub(super) fn release(
+        self: &Arc<Shared>,
+        now: Option<Tick>,
+        work: WorkType,
+        acquired_at: Tick,
+    ) {
         let mut wakes = Vec::new();
-        self.lock().release(now, work, since, self, &mut wakes);
+        self.lock()
+            .release(now, work, acquired_at, self, &mut wakes);
         wakes.into_iter().for_each(Wake::call);
     }
 
-    pub(super) fn leave(&self, key: WaitKey) {
-        // The waker is dropped after the lock was given back.
-        let gone = self.lock().leave(key);
-        drop(gone);
+    pub(super) fn remove_queued(&self, key: WaitKey) {
+        // The waker is dropped after the lock is released.
+        let removed = self.lock().remove(key);
+        drop(removed);
     }
 
-    pub(super) fn expire(&self, now: Tick, key: WaitKey) -> Option<Refusal> {
+    pub(super) fn expire_queued(&self, now: Tick, key: WaitKey) -> Option<Refusal> {
         self.lock().expire(now, key)
     }
 }
--- a/crates/core/src/admit/queue.rs
+++ b/crates/core/src/admit/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a slot.
+//! The queue of requests that wait for a slot.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,61 +6,62 @@
 use slotmap::SlotMap;
 
 use super::precedence::Precedence;
-use super::took::Took;
-use super::took::Work;
+use super::service_times::ServiceTimes;
+use super::service_times::WorkType;
 use super::wake::Waker;
 use crate::Class;
 use crate::Tick;
 
 slotmap::new_key_type! {
-    /// Names a waiting request.
+    /// Identifies a queued request.
     pub(super) struct WaitKey;
 }
 
-/// A request that waits.
+/// A queued request.
 pub(super) struct Waiting {
-    pub(super) work: Work,
-    pub(super) until: Tick,
-    /// The last moment at which it can begin and its answer still be worth
-    /// most; absent if it is worth the same at any time.
-    pub(super) begin_by: Option<Tick>,
+    pub(super) work: WorkType,
+    pub(super) expires_at: Tick,
+    /// The last moment at which the request can start and still meet its soft deadline;
+    /// absent without a soft deadline.
+    pub(super) latest_start: Option<Tick>,
     pub(super) waker: Waker,
 }
 
 impl Waiting {
-    fn precedence(&self, took: &Took, now: Tick) -> Precedence {
-        Precedence::of(took.expect(self.work), self.begin_by, now)
+    fn precedence(&self, times: &ServiceTimes, now: Tick) -> Precedence {
+        Precedence::new(times.expected(self.work), self.latest_start, now)
     }
 }
 
-/// Of so many requests that a class gets slots for, one is chosen by its time
-/// alone: were the shortest always first, long ones would never have a turn
-/// while short ones alone fill the target.
-const TURN_OF_LONG: u32 = 8;
+/// One in so many dequeues of a class chooses the request by its latest start alone. If the
+/// shortest request always went first, long ones would starve while short ones alone fill
+/// the target.
+const IGNORE_COST_INTERVAL: u32 = 8;
 
 /// The queue of a target.
 ///
 /// # Invariants
 ///
-/// Every entry of `waiting` stands once in the line of its class; a line may
-/// also hold keys of entries that left, which are passed over.
+/// The key of every entry of `waiting` is in the queue of its class once. A class queue may
+/// also hold stale keys of removed entries, which are skipped.
 pub(super) struct Queue {
     waiting: SlotMap<WaitKey, Waiting>,
-    lines: [VecDeque<WaitKey>; Class::ALL.len()],
+    class_queues: [VecDeque<WaitKey>; Class::ALL.len()],
     counts: [usize; Class::ALL.len()],
-    standard_run: u32,
-    /// Requests taken out of each class since a long one last had its turn.
-    turns: [u32; Class::ALL.len()],
+    /// Standard requests dequeued since the last background request.
+    standard_since_background: u32,
+    /// Requests dequeued of each class since one was last chosen regardless of its cost.
+    dequeues: [u32; Class::ALL.len()],
 }
 
 impl Queue {
     pub(super) fn new() -> Queue {
         Queue {
             waiting: SlotMap::with_key(),
-            lines: Default::default(),
+            class_queues: Default::default(),
             counts: [0; Class::ALL.len()],
-            standard_run: 0,
-            turns: [0; Class::ALL.len()],
+            standard_since_background: 0,
+            dequeues: [0; Class::ALL.len()],
         }
     }
 
@@ -68,105 +69,105 @@
         self.waiting.len()
     }
 
-    /// How many wait that go before a new one of `class`.
-    pub(super) fn ahead_of(&self, class: Class) -> usize {
+    /// How many queued requests may go before a new one of `class`: all but the less urgent.
+    pub(super) fn count_ahead(&self, class: Class) -> usize {
         self.counts[..=class.index()].iter().sum()
     }
 
     pub(super) fn push(&mut self, waiting: Waiting) -> WaitKey {
         let class = waiting.work.class.index();
         let key = self.waiting.insert(waiting);
-        self.lines[class].push_back(key);
+        self.class_queues[class].push_back(key);
         self.counts[class] += 1;
         key
     }
 
     pub(super) fn remove(&mut self, key: WaitKey) -> Option<Waiting> {
-        let gone = self.waiting.remove(key)?;
-        let class = gone.work.class.index();
+        let removed = self.waiting.remove(key)?;
+        let class = removed.work.class.index();
         self.counts[class] -= 1;
-        let line = &mut self.lines[class];
-        while line
+        let class_queue = &mut self.class_queues[class];
+        while class_queue
             .front()
             .is_some_and(|key| !self.waiting.contains_key(*key))
         {
-            line.pop_front();
+            class_queue.pop_front();
         }
-        while line
+        while class_queue
             .back()
             .is_some_and(|key| !self.waiting.contains_key(*key))
         {
-            line.pop_back();
+            class_queue.pop_back();
         }
-        // A line whose ends stay while those between them leave would grow
-        // without bound; it is swept once half of it is stale.
-        if line.len() > 2 * self.counts[class] + 8 {
-            line.retain(|key| self.waiting.contains_key(*key));
+        // A class queue whose ends stay while the entries between them leave would grow
+        // without bound. It is compacted once half of it is stale.
+        if class_queue.len() > 2 * self.counts[class] + 8 {
+            class_queue.retain(|key| self.waiting.contains_key(*key));
         }
-        Some(gone)
+        Some(removed)
     }
 
-    /// How long the work takes of all that wait and go before a new request of
-    /// `class`: all of classes above, and of its own those before it.
+    /// The total service time of the queued requests that go before a new one of `class`:
+    /// all of more urgent classes, and those of its own class that precede it.
     pub(super) fn work_ahead(
         &self,
         class: Class,
         precedence: Precedence,
-        took: &Took,
+        times: &ServiceTimes,
         now: Tick,
     ) -> Duration {
         let above = Class::ALL.into_iter().take_while(|above| *above < class);
-        let above = above.flat_map(|above| self.line(above));
-        let own = self.line(class);
-        let own = own.filter(|waiting| waiting.precedence(took, now) <= precedence);
+        let above = above.flat_map(|above| self.waiting_in(above));
+        let own = self.waiting_in(class);
+        let own = own.filter(|waiting| waiting.precedence(times, now) <= precedence);
         above
             .chain(own)
-            .map(|waiting| took.expect(waiting.work))
+            .map(|waiting| times.expected(waiting.work))
             .sum()
     }
 
-    /// Those of a class that wait, in the order in which they came.
-    fn line(&self, class: Class) -> impl Iterator<Item = &Waiting> {
-        self.keys(class).map(|(_, waiting)| waiting)
+    /// The queued requests of a class in their order of arrival.
+    fn waiting_in(&self, class: Class) -> impl Iterator<Item = &Waiting> {
+        self.entries(class).map(|(_, waiting)| waiting)
     }
 
-    /// Takes out the next to run, of the background only if it may.
+    /// Removes the next request to run; a background request only if `background` is set.
     pub(super) fn pop(
         &mut self,
         now: Tick,
-        took: &Took,
+        times: &ServiceTimes,
         standard_weight: u32,
         background: bool,
     ) -> Option<Waiting> {
         let class = self.next_class(standard_weight, background)?;
         match class {
             Class::Critical => {}
-            Class::Standard => self.standard_run += 1,
-            Class::Background => self.standard_run = 0,
+            Class::Standard => self.standard_since_background += 1,
+            Class::Background => self.standard_since_background = 0,
         }
-        let key = self.first_of(class, took, now)?;
+        let key = self.select_first(class, times, now)?;
         self.remove(key)
     }
 
-    /// Who is first in a class; of equals the one that came first.
-    fn first_of(&mut self, class: Class, took: &Took, now: Tick) -> Option<WaitKey> {
-        let turn = &mut self.turns[class.index()];
-        *turn = (*turn + 1) % TURN_OF_LONG;
-        let long_too = *turn == 0;
-        let held = self.keys(class);
+    /// The request of a class that goes first; among equals the oldest.
+    fn select_first(&mut self, class: Class, times: &ServiceTimes, now: Tick) -> Option<WaitKey> {
+        let dequeues = &mut self.dequeues[class.index()];
+        *dequeues = (*dequeues + 1) % IGNORE_COST_INTERVAL;
+        let ignores_cost = *dequeues == 0;
+        let held = self.entries(class);
         let by_precedence = held.min_by_key(|(_, waiting)| {
-            let precedence = waiting.precedence(took, now);
-            match long_too {
-                true => precedence.by_time(),
+            let precedence = waiting.precedence(times, now);
+            match ignores_cost {
+                true => precedence.ignoring_cost(),
                 false => precedence,
             }
         });
         by_precedence.map(|(key, _)| key)
     }
 
-    fn keys(&self, class: Class) -> impl DoubleEndedIterator<Item = (WaitKey, &Waiting)> {
-        let line = self.lines[class.index()].iter().copied();
-        line.filter_map(|key| Some((key, self.waiting.get(key)?)))
+    fn entries(&self, class: Class) -> impl DoubleEndedIterator<Item = (WaitKey, &Waiting)> {
+        let class_queue = self.class_queues[class.index()].iter().copied();
+        class_queue.filter_map(|key| Some((key, self.waiting.get(key)?)))
     }
 
     fn next_class(&self, standard_weight: u32, background: bool) -> Option<Class> {
@@ -175,63 +176,72 @@
         if waits(Class::Critical) {
             return Some(Class::Critical);
         }
-        if waits(Class::Standard) && !(background && self.standard_run >= standard_weight) {
+        if waits(Class::Standard)
+            && !(background && self.standard_since_background >= standard_weight)
+        {
             return Some(Class::Standard);
         }
         background.then_some(Class::Background)
     }
 
-    /// Takes out the one that gives way to a new one, if there is one.
+    /// Removes the request that a new one displaces, if there is one.
     pub(super) fn displace(
         &mut self,
         class: Class,
         precedence: Precedence,
-        took: &Took,
+        times: &ServiceTimes,
         now: Tick,
     ) -> Option<Waiting> {
-        let key = self.displaceable(class, precedence, took, now)?;
+        let key = self.find_displaceable(class, precedence, times, now)?;
         self.remove(key)
     }
 
-    /// Who gives way to a new one: the youngest of the least urgent class below its
-    /// own, else the last of its own.
-    pub(super) fn displaceable(
+    /// The request that a new one displaces: the youngest of the least urgent class below its
+    /// own, else the last of its own class if that costs more.
+    pub(super) fn find_displaceable(
         &self,
         class: Class,
         precedence: Precedence,
-        took: &Took,
+        times: &ServiceTimes,
         now: Tick,
     ) -> Option<WaitKey> {
         let below = Class::ALL.into_iter().rev().take_while(|c| *c > class);
-        let mut youngest = below.filter_map(|below| self.lines[below.index()].back().copied());
-        let behind = || self.last_behind(class, precedence, took, now);
-        youngest.next().or_else(behind)
+        let mut youngest =
+            below.filter_map(|below| self.class_queues[below.index()].back().copied());
+        let costlier = || self.find_costlier_in_class(class, precedence, times, now);
+        youngest.next().or_else(costlier)
     }
 
-    /// The last of a class, if it is behind a new one by more than the time at which
-    /// it has to begin; of equals the youngest.
-    fn last_behind(
+    /// The last request of a class if it costs more than a new one; a later latest start
+    /// alone isn't enough. Among equals the youngest.
+    fn find_costlier_in_class(
         &self,
         class: Class,
         precedence: Precedence,
-        took: &Took,
+        times: &ServiceTimes,
         now: Tick,
     ) -> Option<WaitKey> {
-        let held = self.keys(class);
-        let held = held.map(|(key, waiting)| (key, waiting.precedence(took, now)));
-        // Of equals the youngest, which comes last.
-        let last = held.reduce(|last, next| if last.1.is_behind(next.1) { last } else { next });
-        last.filter(|(_, last)| last.is_behind(precedence))
+        let held = self.entries(class);
+        let held = held.map(|(key, waiting)| (key, waiting.precedence(times, now)));
+        // Among equals the youngest is kept, which comes last.
+        let last = held.reduce(|last, next| {
+            if last.1.costs_more_than(next.1) {
+                last
+            } else {
+                next
+            }
+        });
+        last.filter(|(_, last)| last.costs_more_than(precedence))
             .map(|(key, _)| key)
     }
 
-    /// Takes out everything whose time is over.
-    pub(super) fn expired(&mut self, now: Tick) -> Vec<Waiting> {
-        let over = |waiting: &Waiting| waiting.until <= now;
+    /// Removes all requests whose time in the queue is over.
+    pub(super) fn remove_expired(&mut self, now: Tick) -> Vec<Waiting> {
+        let is_over = |waiting: &Waiting| waiting.expires_at <= now;
         let keys: Vec<_> = self
             .waiting
             .iter()
-            .filter(|(_, waiting)| over(waiting))
+            .filter(|(_, waiting)| is_over(waiting))
             .collect();
         let keys: Vec<_> = keys.into_iter().map(|(key, _)| key).collect();
         keys.into_iter()
@@ -239,7 +249,7 @@
             .collect()
     }
 
-    /// Takes out everything.
+    /// Removes all requests.
     pub(super) fn clear(&mut self) -> Vec<Waiting> {
         let keys: Vec<_> = self.waiting.keys().collect();
         keys.into_iter()
--- a/crates/core/src/admit/queued.rs
+++ b/crates/core/src/admit/queued.rs
@@ -1,46 +1,46 @@
-//! Requests that wait, as their tasks hold them.
+//! The handle by which a task holds its queued request.
 
 use std::sync::Arc;
 
-use super::control::Shared;
+use super::admission::Shared;
 use super::queue::WaitKey;
 use crate::Refusal;
 use crate::Tick;
 
-/// A request that waits for a slot; dropping it leaves the queue.
+/// A request that waits for a slot; dropping it removes the request from the queue.
 #[derive(Debug)]
-#[must_use = "dropping it leaves the queue"]
+#[must_use = "dropping it removes the request from the queue"]
 pub struct Queued {
     shared: Arc<Shared>,
     key: WaitKey,
-    until: Tick,
+    expires_at: Tick,
 }
 
 impl Queued {
-    pub(super) fn new(shared: &Arc<Shared>, key: WaitKey, until: Tick) -> Queued {
+    pub(super) fn new(shared: &Arc<Shared>, key: WaitKey, expires_at: Tick) -> Queued {
         Queued {
             shared: shared.clone(),
             key,
-            until,
+            expires_at,
         }
     }
 
-    /// When to call [`Queued::expire`] if the waker wasn't called before.
+    /// When to call [`Queued::expire`] unless the waker was called before.
     pub const fn until(&self) -> Tick {
-        self.until
+        self.expires_at
     }
 
-    /// Leaves the queue because the time is over.
+    /// Removes the request from the queue because its time there is over.
     ///
-    /// Returns nothing if the request isn't waiting any more: then its waker
-    /// has been called, or is just being called, with the verdict that counts.
+    /// Returns nothing if the request is no longer queued: then its waker has been called,
+    /// or is being called, with the decision that counts.
     pub fn expire(self, now: Tick) -> Option<Refusal> {
-        self.shared.expire(now, self.key)
+        self.shared.expire_queued(now, self.key)
     }
 }
 
 impl Drop for Queued {
     fn drop(&mut self) {
-        self.shared.leave(self.key);
+        self.shared.remove_queued(self.key);
     }
 }
--- a/crates/core/src/admit/reserve.rs
+++ b/crates/core/src/admit/reserve.rs
@@ -1,25 +1,25 @@
-//! Slots that are kept free of background work.
+//! Slots that are kept free of background requests.
 
 use std::time::Duration;
 
 use crate::Tick;
 
-/// Time between two slots that are added.
-const GROW_AFTER: Duration = Duration::from_millis(50);
+/// Minimum time between two slots that are added to the reserve.
+const GROW_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time without a refusal after which a slot is given back: several times what
-/// a background request holds one for.
-const SHRINK_AFTER: Duration = Duration::from_millis(1_000);
+/// Time without a refusal after which a slot of the reserve is given back: several times the
+/// service time of a background request.
+const SHRINK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How many slots background work leaves to more urgent work.
+/// The number of slots that background requests leave to more urgent ones.
 ///
-/// Urgent work goes first when a slot frees up, which doesn't help it while all
-/// slots are held by long background requests. Each time that urgent work is
-/// turned away, one slot more is kept for it; each second without that gives one
-/// back. Where urgent work finds its place, nothing is kept free in vain.
+/// Urgent requests go first when a slot frees up. That doesn't help them while long
+/// background requests hold all slots. Each refusal of an urgent request reserves one more
+/// slot; each second without a refusal gives one back. While urgent requests find slots,
+/// none is kept free, which would waste it.
 ///
-/// Without it, long background requests hold most slots once targets are lost, and
-/// short calls are refused, each of which fails its parent.
+/// Without the reserve, long background requests hold most slots once targets are lost, and
+/// short calls are refused, each of which fails its parent request.
 #[derive(Debug, Default)]
 pub(super) struct Reserve {
     slots: u32,
@@ -27,19 +27,19 @@
 }
 
 impl Reserve {
-    /// Notes that urgent work was turned away.
-    pub(super) fn turned_away(&mut self, now: Tick, most: u32) {
-        if now.since(self.changed) >= GROW_AFTER {
-            self.slots = (self.slots + 1).min(most);
+    /// Records that an urgent request was refused; reserves `max_slots` slots at most.
+    pub(super) fn record_refusal(&mut self, now: Tick, max_slots: u32) {
+        if now.since(self.changed) >= GROW_INTERVAL {
+            self.slots = (self.slots + 1).min(max_slots);
             self.changed = now;
         }
     }
 
-    /// How many slots are kept now.
+    /// The number of reserved slots at `now`.
     pub(super) fn slots(&mut self, now: Tick) -> u32 {
-        while self.slots > 0 && now.since(self.changed) >= SHRINK_AFTER {
+        while self.slots > 0 && now.since(self.changed) >= SHRINK_INTERVAL {
             self.slots -= 1;
-            self.changed = self.changed + SHRINK_AFTER;
+            self.changed = self.changed + SHRINK_INTERVAL;
         }
         self.slots
     }
--- a/crates/core/src/admit/settings.rs
+++ b/crates/core/src/admit/settings.rs
@@ -1,17 +1,17 @@
-//! Settings of admission.
+//! Settings of admission control.
 
 use std::time::Duration;
 
-/// How a target's slots are given out.
+/// How a target's slots are assigned to requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionSettings {
-    /// Requests that may wait, per slot.
+    /// Maximum number of queued requests per slot.
     pub queue_per_slot: u32,
-    /// The longest that a request waits for a slot.
+    /// The longest time that a request waits for a slot.
     pub max_wait: Duration,
-    /// How many standard requests go before one of the background that waits.
+    /// How many standard requests go before a waiting background request.
     pub standard_weight: u32,
-    /// How long a rate may be exceeded by work that came in a burst.
+    /// For how long the unused part of a rate limit accumulates, to admit a burst.
     pub burst: Duration,
 }
 
--- a/crates/core/src/admit/state.rs
+++ b/crates/core/src/admit/state.rs
@@ -1,15 +1,15 @@
-//! What admission keeps under its lock.
+//! The state of admission control, kept under its lock.
 
 use std::sync::Arc;
 
-use super::bucket::Bucket;
-use super::control::Shared;
+use super::admission::Shared;
 use super::queue::Queue;
 use super::queue::WaitKey;
 use super::queue::Waiting;
 use super::reserve::Reserve;
-use super::took::Took;
-use super::took::Work;
+use super::service_times::ServiceTimes;
+use super::service_times::WorkType;
+use super::token_bucket::Bucket;
 use super::wake::Wake;
 use super::wake::Waker;
 use super::warm_up::WarmUp;
@@ -23,47 +23,47 @@
 use crate::Step;
 use crate::Tick;
 
-mod place;
+mod queue_position;
 
-/// The most that is kept free of background work: one of so many slots. Without a
-/// bound, long background requests starve wherever short urgent ones come in number.
-const RESERVED_PART: u32 = 3;
+/// At most one in so many slots is kept free of background requests. Without a bound, long
+/// background requests starve wherever short urgent ones are frequent.
+const RESERVED_SLOTS_DIVISOR: u32 = 3;
 
-/// What background work can come to hold in any case: one of so many slots. Kept
-/// from all while urgent work fills the others, long background requests starve.
-const FLOOR_PART: u32 = 3;
+/// Background requests can always come to hold one in so many slots. If they were kept from
+/// all while urgent requests fill the others, long background requests would starve.
+const BACKGROUND_FLOOR_DIVISOR: u32 = 3;
 
-/// Slots are kept free of background work only if it takes so many times as long
-/// as urgent work. Where both take as long, a slot frees up in time for whoever
-/// goes first, and one that is kept free serves nobody.
-const LONG_TIMES: u64 = 2;
+/// Slots are kept free of background requests only if these take so many times as long as
+/// urgent ones. If both take as long, a slot frees up in time for whichever goes first, and
+/// a slot that is kept free is wasted.
+const LONG_BACKGROUND_FACTOR: u64 = 2;
 
-/// What is decided under the lock.
+/// The decision on a request, made under the lock.
 pub(super) enum Decision {
-    Run(Work),
+    Run(WorkType),
     Wait(WaitKey, Tick),
     Refuse(Refusal),
 }
 
-/// Slots, queue and rate of one target.
+/// The slots, queue and rate limits of one target.
 ///
 /// # Invariants
 ///
-/// `running` is the number of permits that exist, and `running_of` the same by
+/// `running` is the number of permits that exist, and `running_by_class` that number by
 /// class.
 pub(super) struct State {
     settings: AdmissionSettings,
     slots: u32,
     concurrency: u32,
     running: u32,
-    running_of: [u32; Class::ALL.len()],
-    took: Took,
+    running_by_class: [u32; Class::ALL.len()],
+    service_times: ServiceTimes,
     queue: Queue,
     bucket: Bucket,
     reserve: Reserve,
     warm_up: WarmUp,
-    /// Why nothing is admitted, the first reason first.
-    closed: Vec<Reason>,
+    /// The reasons for which nothing is admitted, the oldest first.
+    close_reasons: Vec<Reason>,
     now: Tick,
 }
 
@@ -74,13 +74,13 @@
             slots,
             concurrency: slots,
             running: 0,
-            running_of: [0; Class::ALL.len()],
-            took: Took::default(),
+            running_by_class: [0; Class::ALL.len()],
+            service_times: ServiceTimes::default(),
             queue: Queue::new(),
             bucket: Bucket::full(),
             reserve: Reserve::default(),
             warm_up: WarmUp::new(),
-            closed: Vec::new(),
+            close_reasons: Vec::new(),
             now: Tick::ZERO,
         }
     }
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Decides over a new request; `waker` is only made if it is to wait.
-    pub(super) fn offer(
+    /// Decides on a new request; `waker` is only called if it is queued.
+    pub(super) fn decide(
         &mut self,
         now: Tick,
         ask: &Ask<'_>,
@@ -107,22 +107,22 @@
             self.slots = slots.clamp(1, u32::from(u16::MAX));
         }
         self.concurrency = self.slots.min(ask.limits.concurrency.max(1));
-        self.warm_up.follow(ask.cold);
-        self.sweep(wakes);
-        if let Some(refusal) = self.refuse_at_once(ask) {
+        self.warm_up.set_limit(ask.cold);
+        self.expire_overdue(wakes);
+        if let Some(refusal) = self.refuse_before_queueing(ask) {
             return Decision::Refuse(refusal);
         }
-        let work = self.took.work(ask.class, ask.kind);
-        if self.queue.ahead_of(ask.class) == 0 && self.has_slot(ask.class) {
+        let work = self.service_times.work_type(ask.class, ask.kind);
+        if self.queue.count_ahead(ask.class) == 0 && self.has_free_slot(ask.class) {
             self.bucket.take();
-            self.count(ask.class);
+            self.count_start(ask.class);
             return Decision::Run(work);
         }
         self.enqueue(ask, work, waker, wakes)
     }
 
-    fn refuse_at_once(&mut self, ask: &Ask<'_>) -> Option<Refusal> {
-        if let Some(reason) = self.closed.first() {
+    fn refuse_before_queueing(&mut self, ask: &Ask<'_>) -> Option<Refusal> {
+        if let Some(reason) = self.close_reasons.first() {
             return Some(refusal(*reason));
         }
         if ask.deadline.passed(self.now) {
@@ -136,71 +136,74 @@
     fn enqueue(
         &mut self,
         ask: &Ask<'_>,
-        work: Work,
+        work: WorkType,
         waker: impl FnOnce() -> Waker,
         wakes: &mut Vec<Wake>,
     ) -> Decision {
-        let place = match self.place(ask, work) {
-            Ok(place) => place,
+        let position = match self.queue_position(ask, work) {
+            Ok(position) => position,
             Err(refusal) => {
-                self.turn_away(ask.class);
+                self.record_refusal(ask.class);
                 return Decision::Refuse(refusal);
             }
         };
-        if self.queue.len() >= self.queue_bound() {
-            let displaced = self
-                .queue
-                .displace(ask.class, place.precedence, &self.took, self.now);
+        if self.queue.len() >= self.max_queued() {
+            let displaced = self.queue.displace(
+                ask.class,
+                position.precedence,
+                &self.service_times,
+                self.now,
+            );
             let Some(displaced) = displaced else {
-                self.turn_away(ask.class);
-                return Decision::Refuse(refusal(Reason::QueueFull).after(place.wait));
+                self.record_refusal(ask.class);
+                return Decision::Refuse(refusal(Reason::QueueFull).after(position.wait));
             };
-            let wait = self.wait_of_class(displaced.work.class);
-            self.turn_away(displaced.work.class);
+            let wait = self.expected_class_wait(displaced.work.class);
+            self.record_refusal(displaced.work.class);
             wakes.push(refuse(displaced, refusal(Reason::Displaced).after(wait)));
         }
         self.bucket.take();
-        let until = ask.deadline.tick().min(self.now + self.settings.max_wait);
+        let expires_at = ask.deadline.tick().min(self.now + self.settings.max_wait);
         let key = self.queue.push(Waiting {
             work,
-            until,
-            begin_by: place.begin_by,
+            expires_at,
+            latest_start: position.latest_start,
             waker: waker(),
         });
-        Decision::Wait(key, until)
+        Decision::Wait(key, expires_at)
     }
 
-    /// Takes back a slot and gives what is free to those who wait.
+    /// Frees a slot and gives free slots to queued requests.
     pub(super) fn release(
         &mut self,
         now: Option<Tick>,
-        work: Work,
-        since: Tick,
+        work: WorkType,
+        acquired_at: Tick,
         shared: &Arc<Shared>,
         wakes: &mut Vec<Wake>,
     ) {
         // INVARIANT: Only a permit calls this, and each calls it once.
         self.running -= 1;
-        self.running_of[work.class.index()] -= 1;
+        self.running_by_class[work.class.index()] -= 1;
         if let Some(now) = now {
             self.now = self.now.max(now);
-            self.took.note(work, now.since(since));
+            self.service_times.record(work, now.since(acquired_at));
         }
-        self.sweep(wakes);
-        self.fill(shared, wakes);
+        self.expire_overdue(wakes);
+        self.dispatch(shared, wakes);
     }
 
-    /// Gives what is free to those who wait, and tells when a cold target bears the next;
-    /// nothing if nobody waits for that.
-    pub(super) fn refill(
+    /// Gives free slots to queued requests. Returns when the rate limit of a cold target
+    /// admits the next one; nothing if no request waits for that.
+    pub(super) fn admit_queued(
         &mut self,
         now: Tick,
         shared: &Arc<Shared>,
         wakes: &mut Vec<Wake>,
     ) -> Option<Tick> {
         self.now = self.now.max(now);
-        self.sweep(wakes);
-        self.fill(shared, wakes);
+        self.expire_overdue(wakes);
+        self.dispatch(shared, wakes);
         if self.queue.len() == 0 || self.running >= self.concurrency {
             return None;
         }
@@ -208,69 +211,69 @@
         Some(self.now + wait)
     }
 
-    fn fill(&mut self, shared: &Arc<Shared>, wakes: &mut Vec<Wake>) {
+    fn dispatch(&mut self, shared: &Arc<Shared>, wakes: &mut Vec<Wake>) {
         while self.running < self.concurrency && self.warm_up.wait(self.now).is_none() {
-            let background = self.has_slot(Class::Background);
+            let background = self.has_free_slot(Class::Background);
             let next = self.queue.pop(
                 self.now,
-                &self.took,
+                &self.service_times,
                 self.settings.standard_weight,
                 background,
             );
             let Some(waiting) = next else { return };
-            self.count(waiting.work.class);
+            self.count_start(waiting.work.class);
             let permit = Permit::new(shared, waiting.work, self.now);
             wakes.push(Wake {
                 waker: waiting.waker,
-                verdict: Ok(permit),
+                decision: Ok(permit),
             });
         }
     }
 
-    /// Takes a request out of the queue, if it still waits.
-    pub(super) fn leave(&mut self, key: WaitKey) -> Option<Waiting> {
+    /// Removes a request from the queue, if it is still queued.
+    pub(super) fn remove(&mut self, key: WaitKey) -> Option<Waiting> {
         self.queue.remove(key)
     }
 
     pub(super) fn expire(&mut self, now: Tick, key: WaitKey) -> Option<Refusal> {
         self.now = self.now.max(now);
-        let gone = self.queue.remove(key)?;
-        Some(self.timed_out(gone.work.class))
+        let waiting = self.queue.remove(key)?;
+        Some(self.queue_timeout_refusal(waiting.work.class))
     }
 
-    /// Refuses everything from now on, and what waits.
+    /// Refuses all new and queued requests from now on.
     pub(super) fn close(&mut self, reason: Reason, wakes: &mut Vec<Wake>) {
-        if !self.closed.contains(&reason) {
-            self.closed.push(reason);
+        if !self.close_reasons.contains(&reason) {
+            self.close_reasons.push(reason);
         }
         let waiting = self.queue.clear();
         wakes.extend(waiting.into_iter().map(|w| refuse(w, refusal(reason))));
     }
 
     pub(super) fn open(&mut self, reason: Reason) {
-        self.closed.retain(|held| *held != reason);
+        self.close_reasons.retain(|held| *held != reason);
     }
 
-    fn sweep(&mut self, wakes: &mut Vec<Wake>) {
+    fn expire_overdue(&mut self, wakes: &mut Vec<Wake>) {
         if self.queue.len() == 0 {
             return;
         }
-        for gone in self.queue.expired(self.now) {
-            let told = self.timed_out(gone.work.class);
-            wakes.push(refuse(gone, told));
+        for waiting in self.queue.remove_expired(self.now) {
+            let refusal = self.queue_timeout_refusal(waiting.work.class);
+            wakes.push(refuse(waiting, refusal));
         }
     }
 
-    fn timed_out(&mut self, class: Class) -> Refusal {
-        self.turn_away(class);
-        refusal(Reason::QueueTimeout).after(self.wait_of_class(class))
+    fn queue_timeout_refusal(&mut self, class: Class) -> Refusal {
+        self.record_refusal(class);
+        refusal(Reason::QueueTimeout).after(self.expected_class_wait(class))
     }
 
     /// Whether a request of that class may have a slot now.
     ///
-    /// A slot that is free is for whoever asks: with a share of their own, background
-    /// requests that have the target for themselves wait beside a free slot.
-    fn has_slot(&mut self, class: Class) -> bool {
+    /// No class has a fixed share of the slots: with a share of their own, background
+    /// requests would wait beside free slots when they have the target for themselves.
+    fn has_free_slot(&mut self, class: Class) -> bool {
         if self.warm_up.wait(self.now).is_some() {
             return false;
         }
@@ -278,37 +281,37 @@
         if class != Class::Background {
             return free > 0;
         }
-        let held = self.running_of[class.index()];
-        let has_part = held >= self.concurrency / FLOOR_PART;
-        let reserved = match has_part && self.background_is_long() {
+        let held = self.running_by_class[class.index()];
+        let holds_floor = held >= self.concurrency / BACKGROUND_FLOOR_DIVISOR;
+        let reserved = match holds_floor && self.background_is_long() {
             true => self.reserve.slots(self.now),
             false => 0,
         };
         free > reserved
     }
 
-    /// Whether urgent work would wait long for a slot that background work holds.
+    /// Whether urgent requests would wait long for a slot that a background request holds.
     fn background_is_long(&self) -> bool {
-        let of_class = |class| self.took.of_class(class);
+        let of_class = |class| self.service_times.class_mean_us(class);
         let urgent = of_class(Class::Critical).max(of_class(Class::Standard));
-        of_class(Class::Background) > urgent.saturating_mul(LONG_TIMES)
+        of_class(Class::Background) > urgent.saturating_mul(LONG_BACKGROUND_FACTOR)
     }
 
-    /// Notes that a request of that class finds no room.
-    fn turn_away(&mut self, class: Class) {
+    /// Records that a request of that class was refused for lack of a slot.
+    fn record_refusal(&mut self, class: Class) {
         if class != Class::Background {
-            let most = self.concurrency / RESERVED_PART;
-            self.reserve.turned_away(self.now, most);
+            let max_reserved = self.concurrency / RESERVED_SLOTS_DIVISOR;
+            self.reserve.record_refusal(self.now, max_reserved);
         }
     }
 
-    fn count(&mut self, class: Class) {
+    fn count_start(&mut self, class: Class) {
         self.running += 1;
-        self.running_of[class.index()] += 1;
-        self.warm_up.begin();
+        self.running_by_class[class.index()] += 1;
+        self.warm_up.record_start();
     }
 
-    fn queue_bound(&self) -> usize {
+    fn max_queued(&self) -> usize {
         let bound = self.slots.saturating_mul(self.settings.queue_per_slot);
         usize::try_from(bound).unwrap_or(usize::MAX)
     }
@@ -321,6 +324,6 @@
 fn refuse(waiting: Waiting, refusal: Refusal) -> Wake {
     Wake {
         waker: waiting.waker,
-        verdict: Err(refusal),
+        decision: Err(refusal),
     }
 }
--- a/crates/core/src/admit/tests.rs
+++ b/crates/core/src/admit/tests.rs
@@ -1,9 +1,9 @@
-//! What runs, what waits and what is refused.
+//! Tests of admission control: which requests run, wait and are refused.
 
-mod bench;
 mod cases;
 mod cold;
-mod drawn;
+mod fixture;
 mod load;
 mod overload;
-mod shed;
+mod properties;
+mod retry_hint;
--- a/crates/core/src/admit/tests/cold.rs
+++ b/crates/core/src/admit/tests/cold.rs
@@ -1,4 +1,4 @@
-//! All targets of a service that return cold, under the load of warm ones.
+//! A simulation of a service whose targets all restart cold under the load of warm ones.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -27,28 +27,28 @@
 
 const TARGETS: usize = 20;
 const SLOTS: u32 = 6;
-/// Two thirds of what warm targets bear.
+/// Requests a second, two thirds of what warm targets can serve.
 const PER_S: f64 = 760.0;
-/// How long a request takes in a warm target.
-const TOOK: Duration = Duration::from_millis(105);
-/// How much longer it takes in a cold one.
-const COLD_TIMES: u32 = 2;
-/// How long targets stay cold, and how many requests a second they bear then.
-const COLD: Duration = Duration::from_secs(3);
-const BEARS: u32 = 10;
-/// What they tolerate within a second; with more, they crash.
+/// Service time of a request at a warm target.
+const SERVICE_TIME: Duration = Duration::from_millis(105);
+/// The factor by which it is longer at a cold one.
+const COLD_FACTOR: u32 = 2;
+/// How long targets stay cold, and how many requests a second they can serve then.
+const COLD_TIME: Duration = Duration::from_secs(3);
+const COLD_PER_S: u32 = 10;
+/// What they tolerate within a second; with more requests they crash.
 const TOLERANCE: ColdTolerance = ColdTolerance {
     over_percent: 150,
     slack: 8,
 };
 const TOLERATED: usize = 23;
-/// How long a crashed target is away.
-const AWAY: Duration = Duration::from_secs(1);
-/// Nodes that a request asks for room at most.
-const ASKS: usize = 3;
+/// How long a crashed target is down.
+const DOWN_TIME: Duration = Duration::from_secs(1);
+/// The number of nodes that a request is offered to at most.
+const MAX_OFFERS: usize = 3;
 const SECS: usize = 20;
 
-type Verdict = Result<Permit, Refusal>;
+type Decision = Result<Permit, Refusal>;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -57,99 +57,99 @@
     Ends(usize),
 }
 
-/// A target with its admission.
+/// A target with its admission control.
 struct Target {
     admission: Admission,
-    /// When its process started, or will.
+    /// When its process started or will start.
     started: Tick,
     begun: VecDeque<Tick>,
     crashes: u32,
 }
 
-/// A request that runs in a target.
+/// A request that runs at a target.
 struct Run {
     target: usize,
     permit: Permit,
-    /// The start of the target that it runs in.
+    /// The start of the target process that it runs in.
     started: Tick,
 }
 
-struct Play {
+struct Simulation {
     targets: Vec<Target>,
     runs: Vec<Option<Run>>,
     events: BinaryHeap<Reverse<(Tick, Event)>>,
-    told: Arc<Mutex<Vec<(usize, Verdict)>>>,
-    /// Waits that are kept until they are told.
-    waits: Vec<crate::Queued>,
+    decisions: Arc<Mutex<Vec<(usize, Decision)>>>,
+    /// Handles of queued requests, which keep them in the queue until their decisions.
+    queued: Vec<crate::Queued>,
     served: [u32; SECS],
     rng: SmallRng,
 }
 
-/// What callers got in each second, and how often targets crashed.
+/// Requests answered in each second, and the number of crashes.
 #[derive(Debug)]
-struct Got {
+struct SimResult {
     served: [u32; SECS],
     crashes: u32,
 }
 
-/// Plays the return of all targets at once, the limit on cold ones in force or not.
-fn play(seed: u64, limited: bool) -> Got {
+/// Simulates the restart of all targets at once, with or without the limit on cold ones.
+fn simulate(seed: u64, limited: bool) -> SimResult {
     let target = |_| Target {
         admission: Admission::new(AdmissionSettings::default(), SLOTS).unwrap(),
         started: Tick::ZERO,
         begun: VecDeque::new(),
         crashes: 0,
     };
-    let mut play = Play {
+    let mut sim = Simulation {
         targets: (0..TARGETS).map(target).collect(),
         runs: Vec::new(),
         events: BinaryHeap::new(),
-        told: Arc::default(),
-        waits: Vec::new(),
+        decisions: Arc::default(),
+        queued: Vec::new(),
         served: [0; SECS],
         rng: SmallRng::seed_from_u64(seed),
     };
     let end = Tick::ZERO + Duration::from_secs(SECS as u64);
-    play.events.push(Reverse((Tick::ZERO, Event::Arrives)));
-    while let Some(Reverse((now, event))) = play.events.pop() {
+    sim.events.push(Reverse((Tick::ZERO, Event::Arrives)));
+    while let Some(Reverse((now, event))) = sim.events.pop() {
         if now >= end {
             break;
         }
         match event {
-            Event::Arrives => play.arrives(now, limited),
-            Event::Refill(target) => play.refill(now, target),
-            Event::Ends(run) => play.ends(now, run),
+            Event::Arrives => sim.arrives(now, limited),
+            Event::Refill(target) => sim.refill(now, target),
+            Event::Ends(run) => sim.ends(now, run),
         }
-        play.begin_admitted(now);
+        sim.begin_admitted(now);
     }
-    Got {
-        served: play.served,
-        crashes: play.targets.iter().map(|target| target.crashes).sum(),
+    SimResult {
+        served: sim.served,
+        crashes: sim.targets.iter().map(|target| target.crashes).sum(),
     }
 }
 
-impl Play {
+impl Simulation {
     fn arrives(&mut self, now: Tick, limited: bool) {
         let draw: f64 = self.rng.random_range(f64::EPSILON..1.0);
         let pause = Duration::from_secs_f64(-draw.ln() / PER_S);
         self.events.push(Reverse((now + pause, Event::Arrives)));
         let first = self.rng.random_range(0..TARGETS);
-        for ask in 0..ASKS {
-            let target = (first + ask * 7) % TARGETS;
-            if self.offer(now, target, limited, ask + 1 == ASKS) {
+        for offer in 0..MAX_OFFERS {
+            let target = (first + offer * 7) % TARGETS;
+            if self.offer(now, target, limited, offer + 1 == MAX_OFFERS) {
                 return;
             }
         }
     }
 
-    /// Asks a target's node for room; tells whether there is some.
-    fn offer(&mut self, now: Tick, target: usize, limited: bool, settles: bool) -> bool {
+    /// Offers a request to a target's node; returns whether it is admitted or queued.
+    fn offer(&mut self, now: Tick, target: usize, limited: bool, last_resort: bool) -> bool {
         let held = &self.targets[target];
         if now < held.started {
             return false;
         }
-        let until = held.started + COLD;
-        let limit = TOLERANCE.limit(BEARS, until);
+        let until = held.started + COLD_TIME;
+        let limit = TOLERANCE.limit(COLD_PER_S, until);
         let name = KindName::new("lookup").unwrap();
         let ask = Ask {
             class: Class::Standard,
@@ -157,19 +157,19 @@
             limits: &LIMITS,
             kind: Some(&name),
             aim: Some(now + Duration::from_millis(400)),
-            settles,
+            settles: last_resort,
             slots: None,
             cold: (limited && now < until).then_some(limit),
         };
-        let told = Arc::clone(&self.told);
+        let decisions = Arc::clone(&self.decisions);
         let waker = move || -> crate::Waker {
-            Box::new(move |verdict| told.lock().unwrap().push((target, verdict)))
+            Box::new(move |decision| decisions.lock().unwrap().push((target, decision)))
         };
         match held.admission.offer(now, &ask, waker) {
-            Offer::Admitted(permit) => self.told.lock().unwrap().push((target, Ok(permit))),
+            Offer::Admitted(permit) => self.decisions.lock().unwrap().push((target, Ok(permit))),
             Offer::Refused(_) => return false,
             Offer::Queued(queued) => {
-                self.waits.push(queued);
+                self.queued.push(queued);
                 self.refill(now, target);
             }
         }
@@ -184,12 +184,12 @@
 
     fn begin_admitted(&mut self, now: Tick) {
         loop {
-            let told = std::mem::take(&mut *self.told.lock().unwrap());
-            if told.is_empty() {
+            let decisions = std::mem::take(&mut *self.decisions.lock().unwrap());
+            if decisions.is_empty() {
                 return;
             }
-            for (target, verdict) in told {
-                if let Ok(permit) = verdict {
+            for (target, decision) in decisions {
+                if let Ok(permit) = decision {
                     self.begin(now, target, permit);
                 }
             }
@@ -207,14 +207,14 @@
             held.begun.pop_front();
         }
         held.begun.push_back(now);
-        let cold = now.since(held.started) < COLD;
+        let cold = now.since(held.started) < COLD_TIME;
         if cold && now >= held.started && held.begun.len() > TOLERATED {
             held.crashes += 1;
-            held.started = now + AWAY;
+            held.started = now + DOWN_TIME;
             held.begun.clear();
         }
-        let times = if cold { COLD_TIMES } else { 1 };
-        let took = TOOK * times;
+        let times = if cold { COLD_FACTOR } else { 1 };
+        let took = SERVICE_TIME * times;
         let started = held.started;
         let took = took.mul_f64(self.rng.random_range(0.7..1.3));
         let id = self.runs.len();
@@ -227,10 +227,10 @@
     }
 
     fn ends(&mut self, now: Tick, run: usize) {
-        let run = self.runs[run].take().expect("it ran");
+        let run = self.runs[run].take().expect("the request ran");
         run.permit.release(now);
         let held = &self.targets[run.target];
-        // A run that a crash ended has no answer.
+        // A request whose target crashed has no answer.
         if run.started == held.started && now >= held.started {
             let second = now.as_micros() / 1_000_000;
             self.served[second as usize] += 1;
@@ -238,27 +238,30 @@
     }
 }
 
-/// Guards against targets that return cold, crash under the load of warm ones and return
-/// cold again: all of a service return at once, and a load that they bear warm goes on.
+/// Guards against targets that restart cold, crash under the load of warm ones and restart
+/// again: all of a service restart at once while a load that warm ones can serve continues.
 #[rstest]
-fn targets_that_return_cold_warm_up_under_full_load(#[values(1, 2, 3, 4, 5)] seed: u64) {
-    let got = play(seed, true);
-    assert_eq!(got.crashes, 0);
-    // While they are cold, all that they bear is given out and most of what they tolerate.
-    let bears = BEARS * TARGETS as u32 * 13 / 10;
-    assert!(got.served[1..3].iter().all(|n| *n >= bears), "{got:?}");
-    // From a second after the cold time on, callers are served as if nothing had been.
-    let warm = &got.served[4..];
+fn cold_targets_warm_up_under_full_load_without_crashes(#[values(1, 2, 3, 4, 5)] seed: u64) {
+    let result = simulate(seed, true);
+    assert_eq!(result.crashes, 0);
+    // While targets are cold, they serve their full rate and most of what they tolerate.
+    let cold_rate = COLD_PER_S * TARGETS as u32 * 13 / 10;
+    assert!(
+        result.served[1..3].iter().all(|n| *n >= cold_rate),
+        "{result:?}"
+    );
+    // From one second after the cold time on, callers are served at the full rate.
+    let warm = &result.served[4..];
     assert!(
         warm.iter().all(|n| f64::from(*n) >= PER_S * 0.85),
-        "{got:?}"
+        "{result:?}"
     );
 }
 
-/// Shows that the load of the play is one that makes unlimited targets crash again and
-/// again; the test above would prove nothing without.
+/// Shows that the simulated load makes targets without a limit crash repeatedly; otherwise
+/// the test above would prove nothing.
 #[test]
-fn without_a_limit_the_same_targets_crash_again_and_again() {
-    let got = play(1, false);
-    assert!(got.crashes > 3 * TARGETS as u32, "{got:?}");
+fn without_cold_limit_targets_crash_repeatedly() {
+    let result = simulate(1, false);
+    assert!(result.crashes > 3 * TARGETS as u32, "{result:?}");
 }
--- a/crates/core/src/admit/tests/load.rs
+++ b/crates/core/src/admit/tests/load.rs
@@ -1,4 +1,4 @@
-//! A load played on one target's admission in virtual time.
+//! A simulation of a load on one target's admission control in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -30,29 +30,29 @@
     pub(super) name: &'static str,
     pub(super) class: Class,
     pub(super) per_s: f64,
-    /// What one takes in its slot on average, in milliseconds.
-    pub(super) took_ms: f64,
-    /// Within what its answer is worth most, in milliseconds.
-    pub(super) aim_ms: u64,
-    /// How long its caller waits, in milliseconds.
-    pub(super) wait_ms: u64,
+    /// The mean service time in milliseconds.
+    pub(super) mean_ms: f64,
+    /// The soft deadline in milliseconds.
+    pub(super) soft_deadline_ms: u64,
+    /// The caller's timeout in milliseconds.
+    pub(super) timeout_ms: u64,
 }
 
-/// What callers of a kind got.
+/// What callers of a kind received.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Got {
-    pub(super) asked: u32,
+pub(super) struct KindResult {
+    pub(super) sent: u32,
     pub(super) in_time: u32,
     pub(super) late: u32,
     pub(super) refused: u32,
-    /// Those of the refused that had waited for nothing.
-    pub(super) waited_in_vain: u32,
+    /// Those of the refused that waited in the queue until they timed out.
+    pub(super) timed_out: u32,
 }
 
-impl Got {
+impl KindResult {
     /// The share of callers that were answered.
     pub(super) fn served(self) -> f64 {
-        f64::from(self.in_time + self.late) / f64::from(self.asked)
+        f64::from(self.in_time + self.late) / f64::from(self.sent)
     }
 }
 
@@ -60,60 +60,65 @@
 enum Event {
     Arrives(usize),
     Ends(usize),
-    GivesUp(usize),
+    TimesOut(usize),
 }
 
-type Verdicts = Arc<Mutex<Vec<(usize, Result<Permit, Refusal>)>>>;
+type Decisions = Arc<Mutex<Vec<(usize, Result<Permit, Refusal>)>>>;
 
 /// One request of the load.
 #[derive(Debug)]
-struct Asked {
+struct SimRequest {
     kind: usize,
     at: Tick,
     queued: Option<Queued>,
     permit: Option<Permit>,
 }
 
-/// A target's admission with its load.
-struct Play<'a> {
+/// A target's admission control with its load.
+struct Simulation<'a> {
     kinds: &'a [Kind],
     admission: Admission,
-    verdicts: Verdicts,
+    decisions: Decisions,
     events: BinaryHeap<Reverse<(Tick, Event)>>,
-    asked: Vec<Asked>,
-    got: Vec<Got>,
+    requests: Vec<SimRequest>,
+    results: Vec<KindResult>,
     rng: SmallRng,
 }
 
-/// Plays a load for some seconds; what each kind's callers got.
-pub(super) fn play(slots: u32, kinds: &[Kind], secs: u64, seed: u64) -> HashMap<&'static str, Got> {
-    let mut play = Play {
+/// Simulates a load for `secs` seconds; returns what the callers of each kind received.
+pub(super) fn simulate(
+    slots: u32,
+    kinds: &[Kind],
+    secs: u64,
+    seed: u64,
+) -> HashMap<&'static str, KindResult> {
+    let mut sim = Simulation {
         kinds,
         admission: Admission::new(AdmissionSettings::default(), slots).unwrap(),
-        verdicts: Verdicts::default(),
+        decisions: Decisions::default(),
         events: BinaryHeap::new(),
-        asked: Vec::new(),
-        got: vec![Got::default(); kinds.len()],
+        requests: Vec::new(),
+        results: vec![KindResult::default(); kinds.len()],
         rng: SmallRng::seed_from_u64(seed),
     };
     let end = Tick::from_millis(secs * 1_000);
     for kind in 0..kinds.len() {
-        play.next_arrival(Tick::ZERO, kind);
+        sim.next_arrival(Tick::ZERO, kind);
     }
-    while let Some(Reverse((now, event))) = play.events.pop() {
+    while let Some(Reverse((now, event))) = sim.events.pop() {
         match event {
-            Event::Arrives(kind) if now < end => play.arrives(now, kind),
+            Event::Arrives(kind) if now < end => sim.arrives(now, kind),
             Event::Arrives(_) => {}
-            Event::Ends(id) => play.ends(now, id),
-            Event::GivesUp(id) => play.gives_up(now, id),
+            Event::Ends(id) => sim.ends(now, id),
+            Event::TimesOut(id) => sim.times_out(now, id),
         }
-        play.take_verdicts(now);
+        sim.take_decisions(now);
     }
     let names = kinds.iter().map(|kind| kind.name);
-    names.zip(play.got).collect()
+    names.zip(sim.results).collect()
 }
 
-impl Play<'_> {
+impl Simulation<'_> {
     fn next_arrival(&mut self, now: Tick, kind: usize) {
         let draw: f64 = self.rng.random_range(f64::EPSILON..1.0);
         let pause = Duration::from_secs_f64(-draw.ln() / self.kinds[kind].per_s);
@@ -123,35 +128,35 @@
 
     fn arrives(&mut self, now: Tick, kind: usize) {
         self.next_arrival(now, kind);
-        let id = self.asked.len();
+        let id = self.requests.len();
         let of = self.kinds[kind];
         let name = KindName::new(of.name).unwrap();
         let ask = Ask {
             class: of.class,
-            deadline: Deadline::within(now, Duration::from_millis(of.wait_ms)),
+            deadline: Deadline::within(now, Duration::from_millis(of.timeout_ms)),
             limits: &LIMITS,
             kind: Some(&name),
-            aim: Some(now + Duration::from_millis(of.aim_ms)),
+            aim: Some(now + Duration::from_millis(of.soft_deadline_ms)),
             settles: true,
             slots: None,
             cold: None,
         };
-        let verdicts = self.verdicts.clone();
+        let decisions = self.decisions.clone();
         let waker = move || -> crate::Waker {
-            Box::new(move |verdict| verdicts.lock().unwrap().push((id, verdict)))
+            Box::new(move |decision| decisions.lock().unwrap().push((id, decision)))
         };
         let mut queued = None;
         match self.admission.offer(now, &ask, waker) {
-            Offer::Admitted(permit) => self.verdicts.lock().unwrap().push((id, Ok(permit))),
-            Offer::Refused(refusal) => self.verdicts.lock().unwrap().push((id, Err(refusal))),
-            Offer::Queued(waits) => {
+            Offer::Admitted(permit) => self.decisions.lock().unwrap().push((id, Ok(permit))),
+            Offer::Refused(refusal) => self.decisions.lock().unwrap().push((id, Err(refusal))),
+            Offer::Queued(handle) => {
                 self.events
-                    .push(Reverse((waits.until(), Event::GivesUp(id))));
-                queued = Some(waits);
+                    .push(Reverse((handle.until(), Event::TimesOut(id))));
+                queued = Some(handle);
             }
         }
-        self.got[kind].asked += 1;
-        self.asked.push(Asked {
+        self.results[kind].sent += 1;
+        self.requests.push(SimRequest {
             kind,
             at: now,
             queued,
@@ -160,38 +165,38 @@
     }
 
     fn ends(&mut self, now: Tick, id: usize) {
-        let asked = &mut self.asked[id];
-        asked.permit.take().expect("it ran").release(now);
-        let aim = Duration::from_millis(self.kinds[asked.kind].aim_ms);
-        let got = &mut self.got[asked.kind];
-        match now.since(asked.at) <= aim {
-            true => got.in_time += 1,
-            false => got.late += 1,
+        let request = &mut self.requests[id];
+        request.permit.take().expect("the request ran").release(now);
+        let soft_deadline = Duration::from_millis(self.kinds[request.kind].soft_deadline_ms);
+        let result = &mut self.results[request.kind];
+        match now.since(request.at) <= soft_deadline {
+            true => result.in_time += 1,
+            false => result.late += 1,
         }
     }
 
-    fn gives_up(&mut self, now: Tick, id: usize) {
-        let queued = self.asked[id].queued.take();
+    fn times_out(&mut self, now: Tick, id: usize) {
+        let queued = self.requests[id].queued.take();
         if queued.and_then(|queued| queued.expire(now)).is_some() {
-            let got = &mut self.got[self.asked[id].kind];
-            got.refused += 1;
-            got.waited_in_vain += 1;
+            let result = &mut self.results[self.requests[id].kind];
+            result.refused += 1;
+            result.timed_out += 1;
         }
     }
 
-    fn take_verdicts(&mut self, now: Tick) {
-        let told = std::mem::take(&mut *self.verdicts.lock().unwrap());
-        for (id, verdict) in told {
-            let kind = self.asked[id].kind;
-            self.asked[id].queued = None;
-            match verdict {
+    fn take_decisions(&mut self, now: Tick) {
+        let decisions = std::mem::take(&mut *self.decisions.lock().unwrap());
+        for (id, decision) in decisions {
+            let kind = self.requests[id].kind;
+            self.requests[id].queued = None;
+            match decision {
                 Ok(permit) => {
                     let spread = self.rng.random_range(0.7..1.3);
-                    let took = Duration::from_secs_f64(self.kinds[kind].took_ms * spread / 1e3);
-                    self.asked[id].permit = Some(permit);
+                    let took = Duration::from_secs_f64(self.kinds[kind].mean_ms * spread / 1e3);
+                    self.requests[id].permit = Some(permit);
                     self.events.push(Reverse((now + took, Event::Ends(id))));
                 }
-                Err(_) => self.got[kind].refused += 1,
+                Err(_) => self.results[kind].refused += 1,
             }
         }
     }
--- a/crates/core/src/admit/tests/shed.rs
+++ b/crates/core/src/admit/tests/retry_hint.rs
@@ -1,4 +1,4 @@
-//! Callers of a target that declines some requests although it has room.
+//! Callers of a target that declines some requests although it has free slots.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -22,42 +22,42 @@
 const SLOTS: u32 = 6;
 const CALLERS: usize = 600;
 /// The time between two callers.
-const PAUSE: Duration = Duration::from_millis(30);
-const TOOK: Duration = Duration::from_millis(100);
-/// The part of requests that the target declines.
-const DECLINED: f64 = 0.55;
-/// Within what an answer is worth most, and how often a caller asks at most.
-const AIM: Duration = Duration::from_millis(400);
-const ASKS: u32 = 3;
+const CALLER_INTERVAL: Duration = Duration::from_millis(30);
+const SERVICE_TIME: Duration = Duration::from_millis(100);
+/// The share of requests that the target declines.
+const DECLINED_SHARE: f64 = 0.55;
+/// The soft deadline of a caller, and how often it tries at most.
+const SOFT_DEADLINE: Duration = Duration::from_millis(400);
+const MAX_TRIES: u32 = 3;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Ends(usize),
-    Asks { caller: usize, ask: u32 },
+    Tries { caller: usize, attempt: u32 },
 }
 
-/// The part of callers that are answered in time if they come back after what `told` says.
-fn answered_in_time(seed: u64, told: impl Fn(&Admission) -> Duration) -> f64 {
+/// The share of callers that are answered in time if they retry after `retry_after`.
+fn answered_in_time(seed: u64, retry_after: impl Fn(&Admission) -> Duration) -> f64 {
     let admission = Admission::new(AdmissionSettings::default(), SLOTS).unwrap();
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut running: Vec<Option<Permit>> = Vec::new();
     let mut events = BinaryHeap::new();
     let begun: Vec<Tick> = (0..CALLERS as u32)
-        .map(|n| Tick::ZERO + PAUSE * n)
+        .map(|n| Tick::ZERO + CALLER_INTERVAL * n)
         .collect();
     for (caller, at) in begun.iter().enumerate() {
-        events.push(Reverse((*at, Event::Asks { caller, ask: 1 })));
+        events.push(Reverse((*at, Event::Tries { caller, attempt: 1 })));
     }
     let mut in_time = 0;
     while let Some(Reverse((now, event))) = events.pop() {
-        let (caller, ask) = match event {
-            Event::Asks { caller, ask } => (caller, ask),
+        let (caller, attempt) = match event {
+            Event::Tries { caller, attempt } => (caller, attempt),
             Event::Ends(run) => {
-                running[run].take().expect("it ran").release(now);
+                running[run].take().expect("the request ran").release(now);
                 continue;
             }
         };
-        let asked = Ask {
+        let request = Ask {
             class: Class::Standard,
             deadline: Deadline::within(now, Duration::from_secs(2)),
             limits: &LIMITS,
@@ -67,36 +67,36 @@
             slots: None,
             cold: None,
         };
-        let offer = admission.offer(now, &asked, || Box::new(drop));
+        let offer = admission.offer(now, &request, || Box::new(drop));
         let declined = match offer {
-            Offer::Admitted(permit) if rng.random_bool(DECLINED) => {
+            Offer::Admitted(permit) if rng.random_bool(DECLINED_SHARE) => {
                 permit.release(now);
                 true
             }
             Offer::Admitted(permit) => {
-                events.push(Reverse((now + TOOK, Event::Ends(running.len()))));
+                events.push(Reverse((now + SERVICE_TIME, Event::Ends(running.len()))));
                 running.push(Some(permit));
                 false
             }
             Offer::Queued(_) | Offer::Refused(_) => true,
         };
         if !declined {
-            in_time += usize::from(now.since(begun[caller]) + TOOK <= AIM);
-        } else if ask < ASKS {
-            let ask = ask + 1;
+            in_time += usize::from(now.since(begun[caller]) + SERVICE_TIME <= SOFT_DEADLINE);
+        } else if attempt < MAX_TRIES {
+            let attempt = attempt + 1;
             events.push(Reverse((
-                now + told(&admission),
-                Event::Asks { caller, ask },
+                now + retry_after(&admission),
+                Event::Tries { caller, attempt },
             )));
         }
     }
     in_time as f64 / CALLERS as f64
 }
 
-/// Guards against callers that are told to come back when their answers are late, by a
-/// target that declines one request and takes the next.
+/// Guards against retry hints so long that answers are late, from a target that declines
+/// one request and accepts the next.
 #[rstest]
-fn callers_of_a_target_that_declines_come_back_in_time(#[values(1, 2, 3, 4, 5)] seed: u64) {
+fn callers_that_retry_after_expected_wait_are_answered_in_time(#[values(1, 2, 3, 4, 5)] seed: u64) {
     let by_wait = answered_in_time(seed, |admission| admission.expected_wait(Class::Standard));
     let by_second = answered_in_time(seed, |_| Duration::from_secs(1));
     assert!(by_wait > 0.75, "{by_wait}, and {by_second} after a second");
--- /dev/null
+++ b/crates/core/src/admit/token_bucket.rs
@@ -0,0 +1,51 @@
+//! Rate limiting by a token bucket.
+
+use std::time::Duration;
+
+use crate::Tick;
+
+/// Micro-tokens in a token. With this resolution a rate of one token a second is exact.
+const MICRO_TOKENS_PER_TOKEN: u64 = 1_000_000;
+
+/// A token bucket whose rate is passed with each use.
+#[derive(Debug)]
+pub(crate) struct Bucket {
+    micro_tokens: u64,
+    refilled_at: Tick,
+}
+
+impl Bucket {
+    /// A bucket that is full at its first use.
+    pub(crate) const fn full() -> Bucket {
+        Bucket {
+            micro_tokens: u64::MAX,
+            refilled_at: Tick::ZERO,
+        }
+    }
+
+    /// Refills the bucket. Returns how long it takes until a token is available, or nothing
+    /// if one is available now.
+    pub(crate) fn refill(&mut self, now: Tick, per_s: u32, burst: Duration) -> Option<Duration> {
+        let rate = u64::from(per_s.max(1));
+        let cap = rate
+            .saturating_mul(micros(burst))
+            .max(MICRO_TOKENS_PER_TOKEN);
+        let gained = rate.saturating_mul(micros(now.since(self.refilled_at)));
+        self.micro_tokens = self.micro_tokens.saturating_add(gained).min(cap);
+        self.refilled_at = self.refilled_at.max(now);
+        if self.micro_tokens >= MICRO_TOKENS_PER_TOKEN {
+            return None;
+        }
+        let missing = MICRO_TOKENS_PER_TOKEN - self.micro_tokens;
+        Some(Duration::from_micros(missing.div_ceil(rate)))
+    }
+
+    /// Takes a token, after [`Bucket::refill`] found that one is available.
+    pub(crate) fn take(&mut self) {
+        self.micro_tokens = self.micro_tokens.saturating_sub(MICRO_TOKENS_PER_TOKEN);
+    }
+}
+
+fn micros(time: Duration) -> u64 {
+    u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
+}
--- a/crates/core/src/admit/wake.rs
+++ b/crates/core/src/admit/wake.rs
@@ -1,23 +1,23 @@
-//! Telling those who wait.
+//! Notifying queued requests of their decisions.
 
 use crate::Permit;
 use crate::Refusal;
 
-/// Told once what became of a queued request.
+/// Called once with the decision on a queued request.
 ///
-/// It is called without any lock held and must not block: sending into a
-/// one-shot channel is what it is for. A permit that its receiver doesn't want
-/// any more is dropped, which gives the slot to the next.
+/// It is called without any lock held and must not block: it is meant to send into a
+/// one-shot channel. If the receiver is gone, the permit is dropped, which gives the slot
+/// to the next request.
 pub type Waker = Box<dyn FnOnce(Result<Permit, Refusal>) + Send>;
 
-/// A waker with what it is to be told, collected under the lock.
+/// A waker with its decision, collected under the lock and called after its release.
 pub(super) struct Wake {
     pub(super) waker: Waker,
-    pub(super) verdict: Result<Permit, Refusal>,
+    pub(super) decision: Result<Permit, Refusal>,
 }
 
 impl Wake {
     pub(super) fn call(self) {
-        (self.waker)(self.verdict);
+        (self.waker)(self.decision);
     }
 }
--- a/crates/core/src/admit/warm_up.rs
+++ b/crates/core/src/admit/warm_up.rs
@@ -1,17 +1,17 @@
-//! How many requests may begin at a cold target.
+//! The rate at which requests may start at a cold target.
 
 use std::time::Duration;
 
-use super::bucket::Bucket;
+use super::token_bucket::Bucket;
 use crate::ColdLimit;
 use crate::Tick;
 
-/// The limit on a target that is cold.
+/// The rate limit on a target while it is cold.
 ///
 /// # Invariants
 ///
-/// While it is in force, no more requests begin in any second than its rate gives in a
-/// second and [`ColdLimit::burst`] together.
+/// While the limit is in force, no more requests start within any second than its rate
+/// yields in one second and [`ColdLimit::burst`] together.
 #[derive(Debug)]
 pub(super) struct WarmUp {
     limit: Option<ColdLimit>,
@@ -19,7 +19,7 @@
 }
 
 impl WarmUp {
-    /// Without a limit.
+    /// No limit.
     pub(super) const fn new() -> WarmUp {
         WarmUp {
             limit: None,
@@ -27,25 +27,25 @@
         }
     }
 
-    /// Takes over what is known of the target now.
-    pub(super) fn follow(&mut self, limit: Option<ColdLimit>) {
+    /// Replaces the limit by the one that is currently known for the target.
+    pub(super) fn set_limit(&mut self, limit: Option<ColdLimit>) {
         self.limit = limit;
     }
 
-    fn in_force(&self, now: Tick) -> Option<ColdLimit> {
+    fn active_limit(&self, now: Tick) -> Option<ColdLimit> {
         self.limit.filter(|limit| now < limit.until)
     }
 
-    /// How long it takes until a request may begin; nothing if one may at once.
+    /// How long it takes until a request may start; nothing if one may start now.
     pub(super) fn wait(&mut self, now: Tick) -> Option<Duration> {
-        let limit = self.in_force(now)?;
+        let limit = self.active_limit(now)?;
         let wait = self.bucket.refill(now, limit.per_s, limit.burst)?;
         Some(wait.min(limit.until.since(now)))
     }
 
-    /// How long the one waits that begins after `ahead` others.
+    /// How long a request waits that starts after `ahead` others.
     pub(super) fn wait_behind(&mut self, now: Tick, ahead: usize) -> Duration {
-        let Some(limit) = self.in_force(now) else {
+        let Some(limit) = self.active_limit(now) else {
             return Duration::ZERO;
         };
         let first = self.wait(now).unwrap_or_default();
@@ -55,8 +55,8 @@
         wait.min(limit.until.since(now))
     }
 
-    /// Notes that a request begins.
-    pub(super) fn begin(&mut self) {
+    /// Records that a request starts.
+    pub(super) fn record_start(&mut self) {
         if self.limit.is_some() {
             self.bucket.take();
         }
