--- a/crates/core/src/eject.rs
+++ b/crates/core/src/eject.rs
@@ -1,10 +1,10 @@
-//! Passive detection of endpoints that fail, from the answers themselves.
+//! Outlier ejection: passive detection of failing endpoints from the outcomes of requests.
 //!
-//! The platform's health endpoint lags or misleads, so that only what happened
-//! to requests counts: no connection, errors in a row, answers much slower than
-//! those of the service's other endpoints. Such an endpoint is left out for a
-//! time that grows with each repetition, but never more than a set share of a
-//! service: when most of it looks broken, the fault is likelier elsewhere.
+//! The platform's health endpoint lags or misleads, so that only the outcomes of requests
+//! count: failed connections, consecutive errors, and answers much slower than the average
+//! of the service. Such an endpoint is ejected for a time that grows with each repetition.
+//! Never more than a set share of a service is ejected: when most of it looks broken, the
+//! fault is more likely elsewhere.
 
 pub use self::settings::EjectSettings;
 pub use self::verdict::Verdict;
--- a/crates/core/src/eject/health.rs
+++ b/crates/core/src/eject/health.rs
@@ -1,4 +1,4 @@
-//! The record of one endpoint.
+//! The failure counts and ejection of one endpoint.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::AtomicU64;
@@ -8,16 +8,16 @@
 use crate::EjectSettings;
 use crate::Tick;
 
-/// The most doublings of an ejection's time.
+/// Maximum number of doublings of the ejection time.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// What went wrong at one endpoint lately.
+/// Recent consecutive failures of one endpoint, and its ejection.
 ///
-/// The counts are independent atomics: threads that race may lose one step of
-/// a count, which delays an ejection by a request and breaks nothing.
+/// The counts are independent atomics: threads that race may lose one step of a count, which
+/// only delays an ejection by one request.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
-    connects: AtomicU32,
+    connect_failures: AtomicU32,
     errors: AtomicU32,
     slow: AtomicU32,
     ejections: AtomicU32,
@@ -25,68 +25,70 @@
 }
 
 impl Health {
-    /// Whether it is left out now.
+    /// Whether the endpoint is ejected at `now`.
     pub(crate) fn is_ejected(&self, now: Tick) -> bool {
         now.as_micros() < self.ejected_until.load(Ordering::Relaxed)
     }
 
-    /// When its last ejection ended or will end, if it had one.
-    pub(crate) fn back_at(&self) -> Option<Tick> {
+    /// When the last ejection ended or will end, if there was one.
+    pub(crate) fn ejection_ends_at(&self) -> Option<Tick> {
         let until = self.ejected_until.load(Ordering::Relaxed);
         (until > 0).then(|| Tick::from_micros(until))
     }
 
-    /// A good answer.
-    pub(crate) fn good(&self) {
-        clear(&self.connects);
+    /// Records a good answer.
+    pub(crate) fn record_success(&self) {
+        clear(&self.connect_failures);
         clear(&self.errors);
         clear(&self.slow);
     }
 
-    /// A sign of life that says nothing of errors.
-    pub(crate) fn alive(&self) {
-        clear(&self.connects);
+    /// Records a response that shows a working connection but doesn't clear errors.
+    pub(crate) fn record_response(&self) {
+        clear(&self.connect_failures);
     }
 
-    /// A slow answer; tells whether it is time for an ejection.
-    pub(crate) fn slow(&self, cfg: &EjectSettings) -> bool {
-        clear(&self.connects);
+    /// Records a slow answer; returns whether the endpoint is to be ejected.
+    pub(crate) fn record_slow(&self, cfg: &EjectSettings) -> bool {
+        clear(&self.connect_failures);
         clear(&self.errors);
         self.slow.fetch_add(1, Ordering::Relaxed) + 1 >= cfg.slow_answers
     }
 
-    /// An error; tells whether it is time for an ejection.
-    pub(crate) fn failed(&self, cfg: &EjectSettings) -> bool {
+    /// Records an error; returns whether the endpoint is to be ejected.
+    pub(crate) fn record_error(&self, cfg: &EjectSettings) -> bool {
         self.errors.fetch_add(1, Ordering::Relaxed) + 1 >= cfg.errors
     }
 
-    /// A failed connection; tells whether it is time for an ejection.
-    pub(crate) fn no_connection(&self, cfg: &EjectSettings) -> bool {
-        let connects = self.connects.fetch_add(1, Ordering::Relaxed) + 1;
-        self.failed(cfg) || connects >= cfg.connects
+    /// Records a failed connection; returns whether the endpoint is to be ejected.
+    pub(crate) fn record_connect_failure(&self, cfg: &EjectSettings) -> bool {
+        let connect_failures = self.connect_failures.fetch_add(1, Ordering::Relaxed) + 1;
+        self.record_error(cfg) || connect_failures >= cfg.connect_failures
     }
 
-    /// Leaves it out, for longer each time.
+    /// Ejects the endpoint, for longer each time.
     pub(crate) fn eject(&self, now: Tick, cfg: &EjectSettings) {
-        let rested = |back: Tick| now.since(back) > 2 * cfg.longest;
-        if self.back_at().is_some_and(rested) {
+        let rested = |back: Tick| now.since(back) > 2 * cfg.max_ejection;
+        if self.ejection_ends_at().is_some_and(rested) {
             self.ejections.store(0, Ordering::Relaxed);
         }
         let earlier = self.ejections.fetch_add(1, Ordering::Relaxed);
         let until = now + ejection_time(cfg, earlier);
         self.ejected_until
             .store(until.as_micros(), Ordering::Relaxed);
-        // One more failure after its return is enough to leave it out again:
-        // the counts stay just below their bounds until an answer clears them.
-        let below = |bound: u32| bound.saturating_sub(1);
-        self.connects.store(below(cfg.connects), Ordering::Relaxed);
-        self.errors.store(below(cfg.errors), Ordering::Relaxed);
-        self.slow.store(below(cfg.slow_answers), Ordering::Relaxed);
+        // One more failure after the readmission is enough for another ejection: the counts
+        // stay just below their thresholds until a good answer clears them.
+        let just_below = |threshold: u32| threshold.saturating_sub(1);
+        self.connect_failures
+            .store(just_below(cfg.connect_failures), Ordering::Relaxed);
+        self.errors.store(just_below(cfg.errors), Ordering::Relaxed);
+        self.slow
+            .store(just_below(cfg.slow_answers), Ordering::Relaxed);
     }
 
-    /// Forgets everything, as for a new process.
+    /// Resets counts and ejections for a new process.
     pub(crate) fn reset(&self) {
-        self.good();
+        self.record_success();
         self.ejections.store(0, Ordering::Relaxed);
         self.ejected_until.store(0, Ordering::Relaxed);
     }
@@ -94,11 +96,13 @@
 
 fn ejection_time(cfg: &EjectSettings, earlier: u32) -> Duration {
     let factor = 1 << earlier.min(MAX_DOUBLINGS);
-    cfg.first.saturating_mul(factor).min(cfg.longest)
+    cfg.first_ejection
+        .saturating_mul(factor)
+        .min(cfg.max_ejection)
 }
 
-/// Writes only what isn't zero yet: good answers are the common case, and the
-/// traffic threads shouldn't contend for a line that stays as it is.
+/// Sets a count to zero, writing only if it isn't. Good answers are the common case, and the
+/// traffic threads shouldn't contend for an unchanged cache line.
 fn clear(count: &AtomicU32) {
     if count.load(Ordering::Relaxed) != 0 {
         count.store(0, Ordering::Relaxed);
--- a/crates/core/src/eject/tests.rs
+++ b/crates/core/src/eject/tests.rs
@@ -5,25 +5,25 @@
 use crate::Tick;
 
 const CFG: EjectSettings = EjectSettings {
-    connects: 2,
+    connect_failures: 2,
     errors: 5,
     slow_answers: 3,
     slow_factor: 5,
     slow_floor: Duration::from_millis(100),
-    first: Duration::from_secs(1),
-    longest: Duration::from_secs(30),
-    max_percent: 50,
+    first_ejection: Duration::from_secs(1),
+    max_ejection: Duration::from_secs(30),
+    max_ejected_percent: 50,
 };
 
-/// How long the next ejection lasts, from `now` on.
+/// Ejects the endpoint at `now`; returns how long the ejection lasts.
 fn ejection(health: &Health, now: Tick) -> Duration {
     health.eject(now, &CFG);
     assert!(health.is_ejected(now));
-    health.back_at().unwrap().since(now)
+    health.ejection_ends_at().unwrap().since(now)
 }
 
 #[test]
-fn ejections_grow_to_a_bound_and_start_over_after_a_rest() {
+fn ejections_grow_to_a_bound_and_reset_after_a_rest() {
     let health = Health::default();
     let mut now = Tick::from_millis(1);
     let mut times = Vec::new();
@@ -35,34 +35,34 @@
     }
     assert_eq!(times, [1, 2, 4, 8, 16, 30, 30]);
     let rested = now + Duration::from_secs(61);
-    assert_eq!(ejection(&health, rested), CFG.first);
+    assert_eq!(ejection(&health, rested), CFG.first_ejection);
 }
 
 #[test]
-fn counts_are_of_failures_in_a_row() {
+fn only_consecutive_failures_count() {
     let health = Health::default();
-    let errors: Vec<_> = (0..5).map(|_| health.failed(&CFG)).collect();
+    let errors: Vec<_> = (0..5).map(|_| health.record_error(&CFG)).collect();
     assert_eq!(errors, [false, false, false, false, true]);
-    health.good();
-    assert!(!health.no_connection(&CFG));
-    health.alive();
+    health.record_success();
+    assert!(!health.record_connect_failure(&CFG));
+    health.record_response();
     assert!(
-        !health.no_connection(&CFG),
-        "the refusal between was a sign of life"
+        !health.record_connect_failure(&CFG),
+        "the response in between resets the count of failed connections"
     );
-    assert!(health.no_connection(&CFG));
-    health.good();
-    let slow: Vec<_> = (0..3).map(|_| health.slow(&CFG)).collect();
+    assert!(health.record_connect_failure(&CFG));
+    health.record_success();
+    let slow: Vec<_> = (0..3).map(|_| health.record_slow(&CFG)).collect();
     assert_eq!(slow, [false, false, true]);
 }
 
-// An endpoint comes back from an ejection still broken. One failure is enough
-// to leave it out again: callers don't pay the whole count once more.
+// An endpoint is still broken when its ejection ends. One failure is enough to eject it
+// again, so that callers don't meet the full number of failures once more.
 #[test]
-fn one_failure_after_the_return_is_enough() {
+fn one_failure_after_readmission_ejects_again() {
     let health = Health::default();
     ejection(&health, Tick::from_millis(1));
-    assert!(health.failed(&CFG));
-    health.good();
-    assert!(!health.failed(&CFG));
+    assert!(health.record_error(&CFG));
+    health.record_success();
+    assert!(!health.record_error(&CFG));
 }
--- a/crates/core/src/eject/verdict.rs
+++ b/crates/core/src/eject/verdict.rs
@@ -1,22 +1,22 @@
-//! What a try says of its endpoint.
+//! The outcome of an attempt for its endpoint.
 
 use std::time::Duration;
 
-/// How one try at an endpoint ended, as far as it concerns the endpoint.
+/// How one attempt at an endpoint ended, as far as it concerns the endpoint's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It answered, after this time.
+    /// The endpoint answered after this time.
     Answered(Duration),
-    /// It refused for its load, which is a sign of life.
+    /// The endpoint refused because of its load. The connection works.
     Shed,
-    /// It is cold and bears the next request after this time.
+    /// The endpoint is cold and admits the next request after this time.
     Cold(Duration),
-    /// It refused since it is leaving.
+    /// The endpoint refused because it drains.
     Draining,
-    /// No connection could be made.
+    /// No connection was established.
     NoConnection,
-    /// The connection broke, the answer was cut, or none came in time.
+    /// The connection broke, the answer was truncated, or none arrived in time.
     Failed,
-    /// The caller went away; this says nothing.
+    /// The caller went away, or the attempt was not made; this says nothing about the endpoint.
     Cancelled,
 }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,11 +1,11 @@
-//! Choosing the endpoint that a request goes to.
+//! Load balancing: choosing the endpoint that a request is sent to.
 //!
-//! [`Meters`] is what a node knows of endpoints and outlives every snapshot: its
-//! own requests in flight, the load that answers reported, what went wrong. A
-//! [`Picker`] binds it to one snapshot. It chooses in the node's own failure
-//! domain first, then in its region, then elsewhere, each time the one of least cost,
-//! by load and speed, among some drawn at random, and goes on to the next when that one
-//! is full.
+//! [`Meters`] holds what a node knows of endpoints and outlives every snapshot: the node's
+//! own requests in flight, the load that answers reported, and failures. A [`Picker`] binds
+//! the meters to one snapshot. It prefers endpoints in the node's own failure domain, then
+//! those in its region, then the others. Within each of these tiers it chooses the one of
+//! least cost, by load and latency, among some that are drawn at random, and spills over to
+//! the next tier if that one is full.
 
 pub use self::meters::Intake;
 pub use self::meters::Meters;
@@ -19,11 +19,11 @@
 mod candidate;
 mod meter;
 mod meters;
-mod pace;
 mod picked;
 mod picker;
 mod position;
 mod rate;
+mod relative_latency;
 mod rendezvous;
 mod service;
 mod settings;
@@ -31,7 +31,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A share that is given in percent.
-fn percent(n: u32) -> f32 {
+/// Converts percent to a share of 1.
+fn percent_to_share(n: u32) -> f32 {
     n as f32 / 100.0
 }
--- a/crates/core/src/route/candidate.rs
+++ b/crates/core/src/route/candidate.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the picker holds them.
+//! An endpoint of a snapshot with its meter, as the picker holds it.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::InstanceId;
 use crate::RegionName;
 
-/// An endpoint that requests may go to.
+/// An endpoint that requests may be sent to.
 #[derive(Debug, Clone)]
 pub(super) struct Candidate {
     pub(super) key: EndpointKey,
--- a/crates/core/src/route/meters.rs
+++ b/crates/core/src/route/meters.rs
@@ -1,4 +1,4 @@
-//! What a node knows of all endpoints, across snapshots.
+//! The meters of all endpoints, kept across snapshots.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -18,95 +18,95 @@
 use crate::TargetLife;
 use crate::Tick;
 
-/// Whether an endpoint takes new work, by the word of its own node.
+/// Whether an endpoint accepts new requests, as announced by its own node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Intake {
-    /// It is ready.
+    /// The endpoint is ready.
     Open,
-    /// It starts, drains or is gone.
+    /// The endpoint starts, drains or has departed.
     Closed,
 }
 
 /// The meters of all endpoints; shared by the control and traffic threads.
 ///
-/// Traffic threads go through a [`crate::Picker`], which holds what it needs,
-/// and don't take this lock.
+/// Traffic threads use a [`crate::Picker`], which holds the meters that it needs, and don't
+/// take the lock.
 #[derive(Debug, Default)]
 pub struct Meters {
     inner: Mutex<Inner>,
-    /// Held while an ejection is decided, so that two at once can't both pass
-    /// the bound on the share that is left out.
+    /// Held while an ejection is decided, so that two concurrent ones can't exceed the bound
+    /// on the ejected share together.
     pub(super) ejecting: Mutex<()>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    endpoints: HashMap<InstanceId, Metered>,
+    endpoints: HashMap<InstanceId, EndpointRecord>,
     services: HashMap<ServiceName, Arc<ServiceMeter>>,
-    built: bool,
+    bound: bool,
 }
 
-/// An endpoint's meter, and the target that it was of when it was last bound.
+/// An endpoint's meter, and the facts of its target when it was last bound.
 #[derive(Debug, Default)]
-struct Metered {
+struct EndpointRecord {
     meter: Arc<Meter>,
-    life: Option<TargetLife>,
-    /// How long the target was to stay cold when it was last bound.
+    generation: Option<TargetLife>,
+    /// How long the target was listed to stay cold at that time.
     cold_for: Duration,
-    /// Whether its failure domain was evacuated then.
+    /// Whether its failure domain was evacuated at that time.
     evacuated: bool,
 }
 
-impl Metered {
-    /// Takes over which target runs there now, and starts anew if it is another.
+impl EndpointRecord {
+    /// Updates the generation of the target, and resets the meter if it is another one.
     ///
-    /// A target that crashes and starts again within a heartbeat never leaves the
-    /// list. Its load, pace and failures of before say nothing of the new process,
-    /// which is cold: an endpoint that was ejected for its crash would stay away
-    /// for up to half a minute, and one that was fast would be sent its full share.
-    fn follow(&mut self, instance: &Instance, now: Tick) {
-        let life = instance.target.as_ref();
-        let another = life.is_some_and(|life| life.replaces(&mut self.life));
-        if another {
-            self.meter.renew(now);
+    /// A target that crashes and restarts within a heartbeat is never removed from the list.
+    /// Its earlier load, latency and failures don't apply to the new process, which is cold:
+    /// an endpoint that was ejected for its crash would stay excluded for up to half a
+    /// minute, and one that was fast would get its full share at once.
+    fn update_target(&mut self, instance: &Instance, now: Tick) {
+        let generation = instance.target.as_ref();
+        let replaced =
+            generation.is_some_and(|generation| generation.replaces(&mut self.generation));
+        if replaced {
+            self.meter.reset(now);
         }
-        if another || instance.cold_for != self.cold_for {
-            self.meter.set_cold(now + instance.cold_for);
+        if replaced || instance.cold_for != self.cold_for {
+            self.meter.set_cold_until(now + instance.cold_for);
         }
         self.cold_for = instance.cold_for;
     }
 
-    /// Takes over whether the failure domain is evacuated; a target may be cold as it is
-    /// taken back.
-    fn evacuate(&mut self, evacuated: bool, cold_start: Option<&ColdStart>, now: Tick) {
+    /// Updates whether the failure domain is evacuated. A target may be cold when the
+    /// evacuation ends.
+    fn update_evacuation(&mut self, evacuated: bool, cold_start: Option<&ColdStart>, now: Tick) {
         if self.evacuated && !evacuated {
             let lasts = cold_start.map_or(Duration::ZERO, |cold| cold.lasts);
-            self.meter.set_cold(now + lasts);
+            self.meter.set_cold_until(now + lasts);
         }
         self.evacuated = evacuated;
     }
 }
 
 impl Meters {
-    /// Meters of nothing so far.
+    /// Creates an empty set of meters.
     pub fn new() -> Meters {
         Meters::default()
     }
 
-    /// Takes over what an endpoint's own node said of it.
+    /// Stores what an endpoint's own node announced.
     ///
-    /// The caller orders these by incarnation and sequence; what is marked
-    /// last counts.
+    /// The caller orders announcements by incarnation and sequence; the last call counts.
     pub fn mark(&self, instance: &InstanceId, intake: Intake, now: Tick) {
         let mut inner = self.lock();
-        let held = inner.endpoints.entry(instance.clone()).or_default();
+        let record = inner.endpoints.entry(instance.clone()).or_default();
         match intake {
-            Intake::Open => held.meter.open(now),
-            Intake::Closed => held.meter.close(),
+            Intake::Open => record.meter.open(now),
+            Intake::Closed => record.meter.close(),
         }
     }
 
-    /// Forgets endpoints and services that the snapshot doesn't have.
+    /// Removes endpoints and services that the snapshot doesn't contain.
     pub fn retain(&self, snapshot: &Snapshot) {
         let mut inner = self.lock();
         let mut listed = HashSet::new();
@@ -120,9 +120,9 @@
             .retain(|name, _| snapshot.find_service(name).is_some());
     }
 
-    /// The meter of an endpoint; one that wasn't there before starts cold,
-    /// unless this is the first list that the node sees.
-    pub(super) fn endpoint(
+    /// The meter of an endpoint. A new endpoint begins with a slow start, unless this is the
+    /// first list that the node binds.
+    pub(super) fn bind_endpoint(
         &self,
         instance: &Instance,
         evacuated: bool,
@@ -130,28 +130,29 @@
         now: Tick,
     ) -> Arc<Meter> {
         let mut inner = self.lock();
-        let is_new = inner.built && !inner.endpoints.contains_key(&instance.id);
-        let held = inner.endpoints.entry(instance.id.clone()).or_default();
-        held.follow(instance, now);
-        held.evacuate(evacuated, cold_start, now);
+        let is_new = inner.bound && !inner.endpoints.contains_key(&instance.id);
+        let record = inner.endpoints.entry(instance.id.clone()).or_default();
+        record.update_target(instance, now);
+        record.update_evacuation(evacuated, cold_start, now);
         if is_new {
-            held.meter.start_cold(now);
+            record.meter.begin_slow_start(now);
         }
-        held.meter.clone()
+        record.meter.clone()
     }
 
-    pub(super) fn service(&self, name: &ServiceName) -> Arc<ServiceMeter> {
+    pub(super) fn service_meter(&self, name: &ServiceName) -> Arc<ServiceMeter> {
         let mut inner = self.lock();
         inner.services.entry(name.clone()).or_default().clone()
     }
 
-    /// Notes that a list was bound: endpoints that come later are new.
-    pub(super) fn mark_built(&self) {
-        self.lock().built = true;
+    /// Records that a list was bound: endpoints that are listed later are new.
+    pub(super) fn mark_bound(&self) {
+        self.lock().bound = true;
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // Each change under the lock is whole before the next begins.
+        // Each change under the lock is complete before the next one begins, so that a
+        // poisoned lock is still usable.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/core/src/route/picked.rs
+++ b/crates/core/src/route/picked.rs
@@ -1,4 +1,4 @@
-//! A choice that counts until it is over.
+//! A picked endpoint, whose request is counted until it ends.
 
 use std::sync::Arc;
 use std::sync::PoisonError;
@@ -15,9 +15,10 @@
 use crate::Tick;
 use crate::Verdict;
 
-/// An endpoint that a request was sent to; counts there until it is dropped.
+/// An endpoint that was picked for a request; the request counts as in flight there until
+/// this is dropped.
 #[derive(Debug)]
-#[must_use = "dropping it ends the count of the request"]
+#[must_use = "dropping it stops counting the request as in flight"]
 pub struct Picked {
     cfg: RouteSettings,
     meters: Arc<Meters>,
@@ -25,7 +26,7 @@
     endpoint: EndpointKey,
     meter: Arc<Meter>,
     load: f32,
-    since: Tick,
+    picked_at: Tick,
 }
 
 impl Picked {
@@ -37,7 +38,7 @@
         now: Tick,
     ) -> Picked {
         let load = candidate.meter.load(now, candidate.slots, &cfg);
-        candidate.meter.enter();
+        candidate.meter.begin_request();
         Picked {
             cfg,
             meters: meters.clone(),
@@ -45,7 +46,7 @@
             endpoint: candidate.key,
             meter: candidate.meter.clone(),
             load,
-            since: now,
+            picked_at: now,
         }
     }
 
@@ -54,55 +55,57 @@
         self.endpoint
     }
 
-    /// When it was chosen.
+    /// When the endpoint was picked.
     pub const fn since(&self) -> Tick {
-        self.since
+        self.picked_at
     }
 
-    /// Its load over slots with this request, in percent, as it was chosen.
+    /// The endpoint's load over slots in percent, with this request, when it was picked.
     pub fn load_percent(&self) -> u32 {
-        // Far below what a cast would saturate at.
+        // The value is far below the bound at which the cast saturates.
         (self.load * 100.0) as u32
     }
 
-    /// Takes over the load that came with an answer's head.
+    /// Records the load report of an answer's head.
     pub fn report(&self, now: Tick, load: LoadReport) {
-        self.meter.report(now, load);
+        self.meter.record_load(now, load);
     }
 
-    /// Takes over how much longer the target is cold, as the node beside it said.
+    /// Records how much longer the target is cold, as its node reported.
     pub fn cold_for(&self, now: Tick, left: Duration) {
-        self.meter.set_cold(now + left);
+        self.meter.set_cold_until(now + left);
     }
 
-    /// Takes in how long an answer of that kind took, which tells how fast the
-    /// endpoint is beside others.
+    /// Records the latency of an answer of that kind, for the endpoint's latency relative to
+    /// others.
     pub fn timed(&self, kind: &KindName, took: Duration) {
         if let Some(ratio) = self.view.meter.kinds.ratio(kind, took) {
-            self.meter.pace.note(ratio);
+            self.meter.relative_latency.record(ratio);
         }
     }
 
-    /// Ends the try with what it says of the endpoint.
-    pub fn finish(self, now: Tick, verdict: Verdict) {
-        self.judge(now, verdict);
+    /// Ends the attempt and records its outcome for the endpoint.
+    pub fn finish(self, now: Tick, outcome: Verdict) {
+        self.record_outcome(now, outcome);
     }
 
-    fn judge(&self, now: Tick, verdict: Verdict) {
+    fn record_outcome(&self, now: Tick, outcome: Verdict) {
         let cfg = &self.cfg.eject;
         let health = &self.meter.health;
-        let due = match verdict {
-            Verdict::Answered(took) if self.view.meter.is_slow(took, cfg) => health.slow(cfg),
+        let is_due = match outcome {
+            Verdict::Answered(took) if self.view.meter.is_slow(took, cfg) => {
+                health.record_slow(cfg)
+            }
             Verdict::Answered(_) => {
-                health.good();
+                health.record_success();
                 false
             }
             Verdict::Shed => {
-                health.alive();
+                health.record_response();
                 false
             }
             Verdict::Cold(wait) => {
-                health.alive();
+                health.record_response();
                 self.meter.pause(now + wait.min(self.cfg.drain_pause));
                 false
             }
@@ -110,19 +113,19 @@
                 self.meter.pause(now + self.cfg.drain_pause);
                 false
             }
-            Verdict::NoConnection => health.no_connection(cfg),
-            Verdict::Failed => health.failed(cfg),
+            Verdict::NoConnection => health.record_connect_failure(cfg),
+            Verdict::Failed => health.record_error(cfg),
             Verdict::Cancelled => false,
         };
-        if due {
+        if is_due {
             self.eject(now);
         }
     }
 
     fn eject(&self, now: Tick) {
-        // Many endpoints fail at once when the node's own network does: beyond
-        // the bound they stay in, since leaving out all would refuse what some
-        // of them might still answer. The lock makes look and change one step.
+        // Many endpoints fail at once when the node's own network fails. Beyond the bound
+        // none is ejected, since ejecting all would refuse requests that some of them might
+        // still answer. The lock makes the check and the ejection one step.
         let guard = self.meters.ejecting.lock();
         let _guard = guard.unwrap_or_else(PoisonError::into_inner);
         if self.meter.health.is_ejected(now) {
@@ -131,7 +134,7 @@
         let all = &self.view.candidates;
         let out = all.iter().filter(|c| c.meter.health.is_ejected(now));
         let after = out.count() + 1;
-        let percent = usize::try_from(self.cfg.eject.max_percent).unwrap_or(0);
+        let percent = usize::try_from(self.cfg.eject.max_ejected_percent).unwrap_or(0);
         if after < all.len() && after * 100 <= all.len() * percent {
             self.meter.health.eject(now, &self.cfg.eject);
         }
@@ -140,6 +143,6 @@
 
 impl Drop for Picked {
     fn drop(&mut self) {
-        self.meter.exit();
+        self.meter.end_request();
     }
 }
--- a/crates/core/src/route/picker.rs
+++ b/crates/core/src/route/picker.rs
@@ -1,4 +1,4 @@
-//! The choice itself.
+//! Picking an endpoint for a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 use slotmap::SecondaryMap;
 
 use super::candidate::Candidate;
-use super::percent;
+use super::percent_to_share;
 use super::position::TIERS;
 use super::rendezvous::Score;
 use super::service::ServiceView;
-use super::subset::arrange;
+use super::subset::arrange_subset;
 use crate::Budget;
 use crate::EndpointKey;
 use crate::Homes;
@@ -29,10 +29,10 @@
 use crate::Step;
 use crate::Tick;
 
-/// Chooses endpoints of the services of one snapshot.
+/// Picks endpoints of the services of one snapshot.
 ///
-/// It belongs to that snapshot: keys of another mean nothing here. Build it
-/// beside the snapshot and put both in force together.
+/// A picker is only valid for that snapshot: keys of another one are meaningless here. Build
+/// it together with the snapshot and replace both at once.
 #[derive(Debug)]
 pub struct Picker {
     cfg: RouteSettings,
@@ -41,7 +41,7 @@
 }
 
 impl Picker {
-    /// Binds the meters to a snapshot.
+    /// Binds the meters to a snapshot for a node at `position`.
     pub fn build(
         snapshot: &Snapshot,
         position: &Position,
@@ -61,33 +61,33 @@
                     continue;
                 }
                 let is_evacuated = snapshot.is_evacuated(&instance.domain);
-                let among = match is_evacuated {
+                let group = match is_evacuated {
                     true => &mut evacuated,
                     false => &mut candidates,
                 };
-                among.push(Candidate {
+                group.push(Candidate {
                     key,
                     id: instance.id.clone(),
                     region: instance.region.clone(),
                     tier: position.tier_of(instance),
                     slots: instance.slots,
                     score: Score::of(instance.id.as_str()),
-                    meter: meters.endpoint(instance, is_evacuated, cold_start, now),
+                    meter: meters.bind_endpoint(instance, is_evacuated, cold_start, now),
                 });
             }
-            // INVARIANT: The arrangement orders both parts by tier.
-            let subset = arrange(&mut candidates, node, &cfg);
+            // INVARIANT: `arrange_subset` orders the subset and the rest by tier.
+            let subset = arrange_subset(&mut candidates, node, &cfg);
             let view = ServiceView {
                 candidates,
                 subset,
                 evacuated,
                 cold_per_s: cold_start.map(|cold| cold.per_s),
-                fleet: snapshot.endpoint_count(),
-                meter: meters.service(&service.entry.name),
+                fleet_size: snapshot.endpoint_count(),
+                meter: meters.service_meter(&service.entry.name),
             };
             services.insert(key, Arc::new(view));
         }
-        meters.mark_built();
+        meters.mark_bound();
         Picker {
             cfg,
             meters: meters.clone(),
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Chooses an endpoint at home other than those in `avoid` and counts the
+    /// Picks an endpoint in the route's regions other than those in `avoid` and counts the
     /// request there.
     ///
     /// # Errors
     ///
-    /// Refuses as not run if no endpoint takes new work.
+    /// Refuses as not run if no endpoint accepts new requests.
     pub fn pick(
         &self,
         service: ServiceKey,
@@ -120,27 +120,28 @@
         if is_listed && !view.candidates.iter().any(|c| homes.allows(&c.region)) {
             return Err(Refusal::not_run(Step::Route, Reason::NotAtHome));
         }
-        view.meter.picks.note(now);
+        view.meter.picks.record(now);
         let takes_cold = rng.random_range(0.0..1.0) < view.cold_share(now);
         let (subset, rest) = view.candidates.split_at(view.subset);
-        let wanted = |c: &Candidate| !avoid.contains(&c.key) && homes.allows(&c.region);
+        let allowed = |c: &Candidate| !avoid.contains(&c.key) && homes.allows(&c.region);
         let warm_enough = |c: &Candidate| takes_cold || !c.meter.is_cold(now);
-        let usable = |c: &Candidate| wanted(c) && c.meter.is_usable(now) && warm_enough(c);
-        // When all that are left are ejected, the fault is likelier in what
-        // judged them: they are tried rather than nothing. So are cold ones.
-        let open = |c: &Candidate| wanted(c) && c.meter.is_open(now);
+        let usable = |c: &Candidate| allowed(c) && c.meter.is_usable(now) && warm_enough(c);
+        // When all remaining endpoints are ejected, the fault is more likely in this node or
+        // its network: they are tried rather than none. So are cold ones.
+        let open = |c: &Candidate| allowed(c) && c.meter.is_open(now);
         let found = self
-            .best_of(subset, now, usable, rng)
-            .or_else(|| self.best_of(rest, now, usable, rng))
-            .or_else(|| self.best_of(&view.candidates, now, open, rng));
+            .best_by_tier(subset, now, usable, rng)
+            .or_else(|| self.best_by_tier(rest, now, usable, rng))
+            .or_else(|| self.best_by_tier(&view.candidates, now, open, rng));
         match found {
-            Some(candidate) => Ok(self.picked(view, candidate, now)),
-            None => Err(refusal.after(self.next_open(view, now))),
+            Some(candidate) => Ok(self.count_pick(view, candidate, now)),
+            None => Err(refusal.after(self.time_until_open(view, now))),
         }
     }
 
-    /// How long it takes until an endpoint that is left out for a time takes work again.
-    fn next_open(&self, view: &ServiceView, now: Tick) -> Duration {
+    /// How long it takes until an endpoint that is excluded for a time accepts requests
+    /// again.
+    fn time_until_open(&self, view: &ServiceView, now: Tick) -> Duration {
         let paused = view
             .candidates
             .iter()
@@ -150,7 +151,7 @@
         left.map_or(self.cfg.drain_pause, |left| left.min(self.cfg.drain_pause))
     }
 
-    /// Whether there is an endpoint at home to choose other than those in `avoid`.
+    /// Whether an endpoint in the route's regions other than those in `avoid` can be picked.
     pub fn has_other(
         &self,
         service: ServiceKey,
@@ -164,15 +165,15 @@
             .any(|c| !avoid.contains(&c.key) && homes.allows(&c.region) && c.meter.is_open(now))
     }
 
-    /// The endpoint that owns a request key, and counts the request there.
+    /// Picks the endpoint that owns a request key and counts the request there.
     ///
-    /// The owner goes by the list and not by who can be reached or looks well:
-    /// were it otherwise, two parts of a divided fleet would name two owners.
+    /// The owner depends on the instance list alone, not on reachability or health.
+    /// Otherwise two sides of a partitioned fleet would choose two owners.
     ///
     /// # Errors
     ///
-    /// Refuses as not run if the service has no live endpoint, or the owner is
-    /// known not to take new work or isn't at home.
+    /// Refuses as not run if the service has no live endpoint, or the owner is evacuated or
+    /// outside of the route's regions.
     pub fn pick_owner(
         &self,
         service: ServiceKey,
@@ -193,7 +194,7 @@
             Some(owner) if !homes.allows(&owner.region) => {
                 Err(Refusal::not_run(Step::Route, Reason::NotAtHome))
             }
-            Some(owner) => Ok(self.picked(view, owner, now)),
+            Some(owner) => Ok(self.count_pick(view, owner, now)),
             None => Err(refusal),
         }
     }
@@ -203,36 +204,36 @@
         self.services.get(service).map(|view| &view.meter.budget)
     }
 
-    /// The endpoints of a service that this node sends to as a rule.
+    /// The endpoints of a service that this node normally sends to.
     pub fn subset(&self, service: ServiceKey) -> impl Iterator<Item = EndpointKey> {
         let view = self.services.get(service);
         let subset = view.map_or(&[][..], |view| &view.candidates[..view.subset]);
         subset.iter().map(|c| c.key)
     }
 
-    fn picked(&self, view: &Arc<ServiceView>, candidate: &Candidate, now: Tick) -> Picked {
+    fn count_pick(&self, view: &Arc<ServiceView>, candidate: &Candidate, now: Tick) -> Picked {
         Picked::new(self.cfg, &self.meters, view, candidate, now)
     }
 
-    /// The best endpoint tier by tier; a further tier is only looked at while
-    /// the best of those before is full.
-    fn best_of<'a>(
+    /// The best endpoint, tier by tier. A further tier is only considered if the best of
+    /// the nearer ones is full.
+    fn best_by_tier<'a>(
         &self,
         among: &'a [Candidate],
         now: Tick,
         fits: impl Fn(&Candidate) -> bool + Copy,
         rng: &mut impl Rng,
     ) -> Option<&'a Candidate> {
-        let full = percent(self.cfg.spill_percent);
-        let margin = percent(self.cfg.spill_margin_percent);
+        let full = percent_to_share(self.cfg.spill_percent);
+        let margin = percent_to_share(self.cfg.spill_margin_percent);
         let mut best: Option<(f32, &Candidate)> = None;
         for tier in 0..TIERS {
             let in_tier = |c: &&Candidate| c.tier == tier && fits(c);
-            let Some(found) = self.least_of_drawn(among, now, in_tier, rng) else {
+            let Some(found) = self.sample_least_cost(among, now, in_tier, rng) else {
                 continue;
             };
             let load = found.meter.load(now, found.slots, &self.cfg);
-            // What was found so far is full, or this tier wouldn't be looked at.
+            // What was found in nearer tiers is full, or this tier wouldn't be considered.
             let better = |held: f32| load <= full || load + margin < held;
             if best.is_none_or(|(held, _)| better(held)) {
                 best = Some((load, found));
@@ -244,8 +245,8 @@
         best.map(|(_, found)| found)
     }
 
-    /// The one of least cost among some that are drawn at random.
-    fn least_of_drawn<'a>(
+    /// The endpoint of least cost among some that are drawn at random.
+    fn sample_least_cost<'a>(
         &self,
         among: &'a [Candidate],
         now: Tick,
@@ -255,20 +256,22 @@
         let count = among.iter().filter(fits).count();
         let mut left_to_draw = self.cfg.choices.min(count);
         let mut best: Option<(f32, u32, &Candidate)> = None;
-        // Each of those that are left is drawn with the same probability.
+        // Each of the remaining ones is drawn with the same probability.
         for (passed, candidate) in among.iter().filter(fits).enumerate() {
-            // Meters may have changed since they were counted, and none may be left.
+            // Meters may have changed since the count, so that none may be left.
             let left = count.saturating_sub(passed);
             let bits = rng.next_u64();
-            if below(bits as u32, left) >= left_to_draw {
+            if uniform_below(bits as u32, left) >= left_to_draw {
                 continue;
             }
             left_to_draw -= 1;
             let cost = candidate.meter.cost(now, candidate.slots, &self.cfg);
-            // Of equals a random one goes first, not the one that stands first.
-            let turn = (bits >> 32) as u32;
-            if best.is_none_or(|(held, held_turn, _)| (cost, turn) < (held, held_turn)) {
-                best = Some((cost, turn, candidate));
+            // Among equals a random one is chosen, not the first in order.
+            let tie_break = (bits >> 32) as u32;
+            if best
+                .is_none_or(|(held, held_tie_break, _)| (cost, tie_break) < (held, held_tie_break))
+            {
+                best = Some((cost, tie_break, candidate));
             }
             if left_to_draw == 0 {
                 break;
@@ -278,8 +281,8 @@
     }
 }
 
-/// A number below `bound` from 32 random bits.
-fn below(bits: u32, bound: usize) -> usize {
+/// A uniform number below `bound` from 32 random bits.
+fn uniform_below(bits: u32, bound: usize) -> usize {
     let wide = u64::from(bits) * u64::try_from(bound).unwrap_or(u64::MAX);
     usize::try_from(wide >> 32).unwrap_or(0)
 }
--- a/crates/core/src/route/position.rs
+++ b/crates/core/src/route/position.rs
@@ -1,26 +1,27 @@
-//! Where a node stands.
+//! The position of a node in regions and failure domains.
 
 use crate::DomainName;
 use crate::Instance;
 use crate::InstanceId;
 use crate::RegionName;
 
-/// Number of tiers.
+/// Number of distance tiers.
 pub(super) const TIERS: usize = 3;
 
-/// A node's own place in the fleet.
+/// A node's own position in the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Position {
-    /// The instance that the node stands beside.
+    /// The instance whose node this is.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// The failure domain of the instance.
     pub domain: DomainName,
-    /// Its region.
+    /// The region of the instance.
     pub region: RegionName,
 }
 
 impl Position {
-    /// How far away an instance is: its tier, the nearest first.
+    /// The tier of an instance by its distance, 0 being the nearest: the same failure domain,
+    /// the same region, elsewhere.
     pub(super) fn tier_of(&self, instance: &Instance) -> usize {
         let same_region = instance.region == self.region;
         match (same_region, instance.domain == self.domain) {
--- a/crates/core/src/route/settings.rs
+++ b/crates/core/src/route/settings.rs
@@ -1,37 +1,36 @@
-//! Settings of the choice of endpoints.
+//! Settings of load balancing.
 
 use std::time::Duration;
 
 use crate::EjectSettings;
 
-/// How endpoints are chosen.
+/// How endpoints are picked.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RouteSettings {
-    /// Endpoints of a service that a node sends to; bounds its connections.
+    /// Number of endpoints of a service that a node sends to; it bounds the connections.
     pub subset_size: usize,
-    /// How many of these stand in other failure domains at least.
-    pub subset_elsewhere: usize,
-    /// Endpoints that are drawn at random for a request, of which the one of least cost gets
-    /// it.
+    /// The least number of these in other failure domains.
+    pub subset_other_domains: usize,
+    /// Number of endpoints that are drawn at random for a request; the one of least cost gets
+    /// the request.
     pub choices: usize,
     /// The load over slots, in percent, up to which endpoints count as equally full: a
-    /// target answers the same while it has slots to spare.
+    /// target answers equally fast while it has free slots.
     pub idle_percent: u32,
-    /// How long a load report counts; it fades until then.
-    pub reading_ttl: Duration,
-    /// How long a cold endpoint takes to get its full share: targets in use are
+    /// How long a load report counts; its weight fades to zero over this time.
+    pub load_report_ttl: Duration,
+    /// How long an endpoint takes after its start to get its full share: targets in use are
     /// slow for 3 s after their start.
     pub slow_start: Duration,
-    /// The load over slots, in percent, from which on requests spill over to
-    /// the next tier.
+    /// The load over slots, in percent, above which requests spill over to the next tier.
     pub spill_percent: u32,
-    /// How much less loaded, in percent of its slots, an endpoint of a further
-    /// tier must be to be preferred if it is full as well.
+    /// How much less loaded, in percent of its slots, a full endpoint of a further tier must
+    /// be to be preferred to a full one of a nearer tier.
     pub spill_margin_percent: u32,
-    /// How long an endpoint that refused because it drains is left out, until
-    /// its own word arrives by the control path.
+    /// How long an endpoint that refused because it drains is excluded, unless the
+    /// announcement of its own node arrives by the control path before.
     pub drain_pause: Duration,
-    /// Ejection of endpoints that fail.
+    /// Outlier ejection.
     pub eject: EjectSettings,
 }
 
@@ -39,10 +38,10 @@
     fn default() -> RouteSettings {
         RouteSettings {
             subset_size: 12,
-            subset_elsewhere: 4,
+            subset_other_domains: 4,
             choices: 4,
             idle_percent: 50,
-            reading_ttl: Duration::from_secs(1),
+            load_report_ttl: Duration::from_secs(1),
             slow_start: Duration::from_secs(3),
             spill_percent: 90,
             spill_margin_percent: 20,
--- a/crates/core/src/route/tests.rs
+++ b/crates/core/src/route/tests.rs
@@ -1,7 +1,7 @@
-//! Choosing endpoints: one by one, and over a fleet.
+//! Tests of load balancing: single picks, and picks over a fleet.
 
-mod bench;
 mod choice;
-mod drawn;
+mod fixture;
 mod fleet;
 mod load;
+mod properties;
--- a/crates/core/src/route/tests/bench.rs
+++ b/crates/core/src/route/tests/fixture.rs
@@ -43,10 +43,10 @@
 ";
 
 /// A node with its picker over some instances.
-pub(super) struct Bench {
+pub(super) struct Fixture {
     pub(super) snapshot: Snapshot,
     pub(super) service: ServiceKey,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     pub(super) homes: Homes,
     pub(super) meters: Arc<Meters>,
     pub(super) picker: Picker,
@@ -54,16 +54,20 @@
     pub(super) rng: SmallRng,
 }
 
-impl Bench {
-    pub(super) fn new(node: &str, instances: Vec<Instance>) -> Bench {
-        Bench::with(node, instances, RouteSettings::default())
+impl Fixture {
+    pub(super) fn new(node: &str, instances: Vec<Instance>) -> Fixture {
+        Fixture::with_settings(node, instances, RouteSettings::default())
     }
 
-    pub(super) fn with(node: &str, instances: Vec<Instance>, cfg: RouteSettings) -> Bench {
+    pub(super) fn with_settings(
+        node: &str,
+        instances: Vec<Instance>,
+        cfg: RouteSettings,
+    ) -> Fixture {
         let snapshot = snapshot(instances);
         let meters = Arc::new(Meters::new());
         let picker = picker(node, &snapshot, &meters, cfg, NOW);
-        Bench {
+        Fixture {
             service: service(&snapshot),
             homes: Homes::default(),
             snapshot,
@@ -74,18 +78,22 @@
         }
     }
 
-    /// Binds another list, with what is known of the endpoints by now.
-    pub(super) fn list_anew(&mut self, node: &str, instances: Vec<Instance>, now: Tick) {
+    /// Binds another list to the same meters.
+    pub(super) fn rebind(&mut self, node: &str, instances: Vec<Instance>, now: Tick) {
         self.snapshot = snapshot(instances);
         self.service = service(&self.snapshot);
         self.picker = picker(node, &self.snapshot, &self.meters, self.cfg, now);
     }
 
     pub(super) fn pick(&mut self, now: Tick) -> Picked {
-        self.pick_but(now, &[]).unwrap()
+        self.pick_except(now, &[]).unwrap()
     }
 
-    pub(super) fn pick_but(&mut self, now: Tick, avoid: &[EndpointKey]) -> Result<Picked, Reason> {
+    pub(super) fn pick_except(
+        &mut self,
+        now: Tick,
+        avoid: &[EndpointKey],
+    ) -> Result<Picked, Reason> {
         let picked = self
             .picker
             .pick(self.service, &self.homes, now, avoid, &mut self.rng);
@@ -96,8 +104,8 @@
         &self.snapshot.endpoint(endpoint).unwrap().instance.id
     }
 
-    /// How often each endpoint is picked, none of them being kept busy.
-    pub(super) fn counts(&mut self, now: Tick, picks: usize) -> HashMap<String, usize> {
+    /// How often each endpoint is picked if each pick ends at once.
+    pub(super) fn pick_counts(&mut self, now: Tick, picks: usize) -> HashMap<String, usize> {
         let mut counts = HashMap::new();
         for _ in 0..picks {
             let endpoint = self.pick(now).endpoint();
@@ -110,13 +118,13 @@
         self.meters.mark(&InstanceId::new(id).unwrap(), intake, now);
     }
 
-    /// Ends picks of an endpoint with a verdict, as often as it takes.
-    pub(super) fn judge(&mut self, id: &str, now: Tick, verdict: Verdict, times: usize) {
+    /// Picks endpoints until `times` picks of the endpoint `id` ended with `outcome`.
+    pub(super) fn finish_picks_of(&mut self, id: &str, now: Tick, outcome: Verdict, times: usize) {
         let mut left = times;
         for _ in 0..1_000 * times {
             let picked = self.pick(now);
             if left > 0 && self.id(picked.endpoint()).as_str() == id {
-                picked.finish(now, verdict);
+                picked.finish(now, outcome);
                 left -= 1;
             }
         }
--- a/crates/core/src/route/tests/fleet.rs
+++ b/crates/core/src/route/tests/fleet.rs
@@ -1,14 +1,14 @@
-//! What a node sends to, over a fleet.
+//! The endpoints that a node sends to, over a fleet.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
 
 use rstest::rstest;
 
-use super::bench::Bench;
-use super::bench::NOW;
-use super::bench::SERVICE;
-use super::bench::fleet_of;
+use super::fixture::Fixture;
+use super::fixture::NOW;
+use super::fixture::SERVICE;
+use super::fixture::fleet_of;
 use crate::EndpointKey;
 use crate::Instance;
 use crate::InstanceId;
@@ -31,23 +31,23 @@
 #[case(Fleet { near: 40, far: 2, subset_near: 10, subset_far: 2 })]
 #[case(Fleet { near: 3, far: 2, subset_near: 3, subset_far: 2 })]
 #[case(Fleet { near: 0, far: 40, subset_near: 0, subset_far: 12 })]
-fn a_subset_bounds_the_connections(#[case] fleet: Fleet) {
-    let bench = Bench::new("caller", fleet_of(fleet.near, fleet.far));
-    let subset: Vec<_> = bench.picker.subset(bench.service).collect();
-    let is_near = |key: &&EndpointKey| bench.id(**key).as_str().starts_with('n');
+fn subset_bounds_connections(#[case] fleet: Fleet) {
+    let fixture = Fixture::new("caller", fleet_of(fleet.near, fleet.far));
+    let subset: Vec<_> = fixture.picker.subset(fixture.service).collect();
+    let is_near = |key: &&EndpointKey| fixture.id(**key).as_str().starts_with('n');
     let near = subset.iter().filter(is_near).count();
     let found = (near, subset.len() - near);
     assert_eq!(found, (fleet.subset_near, fleet.subset_far), "{fleet:?}");
 }
 
-// A fleet of forty callers and forty endpoints. Were subsets drawn unevenly,
-// some targets would hold most of the connections and others none.
+// A fleet of forty callers and forty endpoints. If subsets were chosen unevenly, some
+// targets would have most of the connections and others none.
 #[test]
-fn subsets_cover_all_and_change_by_one() {
+fn subsets_cover_all_endpoints_and_change_by_one() {
     let subset = |caller: usize, all: Vec<Instance>| {
-        let bench = Bench::new(&format!("caller-{caller}"), all);
-        let keys = bench.picker.subset(bench.service);
-        keys.map(|key| bench.id(key).clone())
+        let fixture = Fixture::new(&format!("caller-{caller}"), all);
+        let keys = fixture.picker.subset(fixture.service);
+        keys.map(|key| fixture.id(key).clone())
             .collect::<HashSet<_>>()
     };
     let mut counts: HashMap<InstanceId, usize> = HashMap::new();
@@ -63,34 +63,34 @@
     assert!(counts.values().all(|n| (3..=24).contains(n)), "{counts:?}");
 }
 
-// Every endpoint of the subset drains at once, as when a rack is taken out.
+// Every endpoint of the subset drains at once, as when a rack is taken out of service.
 #[test]
-fn beyond_the_subset_is_better_than_nothing() {
-    let mut bench = Bench::new("caller", fleet_of(20, 0));
-    let subset: Vec<_> = bench.picker.subset(bench.service).collect();
+fn endpoints_beyond_a_closed_subset_are_used() {
+    let mut fixture = Fixture::new("caller", fleet_of(20, 0));
+    let subset: Vec<_> = fixture.picker.subset(fixture.service).collect();
     for key in &subset {
-        bench.mark(&bench.id(*key).to_string(), Intake::Closed, NOW);
+        fixture.mark(&fixture.id(*key).to_string(), Intake::Closed, NOW);
     }
-    assert!(!subset.contains(&bench.pick(NOW).endpoint()));
+    assert!(!subset.contains(&fixture.pick(NOW).endpoint()));
 }
 
-// Half of a fleet can't reach the owner of a key and the other half can. Both
-// must name the same owner, or two of them would run the key.
+// Half of a fleet can't reach the owner of a key and the other half can. Both must choose
+// the same owner; otherwise two endpoints would run the same key.
 #[test]
-fn the_owner_of_a_key_goes_by_the_list_alone() {
+fn owner_of_a_key_depends_on_list_alone() {
     let service = ServiceName::new(SERVICE).unwrap();
     let mut owned = HashMap::new();
-    let here = Bench::new("caller-1", fleet_of(3, 3));
-    let mut there = Bench::new("caller-2", fleet_of(3, 3));
-    there.judge("n1", NOW, Verdict::NoConnection, 3);
+    let here = Fixture::new("caller-1", fleet_of(3, 3));
+    let mut there = Fixture::new("caller-2", fleet_of(3, 3));
+    there.finish_picks_of("n1", NOW, Verdict::NoConnection, 3);
     for i in 0..600 {
         let key = RequestKey::new(&service, "POST /approvals", &i.to_string()).unwrap();
-        let [a, b] = [&here, &there].map(|bench| {
-            let picked = bench
+        let [a, b] = [&here, &there].map(|fixture| {
+            let picked = fixture
                 .picker
-                .pick_owner(bench.service, &bench.homes, NOW, &key)
+                .pick_owner(fixture.service, &fixture.homes, NOW, &key)
                 .unwrap();
-            bench.id(picked.endpoint()).clone()
+            fixture.id(picked.endpoint()).clone()
         });
         assert_eq!(a, b);
         *owned.entry(a).or_insert(0) += 1;
--- a/crates/core/src/route/tests/load.rs
+++ b/crates/core/src/route/tests/load.rs
@@ -1,4 +1,4 @@
-//! A load played on the targets of a service in virtual time.
+//! A simulation of a load on the targets of a service in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,9 +9,9 @@
 use rand::rngs::SmallRng;
 use rstest::rstest;
 
-use super::bench::Bench;
-use super::bench::NOW;
-use super::bench::near;
+use super::fixture::Fixture;
+use super::fixture::NOW;
+use super::fixture::near;
 use crate::KindName;
 use crate::LoadReport;
 use crate::Picked;
@@ -19,27 +19,28 @@
 use crate::Tick;
 use crate::Verdict;
 
-/// Nodes that send requests, each of which knows what its own answers told it.
+/// Nodes that send requests, each with the meters of its own answers alone.
 const NODES: usize = 12;
 
-/// How fast targets are beside the mean.
+/// The speeds of targets relative to the mean.
 const SPEEDS: [f64; 12] = [0.7, 0.7, 1.6, 0.7, 0.7, 1.6, 0.7, 0.7, 1.6, 0.7, 0.7, 1.6];
 
-/// Slots of each target, as the bench lists them.
+/// Slots of each target, as the fixture lists them.
 const SLOTS: usize = 10;
 
-/// What a request takes on average at a target of mean speed, in seconds.
+/// The mean service time at a target of mean speed, in seconds.
 const MEAN_S: f64 = 0.36;
 
-/// The standard deviation of what a request takes, as a part of its mean.
-const SPREAD: f64 = 0.8;
+/// The standard deviation of the service time as a part of its mean.
+const DEVIATION: f64 = 0.8;
 
-/// Within what an answer is worth most.
-const AIM: Duration = Duration::from_secs(1);
+/// The soft deadline of a request.
+const SOFT_DEADLINE: Duration = Duration::from_secs(1);
 
-/// Requests that are played; the first part finds nodes that know nothing.
+/// The number of simulated requests.
 const REQUESTS: usize = 20_000;
 
+/// The first requests, which don't count since nodes have no meters yet.
 const LEARNING: usize = REQUESTS / 4;
 
 /// A request that a target runs or queues.
@@ -51,9 +52,9 @@
 }
 
 /// Nodes with their targets.
-struct Play {
-    nodes: Vec<Bench>,
-    /// When each slot of each target has done all that it was given.
+struct Simulation {
+    nodes: Vec<Fixture>,
+    /// When each slot of each target has finished all requests that it was given.
     free_at: Vec<[Tick; SLOTS]>,
     outstanding: [usize; SPEEDS.len()],
     sent: Vec<Option<Sent>>,
@@ -62,12 +63,12 @@
     rng: SmallRng,
 }
 
-impl Play {
-    fn new(cfg: RouteSettings, seed: u64) -> Play {
+impl Simulation {
+    fn new(cfg: RouteSettings, seed: u64) -> Simulation {
         let ids: Vec<String> = (0..SPEEDS.len()).map(|n| format!("ad-{n}")).collect();
         let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-        let node = |n: usize| Bench::with(&format!("caller-{n}"), near(&ids), cfg);
-        Play {
+        let node = |n: usize| Fixture::with_settings(&format!("caller-{n}"), near(&ids), cfg);
+        Simulation {
             nodes: (0..NODES).map(node).collect(),
             free_at: vec![[NOW; SLOTS]; SPEEDS.len()],
             outstanding: [0; SPEEDS.len()],
@@ -78,27 +79,27 @@
         }
     }
 
-    /// A time of that mean, exponentially distributed.
+    /// An exponentially distributed time with that mean.
     fn gap(&mut self, mean_s: f64) -> Duration {
         let drawn: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
         Duration::from_secs_f64(-drawn.ln() * mean_s)
     }
 
-    /// What a request takes at a target of mean speed, log-normally distributed.
-    fn work_s(&mut self) -> f64 {
-        let variance = (1.0 + SPREAD * SPREAD).ln();
+    /// The log-normally distributed service time at a target of mean speed, in seconds.
+    fn service_time_s(&mut self) -> f64 {
+        let variance = (1.0 + DEVIATION * DEVIATION).ln();
         let [a, b] = [(); 2].map(|()| self.rng.random_range(f64::MIN_POSITIVE..1.0));
         let normal = (-2.0 * f64::ln(a)).sqrt() * (std::f64::consts::TAU * b).cos();
         MEAN_S * (normal * variance.sqrt() - variance / 2.0).exp()
     }
 
-    /// Sends a request by a node of its own choice.
+    /// Sends a request through a random node.
     fn arrive(&mut self, now: Tick) {
         let node = self.rng.random_range(0..NODES);
         let picked = self.nodes[node].pick(now);
         let id = self.nodes[node].id(picked.endpoint()).as_str();
         let target: usize = id.strip_prefix("ad-").unwrap().parse().unwrap();
-        let took = Duration::from_secs_f64(self.work_s() / SPEEDS[target]);
+        let took = Duration::from_secs_f64(self.service_time_s() / SPEEDS[target]);
         let slot = self.free_at[target].iter_mut().min().unwrap();
         *slot = now.max(*slot) + took;
         self.ends.push(Reverse((*slot, self.sent.len())));
@@ -110,8 +111,9 @@
         }));
     }
 
-    /// Answers what has ended by `now`; gives how many of those that count are late.
-    fn answer(&mut self, now: Tick) -> usize {
+    /// Answers the requests that have ended by `now`; returns how many of those that count are
+    /// late.
+    fn answer_ended(&mut self, now: Tick) -> usize {
         let mut late = 0;
         while let Some(Reverse((at, n))) = self.ends.peek().copied()
             && at <= now
@@ -130,53 +132,54 @@
             sent.picked.report(at, load);
             sent.picked.timed(&self.kind, took);
             sent.picked.finish(at, Verdict::Answered(took));
-            late += usize::from(n >= LEARNING && took > AIM);
+            late += usize::from(n >= LEARNING && took > SOFT_DEADLINE);
         }
         late
     }
 }
 
-/// The share of callers that get their answers late, in parts of the targets' capacity.
+/// The share of late answers at a load that is `utilisation` times the targets' capacity.
 fn late_share(cfg: RouteSettings, utilisation: f64, seed: u64) -> f64 {
-    let mut play = Play::new(cfg, seed);
+    let mut sim = Simulation::new(cfg, seed);
     let capacity: f64 = SPEEDS.iter().sum::<f64>() * SLOTS as f64 / MEAN_S;
     let mut now = NOW;
     let mut late = 0;
     for _ in 0..REQUESTS {
-        now = now + play.gap(1.0 / (capacity * utilisation));
-        late += play.answer(now);
-        play.arrive(now);
+        now = now + sim.gap(1.0 / (capacity * utilisation));
+        late += sim.answer_ended(now);
+        sim.arrive(now);
     }
-    late += play.answer(now + Duration::from_secs(600));
+    late += sim.answer_ended(now + Duration::from_secs(600));
     late as f64 / (REQUESTS - LEARNING) as f64
 }
 
-/// How much of the targets' capacity is asked for, and the part of late answers that is
-/// left of what the less loaded of two gives.
+/// The load as a part of the targets' capacity, and the bound on the share of late answers
+/// relative to picking the less loaded of two.
 #[derive(Debug)]
 struct Case {
     utilisation: f64,
-    left: f64,
+    max_ratio: f64,
 }
 
-/// Guards against long requests that run late at slow targets while faster ones have slots
-/// to spare, and against a crowd at the faster ones.
+/// Guards against long requests that run late at slow targets while faster ones have free
+/// slots, and against overload of the faster ones.
 #[rstest]
-#[case(Case { utilisation: 0.3, left: 0.8 })]
-#[case(Case { utilisation: 0.6, left: 0.9 })]
-#[case(Case { utilisation: 0.85, left: 1.0 })]
-fn fewer_callers_get_late_answers_than_by_load_alone(#[case] case: Case) {
-    let now = RouteSettings::default();
+#[case(Case { utilisation: 0.3, max_ratio: 0.8 })]
+#[case(Case { utilisation: 0.6, max_ratio: 0.9 })]
+#[case(Case { utilisation: 0.85, max_ratio: 1.0 })]
+fn choice_by_cost_gives_fewer_late_answers_than_by_load_alone(#[case] case: Case) {
+    let by_cost = RouteSettings::default();
     let by_load = RouteSettings {
         choices: 2,
         idle_percent: 0,
-        ..now
+        ..by_cost
     };
     for seed in 0..5 {
-        let [held, least] = [by_load, now].map(|cfg| late_share(cfg, case.utilisation, seed));
+        let [by_load_late, by_cost_late] =
+            [by_load, by_cost].map(|cfg| late_share(cfg, case.utilisation, seed));
         assert!(
-            least < held * case.left,
-            "{case:?}, seed {seed}: {least} of {held}"
+            by_cost_late < by_load_late * case.max_ratio,
+            "{case:?}, seed {seed}: {by_cost_late} of {by_load_late}"
         );
     }
 }
--- a/crates/core/src/route/tests/drawn.rs
+++ b/crates/core/src/route/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Over drawn services, beside a naive version.
+//! Properties over generated services, compared with a naive model.
 
 use proptest::collection::vec;
 use proptest::prelude::ProptestConfig;
@@ -6,9 +6,9 @@
 use proptest::proptest;
 use proptest::test_runner::RngSeed;
 
-use super::bench::Bench;
-use super::bench::NOW;
-use super::bench::SERVICE;
+use super::fixture::Fixture;
+use super::fixture::NOW;
+use super::fixture::SERVICE;
 use crate::EndpointKey;
 use crate::Instance;
 use crate::InstanceState;
@@ -16,22 +16,22 @@
 use crate::Reason;
 use crate::testing::instance;
 
-/// Where instances stand, the node's own failure domain first.
+/// The failure domains of instances, the node's own first.
 const DOMAINS: [&str; 2] = ["khan-uul", "sukhbaatar"];
 
-/// One endpoint as it was drawn.
+/// A generated endpoint.
 #[derive(Debug, Clone, Copy)]
-struct Drawn {
+struct EndpointCase {
     far: bool,
     leaving: bool,
     open: bool,
-    /// Whether the request was there before.
+    /// Whether the request was tried there before.
     tried: bool,
 }
 
-impl From<(bool, bool, bool, bool)> for Drawn {
-    fn from((far, leaving, open, tried): (bool, bool, bool, bool)) -> Drawn {
-        Drawn {
+impl From<(bool, bool, bool, bool)> for EndpointCase {
+    fn from((far, leaving, open, tried): (bool, bool, bool, bool)) -> EndpointCase {
+        EndpointCase {
             far,
             leaving,
             open,
@@ -40,7 +40,7 @@
     }
 }
 
-impl Drawn {
+impl EndpointCase {
     fn instance(&self, n: usize) -> Instance {
         let domain = DOMAINS[usize::from(self.far)];
         let state = match self.leaving {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The naive version: any endpoint that may take the request will do.
+    /// The naive model: any endpoint that may get the request is valid.
     fn may_be_picked(&self) -> bool {
         !self.leaving && self.open && !self.tried
     }
@@ -63,23 +63,23 @@
     format!("ad-{n}")
 }
 
-fn bench(drawn: &[Drawn]) -> (Bench, Vec<EndpointKey>) {
-    let instances = drawn.iter().enumerate().map(|(n, it)| it.instance(n));
-    let bench = Bench::new("wd-1", instances.collect());
+fn fixture_of(cases: &[EndpointCase]) -> (Fixture, Vec<EndpointKey>) {
+    let instances = cases.iter().enumerate().map(|(n, it)| it.instance(n));
+    let fixture = Fixture::new("wd-1", instances.collect());
     let mut avoid = Vec::new();
-    for (n, it) in drawn.iter().enumerate() {
+    for (n, it) in cases.iter().enumerate() {
         let intake = if it.open {
             Intake::Open
         } else {
             Intake::Closed
         };
-        bench.mark(&name(n), intake, NOW);
-        let service = bench.snapshot.service(bench.service).unwrap();
-        let mut endpoints = bench.snapshot.endpoints_of(service);
+        fixture.mark(&name(n), intake, NOW);
+        let service = fixture.snapshot.service(fixture.service).unwrap();
+        let mut endpoints = fixture.snapshot.endpoints_of(service);
         let found = endpoints.find(|(_, endpoint)| endpoint.instance.id.as_str() == name(n));
         avoid.extend(found.filter(|_| it.tried).map(|(key, _)| key));
     }
-    (bench, avoid)
+    (fixture, avoid)
 }
 
 proptest! {
@@ -89,41 +89,44 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against requests that are refused, or sent where they may not go.
+    /// Guards against requests that are refused although an endpoint is available, or sent to
+    /// one that isn't.
     #[test]
-    fn whoever_may_be_picked_is_picked_and_nobody_else(
-        drawn in vec(any::<(bool, bool, bool, bool)>(), 0..24),
+    fn an_available_endpoint_is_picked_and_no_other(
+        cases in vec(any::<(bool, bool, bool, bool)>(), 0..24),
     ) {
-        let drawn: Vec<Drawn> = drawn.into_iter().map(Drawn::from).collect();
-        let (mut bench, avoid) = bench(&drawn);
-        let some = drawn.iter().any(Drawn::may_be_picked);
-        assert_eq!(bench.picker.has_other(bench.service, &bench.homes, NOW, &avoid), some);
+        let cases: Vec<EndpointCase> = cases.into_iter().map(EndpointCase::from).collect();
+        let (mut fixture, avoid) = fixture_of(&cases);
+        let any_available = cases.iter().any(EndpointCase::may_be_picked);
+        let has_other =
+            fixture.picker.has_other(fixture.service, &fixture.homes, NOW, &avoid);
+        assert_eq!(has_other, any_available);
         for _ in 0..16 {
-            match bench.pick_but(NOW, &avoid) {
+            match fixture.pick_except(NOW, &avoid) {
                 Ok(picked) => {
-                    let id = bench.id(picked.endpoint()).as_str();
+                    let id = fixture.id(picked.endpoint()).as_str();
                     let n: usize = id.strip_prefix("ad-").unwrap().parse().unwrap();
-                    assert!(drawn[n].may_be_picked(), "{:?}", drawn[n]);
+                    assert!(cases[n].may_be_picked(), "{:?}", cases[n]);
                 }
                 Err(reason) => {
                     assert_eq!(reason, Reason::NoEndpoint);
-                    assert!(!some);
+                    assert!(!any_available);
                 }
             }
         }
     }
 
-    /// Guards against load that piles up at one of equal targets.
+    /// Guards against load that concentrates on one of several equal targets.
     #[test]
-    fn two_choices_spread_load_better_than_one(seed in any::<u64>()) {
-        let open = Drawn { far: false, leaving: false, open: true, tried: false };
-        let (mut bench, _) = bench(&[open; 8]);
-        bench.rng = rand::SeedableRng::seed_from_u64(seed);
+    fn random_choices_keep_load_of_equal_endpoints_balanced(seed in any::<u64>()) {
+        let open = EndpointCase { far: false, leaving: false, open: true, tried: false };
+        let (mut fixture, _) = fixture_of(&[open; 8]);
+        fixture.rng = rand::SeedableRng::seed_from_u64(seed);
         let mut held = [0_usize; 8];
         let mut picks = Vec::new();
         for _ in 0..32 {
-            let picked = bench.pick(NOW);
-            let id = bench.id(picked.endpoint()).as_str();
+            let picked = fixture.pick(NOW);
+            let id = fixture.id(picked.endpoint()).as_str();
             let n: usize = id.strip_prefix("ad-").unwrap().parse().unwrap();
             held[n] += 1;
             picks.push(picked);
