--- a/crates/core/src/admit/admission.rs
+++ b/crates/core/src/admit/admission.rs
@@ -84,9 +84,9 @@
     /// Requests a slot.
     ///
     /// `waker` is only called if the request is queued.
-    pub fn offer(&self, now: Tick, ask: &Ask<'_>, waker: impl FnOnce() -> Waker) -> Offer {
+    pub fn offer(&self, now: Tick, request: &Ask<'_>, waker: impl FnOnce() -> Waker) -> Offer {
         let mut wakes = Vec::new();
-        let decision = self.0.lock().decide(now, ask, waker, &mut wakes);
+        let decision = self.0.lock().decide(now, request, waker, &mut wakes);
         wakes.into_iter().for_each(Wake::call);
         match decision {
             Decision::Run(work) => Offer::Admitted(Permit::new(&self.0, work, now)),
@@ -100,8 +100,8 @@
     ///
     /// This takes neither a slot nor a place in the queue. A caller that gets a refusal
     /// needn't send the body of its request.
-    pub fn foresee(&self, now: Tick, ask: &Ask<'_>) -> Option<Refusal> {
-        self.0.lock().predict_refusal(now, ask)
+    pub fn foresee(&self, now: Tick, request: &Ask<'_>) -> Option<Refusal> {
+        self.0.lock().predict_refusal(now, request)
     }
 
     /// Gives free slots to requests that are queued for a cold target. Returns when its rate
--- a/crates/core/src/admit/state.rs
+++ b/crates/core/src/admit/state.rs
@@ -98,64 +98,64 @@
     pub(super) fn decide(
         &mut self,
         now: Tick,
-        ask: &Ask<'_>,
+        request: &Ask<'_>,
         waker: impl FnOnce() -> Waker,
         wakes: &mut Vec<Wake>,
     ) -> Decision {
         self.now = self.now.max(now);
-        if let Some(slots) = ask.slots {
+        if let Some(slots) = request.slots {
             self.slots = slots.clamp(1, u32::from(u16::MAX));
         }
-        self.concurrency = self.slots.min(ask.limits.concurrency.max(1));
-        self.warm_up.set_limit(ask.cold);
+        self.concurrency = self.slots.min(request.limits.concurrency.max(1));
+        self.warm_up.set_limit(request.cold);
         self.expire_overdue(wakes);
-        if let Some(refusal) = self.refuse_before_queueing(ask) {
+        if let Some(refusal) = self.refuse_before_queueing(request) {
             return Decision::Refuse(refusal);
         }
-        let work = self.service_times.work_type(ask.class, ask.kind);
-        if self.queue.count_ahead(ask.class) == 0 && self.has_free_slot(ask.class) {
+        let work = self.service_times.work_type(request.class, request.kind);
+        if self.queue.count_ahead(request.class) == 0 && self.has_free_slot(request.class) {
             self.bucket.take();
-            self.count_start(ask.class);
+            self.count_start(request.class);
             return Decision::Run(work);
         }
-        self.enqueue(ask, work, waker, wakes)
+        self.enqueue(request, work, waker, wakes)
     }
 
-    fn refuse_before_queueing(&mut self, ask: &Ask<'_>) -> Option<Refusal> {
+    fn refuse_before_queueing(&mut self, request: &Ask<'_>) -> Option<Refusal> {
         if let Some(reason) = self.close_reasons.first() {
             return Some(refusal(*reason));
         }
-        if ask.deadline.passed(self.now) {
+        if request.deadline.passed(self.now) {
             return Some(refusal(Reason::DeadlinePassed));
         }
-        let rate = ask.limits.rate_per_s;
+        let rate = request.limits.rate_per_s;
         let wait = self.bucket.refill(self.now, rate, self.settings.burst)?;
         Some(refusal(Reason::RateLimited).after(wait))
     }
 
     fn enqueue(
         &mut self,
-        ask: &Ask<'_>,
+        request: &Ask<'_>,
         work: WorkType,
         waker: impl FnOnce() -> Waker,
         wakes: &mut Vec<Wake>,
     ) -> Decision {
-        let position = match self.queue_position(ask, work) {
+        let position = match self.queue_position(request, work) {
             Ok(position) => position,
             Err(refusal) => {
-                self.record_refusal(ask.class);
+                self.record_refusal(request.class);
                 return Decision::Refuse(refusal);
             }
         };
         if self.queue.len() >= self.max_queued() {
             let displaced = self.queue.displace(
-                ask.class,
+                request.class,
                 position.precedence,
                 &self.service_times,
                 self.now,
             );
             let Some(displaced) = displaced else {
-                self.record_refusal(ask.class);
+                self.record_refusal(request.class);
                 return Decision::Refuse(refusal(Reason::QueueFull).after(position.wait));
             };
             let wait = self.expected_class_wait(displaced.work.class);
@@ -163,7 +163,10 @@
             wakes.push(refuse(displaced, refusal(Reason::Displaced).after(wait)));
         }
         self.bucket.take();
-        let expires_at = ask.deadline.tick().min(self.now + self.settings.max_wait);
+        let expires_at = request
+            .deadline
+            .tick()
+            .min(self.now + self.settings.max_wait);
         let key = self.queue.push(Waiting {
             work,
             expires_at,
--- a/crates/core/src/admit/state/queue_position.rs
+++ b/crates/core/src/admit/state/queue_position.rs
@@ -31,22 +31,22 @@
     /// Refuses a request whose wait would be wasted.
     pub(super) fn queue_position(
         &mut self,
-        ask: &Ask<'_>,
+        request: &Ask<'_>,
         work: WorkType,
     ) -> Result<QueuePosition, Refusal> {
         let took = self.service_times.expected(work);
-        let latest_start = ask.aim.map(|aim| before(aim, took));
+        let latest_start = request.aim.map(|aim| before(aim, took));
         let in_time = latest_start.is_none_or(|latest_start| self.now <= latest_start);
         let precedence = Precedence::new(took, latest_start, self.now);
-        let ahead = self.queue.count_ahead(ask.class);
+        let ahead = self.queue.count_ahead(request.class);
         let cold = self.warm_up.wait_behind(self.now, ahead);
-        let by_slots = self.expected_wait_behind(ask.class, precedence);
+        let by_slots = self.expected_wait_behind(request.class, precedence);
         let wait = by_slots.max(cold);
         let full = match cold > by_slots {
             true => Reason::ColdStart,
             false => Reason::QueueFull,
         };
-        if wait + took > ask.deadline.remaining(self.now) {
+        if wait + took > request.deadline.remaining(self.now) {
             return Err(refusal(Reason::DeadlineTooShort).after(wait));
         }
         // The answer would be late here and may be in time from another target. If no
@@ -54,7 +54,7 @@
         // its parent request, whose slot time is then wasted.
         let late =
             in_time && latest_start.is_some_and(|latest_start| self.now + wait > latest_start);
-        if late && !ask.settles {
+        if late && !request.settles {
             return Err(refusal(full).after(wait));
         }
         // A queued request is refused after `max_wait`: a longer wait would be wasted.
@@ -72,25 +72,25 @@
     pub(in crate::admit) fn predict_refusal(
         &mut self,
         now: Tick,
-        ask: &Ask<'_>,
+        request: &Ask<'_>,
     ) -> Option<Refusal> {
         self.now = self.now.max(now);
-        self.warm_up.set_limit(ask.cold);
+        self.warm_up.set_limit(request.cold);
         if let Some(reason) = self.close_reasons.first() {
             return Some(refusal(*reason));
         }
-        let work = self.service_times.work_type(ask.class, ask.kind);
-        if self.queue.count_ahead(ask.class) == 0 && self.has_free_slot(ask.class) {
+        let work = self.service_times.work_type(request.class, request.kind);
+        if self.queue.count_ahead(request.class) == 0 && self.has_free_slot(request.class) {
             return None;
         }
-        let position = match self.queue_position(ask, work) {
+        let position = match self.queue_position(request, work) {
             Ok(position) => position,
             Err(refusal) => return Some(refusal),
         };
         let full = self.queue.len() >= self.max_queued();
         let displaceable = || {
             self.queue.find_displaceable(
-                ask.class,
+                request.class,
                 position.precedence,
                 &self.service_times,
                 self.now,
--- a/crates/core/src/admit/tests/cases.rs
+++ b/crates/core/src/admit/tests/cases.rs
@@ -161,7 +161,7 @@
 #[test]
 fn dropped_permit_goes_to_next_request() {
     let admission = Admission::new(SETTINGS, 1).unwrap();
-    let ask = Ask {
+    let request = Ask {
         kind: None,
         aim: None,
         settles: false,
@@ -171,13 +171,13 @@
         deadline: Deadline::within(NOW, LIMITS.deadline),
         limits: &LIMITS,
     };
-    let Offer::Admitted(permit) = admission.offer(NOW, &ask, || Box::new(drop)) else {
+    let Offer::Admitted(permit) = admission.offer(NOW, &request, || Box::new(drop)) else {
         panic!("the slot is free");
     };
-    let first = admission.offer(NOW, &ask, || Box::new(drop));
+    let first = admission.offer(NOW, &request, || Box::new(drop));
     let decisions = Decisions::default();
     let sent = decisions.clone();
-    let next = admission.offer(NOW, &ask, || {
+    let next = admission.offer(NOW, &request, || {
         Box::new(move |decision| sent.lock().unwrap().push((2, decision)))
     });
     permit.release(NOW);
@@ -256,7 +256,7 @@
     fixture.offer(NOW, Class::Standard, &LIMITS);
     let permit = fixture.take_permit();
     let soft_deadline = Some(NOW + Duration::from_millis(420));
-    let ask = Ask {
+    let request = Ask {
         kind: None,
         aim: soft_deadline,
         settles: true,
@@ -266,13 +266,13 @@
         deadline: Deadline::within(NOW, LIMITS.deadline),
         limits: &LIMITS,
     };
-    let offer = |ask: &Ask<'_>| fixture.admission.offer(NOW, ask, || Box::new(drop));
+    let offer = |request: &Ask<'_>| fixture.admission.offer(NOW, request, || Box::new(drop));
     let elsewhere = Ask {
         settles: false,
-        ..ask
+        ..request
     };
     assert!(matches!(offer(&elsewhere), Offer::Refused(_)));
-    assert!(matches!(offer(&ask), Offer::Queued(_)));
+    assert!(matches!(offer(&request), Offer::Queued(_)));
     drop(permit);
 }
 
--- a/crates/core/src/admit/tests/cold.rs
+++ b/crates/core/src/admit/tests/cold.rs
@@ -151,7 +151,7 @@
         let until = held.started + COLD_TIME;
         let limit = TOLERANCE.limit(COLD_PER_S, until);
         let name = KindName::new("lookup").unwrap();
-        let ask = Ask {
+        let request = Ask {
             class: Class::Standard,
             deadline: Deadline::within(now, Duration::from_millis(2_500)),
             limits: &LIMITS,
@@ -165,7 +165,7 @@
         let waker = move || -> crate::Waker {
             Box::new(move |decision| decisions.lock().unwrap().push((target, decision)))
         };
-        match held.admission.offer(now, &ask, waker) {
+        match held.admission.offer(now, &request, waker) {
             Offer::Admitted(permit) => self.decisions.lock().unwrap().push((target, Ok(permit))),
             Offer::Refused(_) => return false,
             Offer::Queued(queued) => {
--- a/crates/core/src/admit/tests/fixture.rs
+++ b/crates/core/src/admit/tests/fixture.rs
@@ -65,7 +65,7 @@
         soft_deadline: Option<Tick>,
     ) -> usize {
         let id = self.queued.len();
-        let ask = Ask {
+        let request = Ask {
             kind: None,
             aim: soft_deadline,
             settles: false,
@@ -79,7 +79,7 @@
         let waker = move || -> crate::Waker {
             Box::new(move |decision| decisions.lock().unwrap().push((id, decision)))
         };
-        let offer = self.admission.offer(now, &ask, waker);
+        let offer = self.admission.offer(now, &request, waker);
         let mut handle = None;
         match offer {
             Offer::Admitted(permit) => self.decisions.lock().unwrap().push((id, Ok(permit))),
--- a/crates/core/src/admit/tests/load.rs
+++ b/crates/core/src/admit/tests/load.rs
@@ -131,7 +131,7 @@
         let id = self.requests.len();
         let of = self.kinds[kind];
         let name = KindName::new(of.name).unwrap();
-        let ask = Ask {
+        let request = Ask {
             class: of.class,
             deadline: Deadline::within(now, Duration::from_millis(of.timeout_ms)),
             limits: &LIMITS,
@@ -146,7 +146,7 @@
             Box::new(move |decision| decisions.lock().unwrap().push((id, decision)))
         };
         let mut queued = None;
-        match self.admission.offer(now, &ask, waker) {
+        match self.admission.offer(now, &request, waker) {
             Offer::Admitted(permit) => self.decisions.lock().unwrap().push((id, Ok(permit))),
             Offer::Refused(refusal) => self.decisions.lock().unwrap().push((id, Err(refusal))),
             Offer::Queued(handle) => {
