--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -42,24 +42,24 @@
 pub use self::bounds::Bounds;
 pub use self::check::check;
 pub use self::event::Event;
-pub use self::held::Dangling;
-pub use self::held::Held;
 pub use self::ids::OperationId;
 pub use self::ids::RequestId;
 pub use self::promise::Promise;
 pub use self::record::History;
 pub use self::record::Record;
+pub use self::snapshot_facts::Dangling;
+pub use self::snapshot_facts::Held;
 pub use self::violation::Breach;
 pub use self::violation::Violation;
 
 mod bounds;
 mod check;
 mod event;
-mod held;
 mod ids;
 mod promise;
 mod record;
 mod rule;
+mod snapshot_facts;
 #[cfg(test)]
 mod tests;
 mod violation;
--- a/crates/core/src/history/check.rs
+++ b/crates/core/src/history/check.rs
@@ -13,10 +13,10 @@
     let mut found = Vec::new();
     for mut rule in rule::all(bounds) {
         for record in &records {
-            rule.see(record.at, &record.event, &mut found);
+            rule.observe(record.at, &record.event, &mut found);
         }
         if let Some(last) = records.last() {
-            rule.end(last.at, &mut found);
+            rule.finish(last.at, &mut found);
         }
     }
     found
--- a/crates/core/src/history/rule.rs
+++ b/crates/core/src/history/rule.rs
@@ -4,9 +4,9 @@
 use self::at_most_once::AtMostOnce;
 use self::graceful_stop::GracefulStop;
 use self::in_force_soon::InForceSoon;
-use self::leaving_rests::LeavingRests;
 use self::no_dangling::NoDangling;
 use self::no_step_back::NoStepBack;
+use self::no_work_while_leaving::NoWorkWhileLeaving;
 use self::true_refusal::TrueRefusal;
 use self::whole_answer::WholeAnswer;
 use super::Bounds;
@@ -19,19 +19,19 @@
 mod at_most_once;
 mod graceful_stop;
 mod in_force_soon;
-mod leaving_rests;
 mod no_dangling;
 mod no_step_back;
+mod no_work_while_leaving;
 mod true_refusal;
 mod whole_answer;
 
 /// Judges one promise, event by event in the order of time.
 pub(super) trait Rule {
     /// Takes note of an event.
-    fn see(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>);
+    fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>);
 
     /// Judges what is left open when the run ends.
-    fn end(&mut self, _at: Tick, _found: &mut Vec<Violation>) {}
+    fn finish(&mut self, _at: Tick, _found: &mut Vec<Violation>) {}
 }
 
 /// A rule for each promise.
@@ -43,7 +43,7 @@
         Box::new(WholeAnswer::default()),
         Box::new(TrueRefusal::default()),
         Box::new(AtMostOnce::default()),
-        Box::new(LeavingRests::new(bounds.leaving)),
+        Box::new(NoWorkWhileLeaving::new(bounds.leaving)),
         Box::new(GracefulStop::default()),
         Box::new(InForceSoon::new(bounds.in_force)),
     ]
--- a/crates/core/src/history/rule/all_or_nothing.rs
+++ b/crates/core/src/history/rule/all_or_nothing.rs
@@ -20,15 +20,15 @@
 /// texts first, so that all nodes can't be wrong alike.
 #[derive(Debug, Default)]
 pub(super) struct AllOrNothing {
-    good: HashSet<(Stream, Version)>,
+    published: HashSet<(Stream, Version)>,
     content: HashMap<(Version, Version), Digest>,
 }
 
 impl Rule for AllOrNothing {
-    fn see(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
+    fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
         match event {
             Event::PublishedGood { stream, version } => {
-                self.good.insert((*stream, *version));
+                self.published.insert((*stream, *version));
             }
             Event::InForce { node, held } => {
                 self.check_published(at, node, held, found);
@@ -49,7 +49,7 @@
     ) {
         for stream in Stream::ALL {
             let version = held.version(stream);
-            if !self.good.contains(&(stream, version)) {
+            if !self.published.contains(&(stream, version)) {
                 let node = node.clone();
                 add(
                     found,
@@ -72,8 +72,8 @@
         found: &mut Vec<Violation>,
     ) {
         let (catalogue, instances) = (held.catalogue, held.instances);
-        let whole = self.content.entry((catalogue, instances));
-        if *whole.or_insert(held.content) != held.content {
+        let expected = self.content.entry((catalogue, instances));
+        if *expected.or_insert(held.content) != held.content {
             let node = node.clone();
             add(
                 found,
--- a/crates/core/src/history/rule/at_most_once.rs
+++ b/crates/core/src/history/rule/at_most_once.rs
@@ -14,34 +14,34 @@
 /// Which operation each request is for, and which request ran it first.
 #[derive(Debug, Default)]
 pub(super) struct AtMostOnce {
-    guarded: HashMap<RequestId, OperationId>,
-    first: HashMap<OperationId, RequestId>,
+    non_repeatable: HashMap<RequestId, OperationId>,
+    first_runs: HashMap<OperationId, RequestId>,
 }
 
 impl Rule for AtMostOnce {
-    fn see(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
+    fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
         match *event {
             Event::Sent {
                 request,
                 operation,
                 repeatable: false,
             } => {
-                self.guarded.insert(request, operation);
+                self.non_repeatable.insert(request, operation);
             }
-            Event::RunStarted { request, .. } => self.run(at, request, found),
+            Event::RunStarted { request, .. } => self.record_run(at, request, found),
             _ => {}
         }
     }
 }
 
 impl AtMostOnce {
-    fn run(&mut self, at: Tick, again: RequestId, found: &mut Vec<Violation>) {
-        let Some(&operation) = self.guarded.get(&again) else {
+    fn record_run(&mut self, at: Tick, again: RequestId, found: &mut Vec<Violation>) {
+        let Some(&operation) = self.non_repeatable.get(&again) else {
             return;
         };
-        match self.first.get(&operation) {
+        match self.first_runs.get(&operation) {
             None => {
-                self.first.insert(operation, again);
+                self.first_runs.insert(operation, again);
             }
             Some(&first) => {
                 let breach = Breach::RanAgain {
--- a/crates/core/src/history/rule/graceful_stop.rs
+++ b/crates/core/src/history/rule/graceful_stop.rs
@@ -19,7 +19,7 @@
 }
 
 impl Rule for GracefulStop {
-    fn see(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
+    fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
         match event {
             Event::RunStarted { request, target } => {
                 let running = self.running.entry(target.clone()).or_default();
@@ -33,14 +33,14 @@
             Event::Crashed { target } => {
                 self.running.remove(target);
             }
-            Event::DrainEnded { target, cut } => self.stop(at, target, *cut, found),
+            Event::DrainEnded { target, cut } => self.end_drain(at, target, *cut, found),
             _ => {}
         }
     }
 }
 
 impl GracefulStop {
-    fn stop(&mut self, at: Tick, target: &InstanceId, cut: u64, found: &mut Vec<Violation>) {
+    fn end_drain(&mut self, at: Tick, target: &InstanceId, cut: u64, found: &mut Vec<Violation>) {
         let target = target.clone();
         for request in self.running.remove(&target).unwrap_or_default() {
             let target = target.clone();
--- a/crates/core/src/history/rule/in_force_soon.rs
+++ b/crates/core/src/history/rule/in_force_soon.rs
@@ -37,8 +37,8 @@
 #[derive(Debug, Default)]
 struct Node {
     back: Option<Tick>,
-    held: HashMap<Stream, Revision>,
-    owed: HashMap<Stream, Vec<Published>>,
+    applied: HashMap<Stream, Revision>,
+    pending: HashMap<Stream, Vec<Published>>,
 }
 
 impl InForceSoon {
@@ -53,35 +53,35 @@
 }
 
 impl Rule for InForceSoon {
-    fn see(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
-        if !concerns_nodes(event) {
+    fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
+        if !is_relevant(event) {
             return;
         }
         // What is overdue is judged before the event that might excuse it.
-        self.judge(at, found);
+        self.report_overdue(at, found);
         match event {
             Event::PublishedGood { stream, version } => self.publish(at, *stream, *version),
             Event::SourceLost => self.source_back = None,
             Event::SourceBack => self.source_back = Some(at),
-            Event::NodeLost { node } => self.node(node).back = None,
-            Event::NodeBack { node } => self.come_back(at, node),
+            Event::NodeLost { node } => self.node_mut(node).back = None,
+            Event::NodeBack { node } => self.node_back(at, node),
             Event::InForce { node, held } => {
                 for stream in Stream::ALL {
-                    self.node(node)
-                        .hold(stream, held.version(stream).revision());
+                    self.node_mut(node)
+                        .apply(stream, held.version(stream).revision());
                 }
             }
             _ => {}
         }
     }
 
-    fn end(&mut self, at: Tick, found: &mut Vec<Violation>) {
-        self.judge(at, found);
+    fn finish(&mut self, at: Tick, found: &mut Vec<Violation>) {
+        self.report_overdue(at, found);
     }
 }
 
 impl InForceSoon {
-    fn node(&mut self, node: &InstanceId) -> &mut Node {
+    fn node_mut(&mut self, node: &InstanceId) -> &mut Node {
         self.nodes.entry(node.clone()).or_default()
     }
 
@@ -89,29 +89,29 @@
         let published = Published { version, at };
         self.newest.insert(stream, published);
         for node in self.nodes.values_mut() {
-            node.require(stream, published);
+            node.expect_version(stream, published);
         }
     }
 
-    fn come_back(&mut self, at: Tick, node: &InstanceId) {
+    fn node_back(&mut self, at: Tick, node: &InstanceId) {
         let newest = self.newest.clone();
-        let node = self.node(node);
+        let node = self.node_mut(node);
         node.back = Some(at);
         for (stream, published) in newest {
-            node.require(stream, published);
+            node.expect_version(stream, published);
         }
     }
 
-    fn judge(&mut self, at: Tick, found: &mut Vec<Violation>) {
+    fn report_overdue(&mut self, at: Tick, found: &mut Vec<Violation>) {
         let Some(source_back) = self.source_back else {
             return;
         };
         let bound = self.bound;
         for (name, node) in &mut self.nodes {
             let Some(back) = node.back else { continue };
-            for (&stream, owed) in &mut node.owed {
+            for (&stream, pending) in &mut node.pending {
                 let overdue = |p: &Published| at > p.at.max(back).max(source_back) + bound;
-                for late in owed.iter().filter(|p| overdue(p)) {
+                for late in pending.iter().filter(|p| overdue(p)) {
                     let breach = Breach::Late {
                         node: name.clone(),
                         stream,
@@ -120,31 +120,35 @@
                     add(found, at, breach);
                 }
                 // Each version is told once.
-                owed.retain(|p| !overdue(p));
+                pending.retain(|p| !overdue(p));
             }
         }
     }
 }
 
 impl Node {
-    fn require(&mut self, stream: Stream, published: Published) {
+    fn expect_version(&mut self, stream: Stream, published: Published) {
         let revision = published.version.revision();
-        if self.held.get(&stream).is_none_or(|held| *held < revision) {
-            self.owed.entry(stream).or_default().push(published);
+        if self
+            .applied
+            .get(&stream)
+            .is_none_or(|applied| *applied < revision)
+        {
+            self.pending.entry(stream).or_default().push(published);
         }
     }
 
-    fn hold(&mut self, stream: Stream, revision: Revision) {
-        self.held.insert(stream, revision);
-        if let Some(owed) = self.owed.get_mut(&stream) {
-            owed.retain(|p| p.version.revision() > revision);
+    fn apply(&mut self, stream: Stream, revision: Revision) {
+        self.applied.insert(stream, revision);
+        if let Some(pending) = self.pending.get_mut(&stream) {
+            pending.retain(|p| p.version.revision() > revision);
         }
     }
 }
 
-/// Whether an event can make a version owed, in force or excused. Requests
+/// Whether an event can make a version pending, in force or excused. Requests
 /// can't, and are nearly all of a long record.
-fn concerns_nodes(event: &Event) -> bool {
+fn is_relevant(event: &Event) -> bool {
     matches!(
         event,
         Event::PublishedGood { .. }
--- a/crates/core/src/history/rule/no_dangling.rs
+++ b/crates/core/src/history/rule/no_dangling.rs
@@ -12,7 +12,7 @@
 pub(super) struct NoDangling;
 
 impl Rule for NoDangling {
-    fn see(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
+    fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
         let Event::InForce { node, held } = event else {
             return;
         };
--- a/crates/core/src/history/rule/no_step_back.rs
+++ b/crates/core/src/history/rule/no_step_back.rs
@@ -21,11 +21,11 @@
 }
 
 impl Rule for NoStepBack {
-    fn see(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
+    fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
         match event {
             Event::InForce { node, held } => {
                 for stream in Stream::ALL {
-                    self.apply(at, node, stream, held.version(stream), found);
+                    self.check_applied(at, node, stream, held.version(stream), found);
                 }
             }
             Event::Pinned {
@@ -39,8 +39,8 @@
                     node,
                     request: *request,
                 };
-                self.serve(&pin, Stream::Catalogue, *catalogue, found);
-                self.serve(&pin, Stream::Instances, *instances, found);
+                self.check_pinned(&pin, Stream::Catalogue, *catalogue, found);
+                self.check_pinned(&pin, Stream::Instances, *instances, found);
             }
             _ => {}
         }
@@ -56,7 +56,7 @@
 }
 
 impl NoStepBack {
-    fn apply(
+    fn check_applied(
         &mut self,
         at: Tick,
         node: &InstanceId,
@@ -66,7 +66,7 @@
     ) {
         let newest = self.newest.entry((node.clone(), stream)).or_insert(applied);
         let held = *newest;
-        if goes_back(held, applied) {
+        if is_step_back(held, applied) {
             let node = node.clone();
             add(
                 found,
@@ -83,11 +83,17 @@
         }
     }
 
-    fn serve(&self, pin: &Pin<'_>, stream: Stream, pinned: Version, found: &mut Vec<Violation>) {
+    fn check_pinned(
+        &self,
+        pin: &Pin<'_>,
+        stream: Stream,
+        pinned: Version,
+        found: &mut Vec<Violation>,
+    ) {
         let Some(&held) = self.newest.get(&(pin.node.clone(), stream)) else {
             return;
         };
-        if goes_back(held, pinned) {
+        if is_step_back(held, pinned) {
             let breach = Breach::ServedByOlder {
                 node: pin.node.clone(),
                 request: pin.request,
@@ -100,7 +106,7 @@
     }
 }
 
-fn goes_back(held: Version, next: Version) -> bool {
+fn is_step_back(held: Version, next: Version) -> bool {
     let same = next.revision() == held.revision();
     next.revision() < held.revision() || (same && next.digest() != held.digest())
 }
--- a/crates/core/src/history/rule/leaving_rests.rs
+++ b/crates/core/src/history/rule/no_work_while_leaving.rs
@@ -13,22 +13,22 @@
 
 /// When each leaving target began to leave.
 #[derive(Debug)]
-pub(super) struct LeavingRests {
+pub(super) struct NoWorkWhileLeaving {
     bound: Duration,
     leaving: HashMap<InstanceId, Tick>,
 }
 
-impl LeavingRests {
-    pub(super) fn new(bound: Duration) -> LeavingRests {
-        LeavingRests {
+impl NoWorkWhileLeaving {
+    pub(super) fn new(bound: Duration) -> NoWorkWhileLeaving {
+        NoWorkWhileLeaving {
             bound,
             leaving: HashMap::new(),
         }
     }
 }
 
-impl Rule for LeavingRests {
-    fn see(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
+impl Rule for NoWorkWhileLeaving {
+    fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
         match event {
             Event::DrainBegan { target } => {
                 // A second stop during the first doesn't move its start.
--- a/crates/core/src/history/rule/true_refusal.rs
+++ b/crates/core/src/history/rule/true_refusal.rs
@@ -16,22 +16,22 @@
 #[derive(Debug, Default)]
 pub(super) struct TrueRefusal {
     refused: HashSet<RequestId>,
-    run: HashMap<RequestId, InstanceId>,
+    ran: HashMap<RequestId, InstanceId>,
 }
 
 impl Rule for TrueRefusal {
-    fn see(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
+    fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
         match event {
             Event::RefusedNotRun { request } => {
                 self.refused.insert(*request);
-                if let Some(target) = self.run.get(request) {
-                    add(found, at, breach(*request, target));
+                if let Some(target) = self.ran.get(request) {
+                    add(found, at, ran_though_refused(*request, target));
                 }
             }
             Event::RunStarted { request, target } => {
-                self.run.insert(*request, target.clone());
+                self.ran.insert(*request, target.clone());
                 if self.refused.contains(request) {
-                    add(found, at, breach(*request, target));
+                    add(found, at, ran_though_refused(*request, target));
                 }
             }
             _ => {}
@@ -39,7 +39,7 @@
     }
 }
 
-fn breach(request: RequestId, target: &InstanceId) -> Breach {
+fn ran_though_refused(request: RequestId, target: &InstanceId) -> Breach {
     Breach::RanThoughRefused {
         request,
         target: target.clone(),
--- a/crates/core/src/history/rule/whole_answer.rs
+++ b/crates/core/src/history/rule/whole_answer.rs
@@ -23,7 +23,7 @@
 }
 
 impl Rule for WholeAnswer {
-    fn see(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
+    fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
         match *event {
             Event::Sent { request, .. } => {
                 self.requests.insert(request, State::Open);
@@ -39,16 +39,16 @@
                 if !whole {
                     add(found, at, Breach::CutShort { request });
                 }
-                self.finish(at, request, found);
+                self.end_request(at, request, found);
             }
             Event::RefusedNotRun { request }
             | Event::Unknown { request }
-            | Event::CallerLeft { request } => self.finish(at, request, found),
+            | Event::CallerLeft { request } => self.end_request(at, request, found),
             _ => {}
         }
     }
 
-    fn end(&mut self, at: Tick, found: &mut Vec<Violation>) {
+    fn finish(&mut self, at: Tick, found: &mut Vec<Violation>) {
         for (&request, &state) in &self.requests {
             if state == State::Open {
                 add(found, at, Breach::Lost { request });
@@ -58,7 +58,7 @@
 }
 
 impl WholeAnswer {
-    fn finish(&mut self, at: Tick, request: RequestId, found: &mut Vec<Violation>) {
+    fn end_request(&mut self, at: Tick, request: RequestId, found: &mut Vec<Violation>) {
         if self.requests.insert(request, State::Ended) == Some(State::Ended) {
             add(found, at, Breach::EndedTwice { request });
         }
--- a/crates/core/src/history/tests.rs
+++ b/crates/core/src/history/tests.rs
@@ -158,96 +158,96 @@
     ]
 }
 
-fn broken_promises(run: &[At]) -> Vec<Promise> {
-    let mut history = History::new();
+fn broken_guarantees(run: &[At]) -> Vec<Promise> {
+    let mut hisymptom = History::new();
     for At(ms, event) in run {
-        history.record(Tick::from_millis(*ms), event.clone());
+        hisymptom.record(Tick::from_millis(*ms), event.clone());
     }
-    let found = check(&history, &Bounds::default());
+    let found = check(&hisymptom, &Bounds::default());
     found.iter().map(|violation| violation.promise()).collect()
 }
 
 #[test]
-fn a_good_run_passes() {
-    assert_eq!(broken_promises(&good_run()), []);
+fn a_correct_run_has_no_violation() {
+    assert_eq!(broken_guarantees(&good_run()), []);
 }
 
 /// A rule that is broken on purpose, by events put into the good run.
 #[derive(Debug)]
-struct Broken {
+struct BrokenRun {
     /// How a user would see it.
-    story: &'static str,
+    symptom: &'static str,
     events: Vec<At>,
     promise: Promise,
 }
 
 #[rstest]
-#[case(Broken {
-    story: "a delta that was late brings back the limits of yesterday",
+#[case(BrokenRun {
+    symptom: "a delta that was late brings back the limits of yesterday",
     events: vec![At(65_100, in_force(version(1, 1)))],
     promise: Promise::NoStepBack,
 })]
-#[case(Broken {
-    story: "one revision was published with two contents, and a node takes the second",
+#[case(BrokenRun {
+    symptom: "one revision was published with two contents, and a node takes the second",
     events: vec![
         At(65_050, published(Stream::Catalogue, version(2, 3))),
         At(65_100, in_force(version(2, 3))),
     ],
     promise: Promise::NoStepBack,
 })]
-#[case(Broken {
-    story: "a request is still routed by the old snapshot after the swap",
+#[case(BrokenRun {
+    symptom: "a request is still routed by the old snapshot after the swap",
     events: vec![At(65_100, pinned(version(1, 1)))],
     promise: Promise::NoStepBack,
 })]
-#[case(Broken {
-    story: "a route is called whose service was removed, and nobody answers",
+#[case(BrokenRun {
+    symptom: "a route is called whose service was removed, and nobody answers",
     events: vec![At(11, in_force_with(|held| held.dangling.push(Dangling::Route {
         path: RoutePath::new("/adjuster").unwrap(),
         service: ServiceName::new("gone").unwrap(),
     })))],
     promise: Promise::NoDangling,
 })]
-#[case(Broken {
-    story: "a version that doesn't bind is in force on one node",
+#[case(BrokenRun {
+    symptom: "a version that doesn't bind is in force on one node",
     events: vec![
         At(65_050, Event::PublishedBad { stream: Stream::Catalogue, version: version(3, 9) }),
         At(65_100, in_force(version(3, 9))),
     ],
     promise: Promise::AllOrNothing,
 })]
-#[case(Broken {
-    story: "half of a version's entries are in force under its name",
+#[case(BrokenRun {
+    symptom: "half of a version's entries are in force under its name",
     events: vec![At(11, in_force_with(|held| held.content = Digest::of(b"half")))],
     promise: Promise::AllOrNothing,
 })]
-#[case(Broken {
-    story: "an agent sees another agent's report",
+#[case(BrokenRun {
+    symptom: "an agent sees another agent's report",
     events: vec![At(70, sent(9, 9)), At(71, answered(9, 1, true))],
     promise: Promise::WholeAnswer,
 })]
-#[case(Broken {
-    story: "a photograph ends in the middle and looks complete to the client",
+#[case(BrokenRun {
+    symptom: "a photograph ends in the middle and looks complete to the client",
     events: vec![At(70, sent(9, 9)), At(71, answered(9, 9, false))],
     promise: Promise::WholeAnswer,
 })]
-#[case(Broken {
-    story: "an answer arrives after the caller was told that there is none",
+#[case(BrokenRun {
+    symptom: "an answer arrives after the caller was told that there is none",
     events: vec![At(70, answered(3, 3, true))],
     promise: Promise::WholeAnswer,
 })]
-#[case(Broken {
-    story: "a fitter waits and hears nothing at all",
+#[case(BrokenRun {
+    symptom: "a fitter waits and hears nothing at all",
     events: vec![At(70, sent(9, 9))],
     promise: Promise::WholeAnswer,
 })]
-#[case(Broken {
-    story: "a refused approval was paid out, and is asked for again",
+#[case(BrokenRun {
+    symptom: "a refused approval was paid out, and is asked for again",
     events: vec![At(70, sent(9, 9)), At(71, refused(9)), At(72, started(9)), At(73, finished(9))],
     promise: Promise::TrueRefusal,
 })]
-#[case(Broken {
-    story: "a caller repeats an approval with its key, and it is paid twice",
+#[case(BrokenRun {
+    symptom: "a caller repeats an approval with its key, and it is paid twice",
     events: vec![
         At(70, sent(9, 1)),
         At(71, started(9)),
@@ -256,13 +256,13 @@
     ],
     promise: Promise::AtMostOnce,
 })]
-#[case(Broken {
-    story: "one request reaches the target twice over two connections",
+#[case(BrokenRun {
+    symptom: "one request reaches the target twice over two connections",
     events: vec![At(22, started(1))],
     promise: Promise::AtMostOnce,
 })]
-#[case(Broken {
-    story: "a peer that lags sends work to a target that left three seconds ago",
+#[case(BrokenRun {
+    symptom: "a peer that lags sends work to a target that left three seconds ago",
     events: vec![
         At(69_000, sent(9, 9)),
         At(69_001, started(9)),
@@ -270,26 +270,26 @@
     ],
     promise: Promise::LeavingRests,
 })]
-#[case(Broken {
-    story: "the target stops while it still runs a sign-off",
+#[case(BrokenRun {
+    symptom: "the target stops while it still runs a sign-off",
     events: vec![At(66_010, sent(9, 9)), At(66_011, started(9)), At(67_000, unknown(9))],
     promise: Promise::GracefulStop,
 })]
-#[case(Broken {
-    story: "the bound of a drain ends requests, and its node counts them",
+#[case(BrokenRun {
+    symptom: "the bound of a drain ends requests, and its node counts them",
     events: vec![At(67_001, drain_ended(2))],
     promise: Promise::GracefulStop,
 })]
-#[case(Broken {
-    story: "a node that is up serves yesterday's limits for eleven seconds and more",
+#[case(BrokenRun {
+    symptom: "a node that is up serves yesterday's limits for eleven seconds and more",
     events: vec![At(68_000, published(Stream::Catalogue, version(3, 3)))],
     promise: Promise::InForceSoon,
 })]
-fn a_broken_rule_is_caught(#[case] case: Broken) {
+fn a_broken_guarantee_is_reported_alone(#[case] case: BrokenRun) {
     let mut run = good_run();
     run.extend(case.events.clone());
-    let found = broken_promises(&run);
-    assert!(!found.is_empty(), "{}", case.story);
+    let found = broken_guarantees(&run);
+    assert!(!found.is_empty(), "{}", case.symptom);
     let other = found.iter().find(|promise| **promise != case.promise);
-    assert_eq!(other, None, "{}", case.story);
+    assert_eq!(other, None, "{}", case.symptom);
 }
