--- a/crates/core/src/repeat.rs
+++ b/crates/core/src/repeat.rs
@@ -51,20 +51,20 @@
 //!   key and requests on idempotent routes go on.
 
 pub use self::attempt::Attempt;
-pub use self::begin::Begin;
-pub use self::begin::StoredAnswer;
+pub use self::attempt_decision::Begin;
+pub use self::attempt_decision::StoredAnswer;
 pub use self::key::RequestKey;
-pub use self::running::Running;
+pub use self::run_permit::Running;
 pub use self::settings::RepeatSettings;
 pub use self::window::RepeatWindow;
 
 mod attempt;
-mod begin;
+mod attempt_decision;
 mod key;
-mod running;
+mod ownership;
+mod run_permit;
 mod settings;
 mod state;
-mod tenure;
 #[cfg(test)]
 mod tests;
 mod window;
--- a/crates/core/src/repeat/key.rs
+++ b/crates/core/src/repeat/key.rs
@@ -28,8 +28,8 @@
     /// Fails if `key` is empty or longer than 256 bytes.
     pub fn new(service: &ServiceName, operation: &str, key: &str) -> Result<RequestKey> {
         if key.is_empty() || key.len() > MAX_KEY_BYTES {
-            let told = format!("a request key has 1 to {MAX_KEY_BYTES} bytes");
-            return Err(Error::new(Step::Check, told));
+            let message = format!("a request key has 1 to {MAX_KEY_BYTES} bytes");
+            return Err(Error::new(Step::Check, message));
         }
         let parts = [service.as_str(), operation, key].map(|part| Digest::of(part.as_bytes()));
         Ok(RequestKey(Digest::of_all(&parts)))
--- a/crates/core/src/repeat/tenure.rs
+++ b/crates/core/src/repeat/ownership.rs
@@ -31,7 +31,7 @@
 }
 
 #[derive(Debug)]
-struct Held {
+struct HeldList {
     since: Tick,
     members: Members,
 }
@@ -44,18 +44,18 @@
 /// key was in force between two of its neighbours for long enough that this
 /// owner could have run anything.
 #[derive(Debug)]
-pub(super) struct Tenure {
+pub(super) struct Ownership {
     me: InstanceId,
     lease: Duration,
-    lists: VecDeque<Held>,
+    lists: VecDeque<HeldList>,
     revision: Option<Revision>,
     proved_at: Option<Tick>,
     last_proof: Option<Tick>,
 }
 
-impl Tenure {
-    pub(super) fn new(me: InstanceId, lease: Duration) -> Tenure {
-        Tenure {
+impl Ownership {
+    pub(super) fn new(me: InstanceId, lease: Duration) -> Ownership {
+        Ownership {
             me,
             lease,
             lists: VecDeque::new(),
@@ -71,7 +71,7 @@
     }
 
     /// Takes over a newer list.
-    pub(super) fn change(&mut self, now: Tick, revision: Revision, members: Members) {
+    pub(super) fn apply_list(&mut self, now: Tick, revision: Revision, members: Members) {
         if self.has_seen(revision) {
             return;
         }
@@ -92,7 +92,7 @@
         {
             return;
         }
-        self.lists.push_back(Held {
+        self.lists.push_back(HeldList {
             since: now,
             members,
         });
@@ -102,7 +102,7 @@
     }
 
     /// Takes over a proof that `revision` was the newest at `at`.
-    pub(super) fn prove(&mut self, at: Tick, revision: Revision) {
+    pub(super) fn record_proof(&mut self, at: Tick, revision: Revision) {
         // A proof of another list says nothing of the one that is held here.
         if self.revision == Some(revision) {
             self.proved_at = Ord::max(self.proved_at, Some(at));
@@ -111,7 +111,7 @@
     }
 
     /// Whether the list held here is proved to be in force.
-    pub(super) fn is_proved(&self, now: Tick) -> bool {
+    pub(super) fn is_lease_valid(&self, now: Tick) -> bool {
         self.is_recent(self.proved_at, now)
     }
 
@@ -120,9 +120,9 @@
     }
 
     /// Since when this node has owned a key, if it does.
-    pub(super) fn since(&self, key: &RequestKey) -> Option<Tick> {
-        let mine = |held: &&Held| held.members.owner(key) == Some(&self.me);
-        let run = self.lists.iter().rev().take_while(mine);
-        run.last().map(|held| held.since)
+    pub(super) fn owned_since(&self, key: &RequestKey) -> Option<Tick> {
+        let own = |held: &&HeldList| held.members.owner(key) == Some(&self.me);
+        let owned = self.lists.iter().rev().take_while(own);
+        owned.last().map(|held| held.since)
     }
 }
--- a/crates/core/src/repeat/running.rs
+++ b/crates/core/src/repeat/run_permit.rs
@@ -38,11 +38,11 @@
     ///
     /// Refuses as not run if the lease lapsed while the request waited.
     pub fn check(mut self, now: Tick) -> Result<Running, Refusal> {
-        match self.shared.check(now, &self.key, self.attempt) {
+        match self.shared.check_ownership(now, &self.key, self.attempt) {
             None => Ok(self),
             Some(refusal) => {
                 self.open = false;
-                self.shared.forget(&self.key);
+                self.shared.remove(&self.key);
                 Err(refusal)
             }
         }
@@ -51,19 +51,19 @@
     /// It ran and the whole answer was received.
     pub fn done(mut self, now: Tick, answer: StoredAnswer) {
         self.open = false;
-        self.shared.done(now, &self.key, answer);
+        self.shared.complete(now, &self.key, answer);
     }
 
     /// It was handed over and its outcome is unknown.
     pub fn lost(mut self, now: Tick) {
         self.open = false;
-        self.shared.lost(Some(now), &self.key);
+        self.shared.mark_unknown(Some(now), &self.key);
     }
 
     /// It was refused before the hand-over: the key counts as unused again.
     pub fn refused(mut self, refusal: Refusal) -> Refusal {
         self.open = false;
-        self.shared.forget(&self.key);
+        self.shared.remove(&self.key);
         refusal
     }
 }
@@ -72,7 +72,7 @@
     fn drop(&mut self) {
         // A task that was cancelled may have handed its request over before.
         if self.open {
-            self.shared.lost(None, &self.key);
+            self.shared.mark_unknown(None, &self.key);
         }
     }
 }
--- a/crates/core/src/repeat/settings.rs
+++ b/crates/core/src/repeat/settings.rs
@@ -30,28 +30,28 @@
     /// # Errors
     ///
     /// Fails if a time or bound is zero.
-    pub(super) fn checked(self) -> Result<RepeatSettings> {
+    pub(super) fn validated(self) -> Result<RepeatSettings> {
         if self.hold.is_zero() || self.lease.is_zero() || self.max_keys == 0 {
-            let told = "hold, lease and keys of the repeat window are more than zero";
-            return Err(Error::new(Step::Check, told));
+            let message = "hold, lease and keys of the repeat window are more than zero";
+            return Err(Error::new(Step::Check, message));
         }
         Ok(self)
     }
 
     /// How long an owner remembers a key: a repeat that was sent at the end of
     /// the hold time may be under way for a lease.
-    pub(super) fn memory(&self) -> Duration {
+    pub(super) fn retention(&self) -> Duration {
         self.hold + self.lease
     }
 
     /// How long an owner waits before it runs a first attempt.
-    pub(super) fn settle(&self) -> Duration {
+    pub(super) fn settling_period(&self) -> Duration {
         2 * self.lease
     }
 
     /// How long an owner waits before an unseen key means an unused one.
-    pub(super) fn proof(&self) -> Duration {
-        self.settle() + self.hold
+    pub(super) fn unseen_proof_period(&self) -> Duration {
+        self.settling_period() + self.hold
     }
 }
 
--- a/crates/core/src/repeat/state.rs
+++ b/crates/core/src/repeat/state.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::tenure::Tenure;
+use super::ownership::Ownership;
 use crate::Attempt;
 use crate::Reason;
 use crate::Refusal;
@@ -20,21 +20,21 @@
 
 /// What is known of a key.
 #[derive(Debug)]
-enum Entry {
+enum KeyState {
     Running,
     Done(Arc<StoredAnswer>),
-    Lost,
+    OutcomeUnknown,
 }
 
 /// What to do with an attempt.
-pub(super) enum Decision {
+pub(super) enum KeyDecision {
     Run,
     Answer(Arc<StoredAnswer>),
     Refuse(Refusal),
 }
 
 #[derive(Debug)]
-struct Ended {
+struct EndedKey {
     at: Tick,
     key: RequestKey,
 }
@@ -49,19 +49,19 @@
 /// the stored answers.
 pub(super) struct State {
     cfg: RepeatSettings,
-    pub(super) tenure: Tenure,
-    keys: HashMap<RequestKey, Entry>,
-    ended: VecDeque<Ended>,
+    pub(super) ownership: Ownership,
+    keys: HashMap<RequestKey, KeyState>,
+    ended: VecDeque<EndedKey>,
     answers: VecDeque<RequestKey>,
     bytes: usize,
     now: Tick,
 }
 
 impl State {
-    pub(super) fn new(cfg: RepeatSettings, tenure: Tenure) -> State {
+    pub(super) fn new(cfg: RepeatSettings, ownership: Ownership) -> State {
         State {
             cfg,
-            tenure,
+            ownership,
             keys: HashMap::new(),
             ended: VecDeque::new(),
             answers: VecDeque::new(),
@@ -70,99 +70,99 @@
         }
     }
 
-    pub(super) fn begin(&mut self, now: Tick, key: RequestKey, attempt: Attempt) -> Decision {
-        self.advance(now);
+    pub(super) fn begin(&mut self, now: Tick, key: RequestKey, attempt: Attempt) -> KeyDecision {
+        self.expire(now);
         // What is known of a key is true whoever owns it by now.
         match self.keys.get(&key) {
-            Some(Entry::Done(answer)) => return Decision::Answer(answer.clone()),
-            Some(Entry::Running) => {
+            Some(KeyState::Done(answer)) => return KeyDecision::Answer(answer.clone()),
+            Some(KeyState::Running) => {
                 let refusal = Refusal::unknown(Step::Admission, Reason::EarlierRunning);
-                return Decision::Refuse(refusal.after(RUNNING_RETRY));
+                return KeyDecision::Refuse(refusal.after(RUNNING_RETRY));
             }
-            Some(Entry::Lost) => {
+            Some(KeyState::OutcomeUnknown) => {
                 let refusal = Refusal::unknown(Step::Admission, Reason::EarlierUnknown);
-                return Decision::Refuse(refusal);
+                return KeyDecision::Refuse(refusal);
             }
             None => {}
         }
-        if let Some(refusal) = self.refuse_unseen(now, &key, attempt) {
-            return Decision::Refuse(refusal);
+        if let Some(refusal) = self.check_unseen_key(now, &key, attempt) {
+            return KeyDecision::Refuse(refusal);
         }
-        self.keys.insert(key, Entry::Running);
-        Decision::Run
+        self.keys.insert(key, KeyState::Running);
+        KeyDecision::Run
     }
 
     /// Why a key that isn't known here must not be run, if so.
-    fn refuse_unseen(&self, now: Tick, key: &RequestKey, attempt: Attempt) -> Option<Refusal> {
-        if let Some(refusal) = self.refuse_owner(now, key, attempt) {
+    fn check_unseen_key(&self, now: Tick, key: &RequestKey, attempt: Attempt) -> Option<Refusal> {
+        if let Some(refusal) = self.check_ownership(now, key, attempt) {
             return Some(refusal);
         }
-        let since = self.tenure.since(key)?;
-        let tenure = now.since(since);
-        if attempt == Attempt::MayRepeat && tenure < self.cfg.proof() {
+        let since = self.ownership.owned_since(key)?;
+        let owned_for = now.since(since);
+        if attempt == Attempt::MayRepeat && owned_for < self.cfg.unseen_proof_period() {
             // An earlier attempt may have run at the owner before this one, or
             // in this process before its restart.
-            let wait = self.cfg.proof() - tenure;
+            let wait = self.cfg.unseen_proof_period() - owned_for;
             let refusal = Refusal::unknown(Step::Admission, Reason::EarlierUnknown);
             return Some(refusal.after(wait));
         }
         if self.keys.len() >= self.cfg.max_keys {
             // Forgetting an older key to make room would let its repeat run.
             let refusal = Refusal::not_run(Step::Admission, Reason::WindowFull);
-            return Some(refusal.after(self.next_room(now)));
+            return Some(refusal.after(self.time_until_room(now)));
         }
         None
     }
 
     /// Why this node has no right to run an unseen key, if so.
-    pub(super) fn refuse_owner(
+    pub(super) fn check_ownership(
         &self,
         now: Tick,
         key: &RequestKey,
         attempt: Attempt,
     ) -> Option<Refusal> {
-        let Some(since) = self.tenure.since(key) else {
+        let Some(since) = self.ownership.owned_since(key) else {
             return Some(Refusal::not_run(Step::Admission, Reason::NotOwner));
         };
-        if !self.tenure.is_proved(now) {
+        if !self.ownership.is_lease_valid(now) {
             // A node that is cut off doesn't see that the key moved, while the
             // new owner has begun to run it.
-            let refusal = refusal_of(attempt, Reason::LeaseLapsed);
+            let refusal = refusal_without_proof(attempt, Reason::LeaseLapsed);
             return Some(refusal.after(self.cfg.lease));
         }
-        let tenure = now.since(since);
-        if tenure < self.cfg.settle() {
+        let owned_for = now.since(since);
+        if owned_for < self.cfg.settling_period() {
             // The owner before may run the key until its lease lapses.
-            let wait = self.cfg.settle() - tenure;
-            return Some(refusal_of(attempt, Reason::Settling).after(wait));
+            let wait = self.cfg.settling_period() - owned_for;
+            return Some(refusal_without_proof(attempt, Reason::Settling).after(wait));
         }
         None
     }
 
-    pub(super) fn done(&mut self, now: Tick, key: &RequestKey, answer: StoredAnswer) {
-        self.advance(now);
+    pub(super) fn complete(&mut self, now: Tick, key: &RequestKey, answer: StoredAnswer) {
+        self.expire(now);
         let bytes = answer.bytes();
         if bytes > self.cfg.max_answer_bytes || bytes > self.cfg.max_bytes {
-            self.end(*key, Entry::Lost);
+            self.finish(*key, KeyState::OutcomeUnknown);
             return;
         }
         self.bytes += bytes;
         self.answers.push_back(*key);
-        self.end(*key, Entry::Done(Arc::new(answer)));
+        self.finish(*key, KeyState::Done(Arc::new(answer)));
         while self.bytes > self.cfg.max_bytes {
             self.drop_oldest_answer();
         }
     }
 
-    pub(super) fn lost(&mut self, now: Option<Tick>, key: &RequestKey) {
+    pub(super) fn mark_unknown(&mut self, now: Option<Tick>, key: &RequestKey) {
         if let Some(now) = now {
-            self.advance(now);
+            self.expire(now);
         }
-        self.end(*key, Entry::Lost);
+        self.finish(*key, KeyState::OutcomeUnknown);
     }
 
     /// The request of a key was not handed over.
-    pub(super) fn forget(&mut self, key: &RequestKey) {
+    pub(super) fn remove(&mut self, key: &RequestKey) {
         self.keys.remove(key);
     }
 
@@ -170,9 +170,9 @@
         self.keys.len()
     }
 
-    fn end(&mut self, key: RequestKey, entry: Entry) {
-        self.keys.insert(key, entry);
-        self.ended.push_back(Ended { at: self.now, key });
+    fn finish(&mut self, key: RequestKey, state: KeyState) {
+        self.keys.insert(key, state);
+        self.ended.push_back(EndedKey { at: self.now, key });
     }
 
     /// Keeps the key of the oldest stored answer and lets the answer go: its
@@ -181,24 +181,24 @@
         let Some(key) = self.answers.pop_front() else {
             return;
         };
-        if let Some(entry) = self.keys.get_mut(&key)
-            && let Entry::Done(answer) = entry
+        if let Some(state) = self.keys.get_mut(&key)
+            && let KeyState::Done(answer) = state
         {
             self.bytes -= answer.bytes();
-            *entry = Entry::Lost;
+            *state = KeyState::OutcomeUnknown;
         }
     }
 
     /// Lets go of keys of which no repeat can come any more.
-    fn advance(&mut self, now: Tick) {
+    fn expire(&mut self, now: Tick) {
         self.now = self.now.max(now);
         while let Some(oldest) = self.ended.front() {
-            if self.now.since(oldest.at) <= self.cfg.memory() {
+            if self.now.since(oldest.at) <= self.cfg.retention() {
                 return;
             }
             let key = oldest.key;
             self.ended.pop_front();
-            if let Some(Entry::Done(answer)) = self.keys.remove(&key) {
+            if let Some(KeyState::Done(answer)) = self.keys.remove(&key) {
                 self.bytes -= answer.bytes();
             }
             if self.answers.front() == Some(&key) {
@@ -207,15 +207,15 @@
         }
     }
 
-    fn next_room(&self, now: Tick) -> Duration {
+    fn time_until_room(&self, now: Tick) -> Duration {
         let oldest = self.ended.front();
-        let held = oldest.map_or(Duration::ZERO, |oldest| now.since(oldest.at));
-        self.cfg.memory().saturating_sub(held)
+        let age = oldest.map_or(Duration::ZERO, |oldest| now.since(oldest.at));
+        self.cfg.retention().saturating_sub(age)
     }
 }
 
 /// A refusal by a node that can't tell whether an earlier attempt has run.
-pub(super) fn refusal_of(attempt: Attempt, reason: Reason) -> Refusal {
+pub(super) fn refusal_without_proof(attempt: Attempt, reason: Reason) -> Refusal {
     match attempt {
         Attempt::First => Refusal::not_run(Step::Admission, reason),
         Attempt::MayRepeat => Refusal::unknown(Step::Admission, reason),
--- a/crates/core/src/repeat/tests.rs
+++ b/crates/core/src/repeat/tests.rs
@@ -56,7 +56,7 @@
 fn window() -> RepeatWindow {
     let me = InstanceId::new("ad-1").unwrap();
     let window = RepeatWindow::new(CFG, me, service()).unwrap();
-    window.list_changed(at(0), &list(1, &["ad-1"]));
+    window.apply_list(at(0), &list(1, &["ad-1"]));
     window
 }
 
@@ -89,7 +89,7 @@
 }
 
 #[derive(Debug)]
-struct Unseen {
+struct UnseenKey {
     proof_s: u64,
     now_s: u64,
     attempt: Attempt,
@@ -101,39 +101,39 @@
 
 /// Guards against an owner that runs an unseen key without a fresh proof of its list.
 #[rstest]
-#[case(Unseen { proof_s: 5, now_s: 5, attempt: FIRST,
+#[case(UnseenKey { proof_s: 5, now_s: 5, attempt: FIRST,
     refused: Some((Outcome::NotRun, Reason::Settling)) })]
-#[case(Unseen { proof_s: 5, now_s: 5, attempt: REPEAT,
+#[case(UnseenKey { proof_s: 5, now_s: 5, attempt: REPEAT,
     refused: Some((Outcome::Unknown, Reason::Settling)) })]
-#[case(Unseen { proof_s: 20, now_s: 20, attempt: FIRST, refused: None })]
-#[case(Unseen { proof_s: 79, now_s: 79, attempt: REPEAT,
+#[case(UnseenKey { proof_s: 20, now_s: 20, attempt: FIRST, refused: None })]
+#[case(UnseenKey { proof_s: 79, now_s: 79, attempt: REPEAT,
     refused: Some((Outcome::Unknown, Reason::EarlierUnknown)) })]
-#[case(Unseen { proof_s: 80, now_s: 80, attempt: REPEAT, refused: None })]
-#[case(Unseen { proof_s: 80, now_s: 90, attempt: REPEAT, refused: None })]
-#[case(Unseen { proof_s: 80, now_s: 91, attempt: REPEAT,
+#[case(UnseenKey { proof_s: 80, now_s: 80, attempt: REPEAT, refused: None })]
+#[case(UnseenKey { proof_s: 80, now_s: 90, attempt: REPEAT, refused: None })]
+#[case(UnseenKey { proof_s: 80, now_s: 91, attempt: REPEAT,
     refused: Some((Outcome::Unknown, Reason::LeaseLapsed)) })]
-#[case(Unseen { proof_s: 80, now_s: 91, attempt: FIRST,
+#[case(UnseenKey { proof_s: 80, now_s: 91, attempt: FIRST,
     refused: Some((Outcome::NotRun, Reason::LeaseLapsed)) })]
-fn an_unseen_key_runs_only_with_proof(#[case] case: Unseen) {
+fn an_unseen_key_runs_only_with_a_fresh_proof(#[case] case: UnseenKey) {
     let window = proved(case.proof_s);
-    let told = match window.begin(at(case.now_s), key("a"), case.attempt) {
+    let actual = match window.begin(at(case.now_s), key("a"), case.attempt) {
         Begin::Run(_) => None,
         Begin::Refuse(refusal) => Some((refusal.outcome(), refusal.reason())),
         Begin::Answer(_) => panic!("nothing was answered yet"),
     };
-    assert_eq!(told, case.refused, "{case:?}");
+    assert_eq!(actual, case.refused, "{case:?}");
 }
 
 #[test]
-fn repeats_get_the_answer_of_the_one_run() {
+fn a_repeat_gets_the_stored_answer_of_the_first_run() {
     let window = proved(100);
     let running = run(&window, 100, "a");
-    let told = refused(&window, 100, "a", REPEAT);
+    let refusal = refused(&window, 100, "a", REPEAT);
     assert_eq!(
-        (told.outcome(), told.reason()),
+        (refusal.outcome(), refusal.reason()),
         (Outcome::Unknown, Reason::EarlierRunning)
     );
-    assert!(told.retry_after().is_some());
+    assert!(refusal.retry_after().is_some());
     running.done(at(101), answer(9));
     let Begin::Answer(again) = window.begin(at(150), key("a"), REPEAT) else {
         panic!("the answer is remembered");
@@ -145,10 +145,10 @@
 #[rstest]
 #[case(true)]
 #[case(false)]
-fn what_was_lost_is_never_run_again(#[case] told: bool) {
+fn a_key_with_unknown_outcome_is_never_run_again(#[case] is_reported: bool) {
     let window = proved(100);
     let running = run(&window, 100, "a");
-    if told {
+    if is_reported {
         running.lost(at(101));
     } else {
         drop(running);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn what_was_not_handed_over_may_run() {
+fn a_key_that_was_not_handed_over_may_run() {
     let window = proved(100);
     let refusal = Refusal::not_run(Step::Admission, Reason::QueueFull);
     assert_eq!(run(&window, 100, "a").refused(refusal), refusal);
@@ -168,7 +168,7 @@
 
 /// Guards against a repeat that runs again since its key was dropped for room.
 #[test]
-fn a_full_window_refuses_new_keys_and_keeps_the_old() {
+fn a_full_window_refuses_new_keys_and_keeps_stored_ones() {
     let window = proved(100);
     for text in ["a", "b", "c"] {
         run(&window, 100, text).done(at(100), answer(1));
@@ -184,7 +184,7 @@
 
 /// Guards against a repeat that runs again since its answer was dropped for room.
 #[test]
-fn answers_go_before_keys() {
+fn answers_are_evicted_before_keys() {
     let window = proved(100);
     run(&window, 100, "a").done(at(100), answer(60));
     run(&window, 100, "b").done(at(100), answer(60));
@@ -199,7 +199,7 @@
 
 /// Guards against a late repeat that runs again at the end of the hold time.
 #[test]
-fn a_key_outlives_its_hold_time_by_a_lease() {
+fn a_key_is_kept_for_the_hold_time_and_a_lease() {
     let window = proved(100);
     run(&window, 100, "a").done(at(100), answer(1));
     window.prove(at(170), Revision::new(1).unwrap());
@@ -213,20 +213,20 @@
 
 /// Guards against a key that runs at two owners as it moves away and back.
 #[test]
-fn a_key_that_was_another_s_settles_again() {
+fn a_key_that_had_another_owner_settles_again() {
     let both = ["ad-1", "ad-2"];
-    let others = |text: &&String| {
+    let is_others = |text: &&String| {
         let two = proved(0);
-        two.list_changed(at(1), &list(2, &both));
+        two.apply_list(at(1), &list(2, &both));
         refused(&two, 1, text, FIRST).reason() == Reason::NotOwner
     };
     let names: Vec<_> = (0..32).map(|i| i.to_string()).collect();
-    let moved = names.iter().find(others).unwrap();
-    let kept = names.iter().find(|text| !others(text)).unwrap();
+    let moved = names.iter().find(is_others).unwrap();
+    let kept = names.iter().find(|text| !is_others(text)).unwrap();
 
     let window = proved(100);
-    window.list_changed(at(101), &list(2, &both));
-    window.list_changed(at(102), &list(3, &["ad-1"]));
+    window.apply_list(at(101), &list(2, &both));
+    window.apply_list(at(102), &list(3, &["ad-1"]));
     window.prove(at(110), Revision::new(3).unwrap());
     assert_eq!(
         refused(&window, 110, moved, FIRST).reason(),
@@ -235,7 +235,7 @@
     run(&window, 110, kept).lost(at(110));
 
     let window = proved(100);
-    window.list_changed(at(111), &list(3, &["ad-1"]));
+    window.apply_list(at(111), &list(3, &["ad-1"]));
     window.prove(at(111), Revision::new(3).unwrap());
     assert_eq!(
         refused(&window, 111, kept, FIRST).reason(),
--- a/crates/core/src/repeat/window.rs
+++ b/crates/core/src/repeat/window.rs
@@ -6,10 +6,10 @@
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
-use super::state::Decision;
+use super::ownership::Members;
+use super::ownership::Ownership;
+use super::state::KeyDecision;
 use super::state::State;
-use super::tenure::Members;
-use super::tenure::Tenure;
 use crate::Attempt;
 use crate::Begin;
 use crate::Instance;
@@ -47,9 +47,9 @@
     ///
     /// Fails if a time or bound of the settings is zero.
     pub fn new(cfg: RepeatSettings, me: InstanceId, service: ServiceName) -> Result<RepeatWindow> {
-        let cfg = cfg.checked()?;
-        let tenure = Tenure::new(me, cfg.lease);
-        let state = State::new(cfg, tenure);
+        let cfg = cfg.validated()?;
+        let ownership = Ownership::new(me, cfg.lease);
+        let state = State::new(cfg, ownership);
         Ok(RepeatWindow(Arc::new(Shared {
             service,
             state: Mutex::new(state),
@@ -60,19 +60,20 @@
     ///
     /// Call it before requests are routed by that list: an owner must not learn
     /// of its keys later than those who send them.
-    pub fn list_changed(&self, now: Tick, list: &InstanceList) {
+    pub fn apply_list(&self, now: Tick, list: &InstanceList) {
         let revision = list.version().revision();
-        if self.0.lock().tenure.has_seen(revision) {
+        if self.0.lock().ownership.has_seen(revision) {
             return;
         }
-        let mine = |i: &&Instance| i.service == self.0.service && i.state == InstanceState::Live;
-        let members = Members::new(list.iter().filter(mine).map(|i| &i.id));
-        self.0.lock().tenure.change(now, revision, members);
+        let own_live =
+            |i: &&Instance| i.service == self.0.service && i.state == InstanceState::Live;
+        let members = Members::new(list.iter().filter(own_live).map(|i| &i.id));
+        self.0.lock().ownership.apply_list(now, revision, members);
     }
 
     /// Takes over the instance list that a snapshot was built from.
     ///
-    /// It says the same as [`RepeatWindow::list_changed`], but says nothing if
+    /// It says the same as [`RepeatWindow::apply_list`], but says nothing if
     /// the catalogue doesn't have the service: the list is then taken over as
     /// if it were new once it does, which only makes the owner wait.
     pub fn snapshot_changed(&self, now: Tick, snapshot: &Snapshot) {
@@ -84,23 +85,23 @@
         let instances = endpoints.map(|(_, endpoint)| &endpoint.instance);
         let live = instances.filter(|i| i.state == InstanceState::Live);
         let members = Members::new(live.map(|i| &i.id));
-        self.0.lock().tenure.change(now, revision, members);
+        self.0.lock().ownership.apply_list(now, revision, members);
     }
 
     /// Takes over a proof that nothing newer than the list of `revision` was
     /// published until `at`. It must not be dated later than the question that
     /// it answers, to the platform or a peer: see [`crate::ListProof`].
     pub fn prove(&self, at: Tick, revision: Revision) {
-        self.0.lock().tenure.prove(at, revision);
+        self.0.lock().ownership.record_proof(at, revision);
     }
 
     /// Decides over an attempt that reached this node.
     pub fn begin(&self, now: Tick, key: RequestKey, attempt: Attempt) -> Begin {
         let decision = self.0.lock().begin(now, key, attempt);
         match decision {
-            Decision::Run => Begin::Run(Running::new(&self.0, key, attempt)),
-            Decision::Answer(answer) => Begin::Answer(answer),
-            Decision::Refuse(refusal) => Begin::Refuse(refusal),
+            KeyDecision::Run => Begin::Run(Running::new(&self.0, key, attempt)),
+            KeyDecision::Answer(answer) => Begin::Answer(answer),
+            KeyDecision::Refuse(refusal) => Begin::Refuse(refusal),
         }
     }
 
@@ -122,20 +123,25 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn check(&self, now: Tick, key: &RequestKey, attempt: Attempt) -> Option<Refusal> {
-        self.lock().refuse_owner(now, key, attempt)
+    pub(super) fn check_ownership(
+        &self,
+        now: Tick,
+        key: &RequestKey,
+        attempt: Attempt,
+    ) -> Option<Refusal> {
+        self.lock().check_ownership(now, key, attempt)
     }
 
-    pub(super) fn done(&self, now: Tick, key: &RequestKey, answer: StoredAnswer) {
-        self.lock().done(now, key, answer);
+    pub(super) fn complete(&self, now: Tick, key: &RequestKey, answer: StoredAnswer) {
+        self.lock().complete(now, key, answer);
     }
 
-    pub(super) fn lost(&self, now: Option<Tick>, key: &RequestKey) {
-        self.lock().lost(now, key);
+    pub(super) fn mark_unknown(&self, now: Option<Tick>, key: &RequestKey) {
+        self.lock().mark_unknown(now, key);
     }
 
-    pub(super) fn forget(&self, key: &RequestKey) {
-        self.lock().forget(key);
+    pub(super) fn remove(&self, key: &RequestKey) {
+        self.lock().remove(key);
     }
 }
 
--- a/crates/core/tests/at_most_once/node.rs
+++ b/crates/core/tests/at_most_once/node.rs
@@ -66,7 +66,7 @@
             Fault::TenureIgnored => Tick::ZERO,
             _ => now,
         };
-        self.window.list_changed(since, &self.known.list);
+        self.window.apply_list(since, &self.known.list);
         let (revision, at) = self.known.proved;
         self.window.prove(at, revision);
     }
