--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -24,7 +24,7 @@
 pub use self::verdicts::Verdicts;
 
 mod content;
-mod moment;
+mod observed_at;
 mod pending_answers;
 mod report;
 mod reports;
--- a/crates/core/src/quarantine/content.rs
+++ b/crates/core/src/quarantine/content.rs
@@ -68,11 +68,11 @@
     pub fn of(method: &str, host: &str, path: &str, query: Option<&str>, body: &[u8]) -> Content {
         let mut hasher = blake3::Hasher::new();
         for part in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
-            add(&mut hasher, part);
+            hash_part(&mut hasher, part);
         }
         let resource = Fingerprint::of(&hasher);
         let whole = query.map_or(resource, |query| {
-            add(&mut hasher, query.as_bytes());
+            hash_part(&mut hasher, query.as_bytes());
             Fingerprint::of(&hasher)
         });
         Content { whole, resource }
@@ -119,7 +119,7 @@
 }
 
 /// Hashes one part; with its length before it, none can run into the next.
-fn add(hasher: &mut blake3::Hasher, part: &[u8]) {
+fn hash_part(hasher: &mut blake3::Hasher, part: &[u8]) {
     hasher.update(&(part.len() as u64).to_le_bytes());
     hasher.update(part);
 }
--- a/crates/core/src/quarantine/pending_answers.rs
+++ b/crates/core/src/quarantine/pending_answers.rs
@@ -12,7 +12,7 @@
 
 /// The longest that a node waits for others to tell of an answer first: some times as long
 /// as a report takes through a large fleet.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// How much of that each node of the fleet is worth: small fleets need not wait long.
 const WAIT_PER_NODE: Duration = Duration::from_millis(10);
@@ -24,10 +24,10 @@
 /// Each waits for a random time, of which short ones are rare, and says nothing if the first
 /// report has ended the doubt by then.
 #[derive(Debug, Default)]
-pub(crate) struct PendingAnswers(BTreeMap<Fingerprint, Waiting>);
+pub(crate) struct PendingAnswers(BTreeMap<Fingerprint, PendingAnswer>);
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingAnswer {
     due: Tick,
     answered: Tick,
 }
@@ -42,38 +42,41 @@
         nodes: usize,
         rng: &mut impl Rng,
     ) {
-        let due = now + wait(nodes, rng);
-        let waiting = self.0.entry(content).or_insert(Waiting { due, answered });
-        waiting.answered = waiting.answered.max(answered);
+        let due = now + random_wait(nodes, rng);
+        let pending = self
+            .0
+            .entry(content)
+            .or_insert(PendingAnswer { due, answered });
+        pending.answered = pending.answered.max(answered);
     }
 
     /// When the next is to be told.
     pub(crate) fn due(&self) -> Option<Tick> {
-        self.0.values().map(|waiting| waiting.due).min()
+        self.0.values().map(|pending| pending.due).min()
     }
 
     /// Takes those that are due and still in doubt, with when they were answered.
     pub(crate) fn take_due(&mut self, now: Tick, verdicts: &Verdicts) -> Vec<(Fingerprint, Tick)> {
-        let mut taken = Vec::new();
-        self.0.retain(|content, waiting| {
+        let mut due_answers = Vec::new();
+        self.0.retain(|content, pending| {
             if !verdicts.doubts(*content) {
                 return false;
             }
-            let waits = waiting.due > now;
-            if !waits {
-                taken.push((*content, waiting.answered));
+            let is_waiting = pending.due > now;
+            if !is_waiting {
+                due_answers.push((*content, pending.answered));
             }
-            waits
+            is_waiting
         });
-        taken
+        due_answers
     }
 }
 
 /// A random wait by which one node of the fleet, about, doesn't wait at all, and the
 /// number of those that have waited so long grows by a constant factor in equal times.
-fn wait(nodes: usize, rng: &mut impl Rng) -> Duration {
+fn random_wait(nodes: usize, rng: &mut impl Rng) -> Duration {
     let nodes = u32::try_from(nodes.max(2)).unwrap_or(u32::MAX);
-    let longest = LONGEST_WAIT.min(WAIT_PER_NODE * nodes);
+    let longest = MAX_WAIT.min(WAIT_PER_NODE * nodes);
     let drawn: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
     let share = 1.0 + drawn.ln() / f64::from(nodes).ln();
     longest.mul_f64(share.max(0.0))
--- a/crates/core/src/quarantine/reports.rs
+++ b/crates/core/src/quarantine/reports.rs
@@ -11,25 +11,25 @@
 use super::ReportId;
 use super::Sighting;
 use super::Verdicts;
-use super::moment::Moment;
-use super::moment::REMEMBERED;
+use super::observed_at::ObservedAt;
+use super::observed_at::REPORT_RETENTION;
 use super::verdicts::ANSWER_EXCUSES;
-use super::verdicts::DOUBTED;
+use super::verdicts::CRASHES_TO_SUSPECT;
 use crate::Digest;
 use crate::Tick;
 
 /// Reports that are kept; of those that prove nothing, the oldest go first.
-const MOST_REPORTS: usize = 512;
+const MAX_REPORTS: usize = 512;
 
 /// Requests of one crash that are told at most: all slots of large targets.
-const MOST_CONTENTS: usize = 256;
+const MAX_CONTENTS_PER_CRASH: usize = 256;
 
 /// Bytes of reports in one comparison, about: nodes that know different ones, since there
 /// are more than are kept, send so many every few seconds.
-const MOST_TOLD_BYTES: usize = 8 * 1024;
+const MAX_MESSAGE_BYTES: usize = 8 * 1024;
 
 /// Bytes of a report beside what it tells of requests, about.
-const REPORT_BYTES: usize = 32;
+const REPORT_OVERHEAD_BYTES: usize = 32;
 
 /// Bytes that one request takes in a report.
 const CONTENT_BYTES: usize = 18;
@@ -40,20 +40,20 @@
 ///
 /// A report is never changed: the first copy of it counts. `root` is over the ids of those
 /// that are kept, so that two nodes with the same root know the same. `crashes` counts the
-/// reports of crashes that tell of a request, and while `is_judged`, `verdicts` follow from
+/// reports of crashes that tell of a request, and while `is_up_to_date`, `verdicts` follow from
 /// the reports.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
-    reports: BTreeMap<ReportId, Kept>,
+    reports: BTreeMap<ReportId, KeptReport>,
     root: u64,
     crashes: HashMap<Fingerprint, usize>,
     verdicts: Verdicts,
-    is_judged: bool,
+    is_up_to_date: bool,
 }
 
 #[derive(Debug)]
-struct Kept {
-    at: Moment,
+struct KeptReport {
+    at: ObservedAt,
     sighting: Sighting,
 }
 
@@ -61,7 +61,7 @@
     /// Takes a report in; false if it says nothing new.
     pub(crate) fn merge(&mut self, now: Tick, report: &Report) -> bool {
         let age = Duration::from_millis(report.age_ms.into());
-        let Some(at) = Moment::before(now, age) else {
+        let Some(at) = ObservedAt::from_age(now, age) else {
             return false;
         };
         if self.reports.contains_key(&report.id) {
@@ -69,28 +69,28 @@
         }
         let mut sighting = report.sighting.clone();
         if let Sighting::Crashed(ran) = &mut sighting {
-            ran.truncate(MOST_CONTENTS);
+            ran.truncate(MAX_CONTENTS_PER_CRASH);
         }
-        let kept = Kept { at, sighting };
+        let kept = KeptReport { at, sighting };
         // INVARIANT: A report goes into the root once, as it comes.
-        self.root ^= hash_of(&report.id);
+        self.root ^= hash_id(&report.id);
         let contents = kept.contents();
         if kept.is_crash() {
             for content in &contents {
                 *self.crashes.entry(*content).or_default() += 1;
             }
         }
-        self.unsettle(&contents);
+        self.invalidate_verdicts(&contents);
         self.reports.insert(report.id.clone(), kept);
-        if self.reports.len() > MOST_REPORTS {
-            self.drop_one();
+        if self.reports.len() > MAX_REPORTS {
+            self.evict_one();
         }
         true
     }
 
     /// Forgets what is too old to count.
     pub(crate) fn forget(&mut self, now: Tick) {
-        let is_old = |kept: &Kept| kept.at.age(now) >= REMEMBERED;
+        let is_old = |kept: &KeptReport| kept.at.age(now) >= REPORT_RETENTION;
         let old = self.reports.iter().filter(|(_, kept)| is_old(kept));
         let old: Vec<ReportId> = old.map(|(id, _)| id.clone()).collect();
         for id in old {
@@ -103,9 +103,9 @@
             return;
         };
         // INVARIANT: What goes leaves the root and the counts.
-        self.root ^= hash_of(id);
+        self.root ^= hash_id(id);
         let contents = kept.contents();
-        self.unsettle(&contents);
+        self.invalidate_verdicts(&contents);
         if !kept.is_crash() {
             return;
         }
@@ -121,30 +121,34 @@
 
     /// Notes that a report of these has come or goes. Most tell of requests that fell with
     /// one target alone, and change no verdict.
-    fn unsettle(&mut self, contents: &BTreeSet<Fingerprint>) {
-        let matters = |content| self.crashes.get(content).is_some_and(|n| *n >= DOUBTED);
-        self.is_judged &= !contents.iter().any(matters);
+    fn invalidate_verdicts(&mut self, contents: &BTreeSet<Fingerprint>) {
+        let is_suspect = |content| {
+            self.crashes
+                .get(content)
+                .is_some_and(|n| *n >= CRASHES_TO_SUSPECT)
+        };
+        self.is_up_to_date &= !contents.iter().any(is_suspect);
     }
 
     /// Judges anew; gives the verdicts before and now if these are others.
     pub(crate) fn judge(&mut self) -> Option<(Verdicts, &Verdicts)> {
-        if std::mem::replace(&mut self.is_judged, true) {
+        if std::mem::replace(&mut self.is_up_to_date, true) {
             return None;
         }
-        let mut crashes: Vec<(Moment, &[Content])> = Vec::new();
-        let mut excused: HashMap<Fingerprint, Moment> = HashMap::new();
-        let mut excuse = |content: Fingerprint, until: Moment| {
-            let latest = excused.entry(content).or_insert(until);
+        let mut crashes: Vec<(ObservedAt, &[Content])> = Vec::new();
+        let mut exempt_until: HashMap<Fingerprint, ObservedAt> = HashMap::new();
+        let mut exempt = |content: Fingerprint, until: ObservedAt| {
+            let latest = exempt_until.entry(content).or_insert(until);
             *latest = until.max(*latest);
         };
         for kept in self.reports.values() {
             match &kept.sighting {
                 Sighting::Crashed(ran) => crashes.push((kept.at, ran)),
-                Sighting::Answered(content) => excuse(*content, kept.at.plus(ANSWER_EXCUSES)),
-                Sighting::Released(content) => excuse(*content, kept.at),
+                Sighting::Answered(content) => exempt(*content, kept.at.later_by(ANSWER_EXCUSES)),
+                Sighting::Released(content) => exempt(*content, kept.at),
             }
         }
-        let verdicts = Verdicts::judge(&crashes, &excused);
+        let verdicts = Verdicts::evaluate(&crashes, &exempt_until);
         if verdicts == self.verdicts {
             return None;
         }
@@ -171,22 +175,22 @@
     /// As many reports as fit into a message: those of what is in quarantine first, then
     /// the newest.
     pub(crate) fn reports_to_send(&self, now: Tick) -> Vec<Report> {
-        let mut by_weight: Vec<(&ReportId, &Kept)> = self.reports.iter().collect();
-        by_weight.sort_by_cached_key(|(_, kept)| (self.is_of_weight(kept), kept.at));
-        let mut left = MOST_TOLD_BYTES;
-        let mut told = Vec::new();
-        for (id, kept) in by_weight.into_iter().rev() {
+        let mut by_significance: Vec<(&ReportId, &KeptReport)> = self.reports.iter().collect();
+        by_significance.sort_by_cached_key(|(_, kept)| (self.is_significant(kept), kept.at));
+        let mut left = MAX_MESSAGE_BYTES;
+        let mut selected = Vec::new();
+        for (id, kept) in by_significance.into_iter().rev() {
             let Some(rest) = left.checked_sub(kept.bytes()) else {
                 break;
             };
             left = rest;
-            told.push(kept.report_at(now, id));
+            selected.push(kept.report_at(now, id));
         }
-        told
+        selected
     }
 
     /// Whether it tells of a request that is in quarantine or nearly so.
-    fn is_of_weight(&self, kept: &Kept) -> bool {
+    fn is_significant(&self, kept: &KeptReport) -> bool {
         match &kept.sighting {
             Sighting::Answered(_) | Sighting::Released(_) => true,
             Sighting::Crashed(ran) => ran
@@ -198,19 +202,19 @@
 
     /// Makes room: crashes of many targets that have nothing in common mustn't push out
     /// those that prove something.
-    fn drop_one(&mut self) {
-        let lightest = self
+    fn evict_one(&mut self) {
+        let least = self
             .reports
             .iter()
-            .min_by_key(|(_, kept)| (self.is_of_weight(kept), kept.at));
-        let Some(id) = lightest.map(|(id, _)| id.clone()) else {
+            .min_by_key(|(_, kept)| (self.is_significant(kept), kept.at));
+        let Some(id) = least.map(|(id, _)| id.clone()) else {
             return;
         };
         self.remove(&id);
     }
 }
 
-impl Kept {
+impl KeptReport {
     fn is_crash(&self) -> bool {
         matches!(self.sighting, Sighting::Crashed(_))
     }
@@ -235,13 +239,13 @@
     /// Bytes in a message, about.
     fn bytes(&self) -> usize {
         match &self.sighting {
-            Sighting::Crashed(ran) => REPORT_BYTES + CONTENT_BYTES * ran.len(),
-            Sighting::Answered(_) | Sighting::Released(_) => REPORT_BYTES + CONTENT_BYTES,
+            Sighting::Crashed(ran) => REPORT_OVERHEAD_BYTES + CONTENT_BYTES * ran.len(),
+            Sighting::Answered(_) | Sighting::Released(_) => REPORT_OVERHEAD_BYTES + CONTENT_BYTES,
         }
     }
 }
 
-fn hash_of(id: &ReportId) -> u64 {
+fn hash_id(id: &ReportId) -> u64 {
     let mut bytes = Vec::with_capacity(64);
     bytes.extend_from_slice(id.witness.as_str().as_bytes());
     bytes.extend_from_slice(&id.incarnation.to_le_bytes());
--- a/crates/core/src/quarantine/tests.rs
+++ b/crates/core/src/quarantine/tests.rs
@@ -14,7 +14,7 @@
 use crate::Tick;
 
 /// When the reports of the cases are heard, in seconds.
-const NOW_S: u64 = 1_000;
+const RECEIVED_S: u64 = 1_000;
 
 fn at(secs: u64) -> Tick {
     Tick::from_millis(1_000 * secs)
@@ -41,7 +41,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Seen {
+enum Observed {
     /// A crash under these.
     Crash(u64, &'static [&'static str]),
     /// An answer to it.
@@ -50,20 +50,20 @@
     Release(u64, &'static str),
 }
 
-impl Seen {
+impl Observed {
     fn report(self, number: u64) -> Report {
         match self {
-            Seen::Crash(at_s, ran) => {
+            Observed::Crash(at_s, ran) => {
                 let ran = ran.iter().map(|path| content(path)).collect();
-                report(number, at_s, NOW_S, Sighting::Crashed(ran))
+                report(number, at_s, RECEIVED_S, Sighting::Crashed(ran))
             }
-            Seen::Answer(at_s, path) => {
+            Observed::Answer(at_s, path) => {
                 let answered = content(path).whole();
-                report(number, at_s, NOW_S, Sighting::Answered(answered))
+                report(number, at_s, RECEIVED_S, Sighting::Answered(answered))
             }
-            Seen::Release(at_s, path) => {
+            Observed::Release(at_s, path) => {
                 let released = content(path).whole();
-                report(number, at_s, NOW_S, Sighting::Released(released))
+                report(number, at_s, RECEIVED_S, Sighting::Released(released))
             }
         }
     }
@@ -71,160 +71,162 @@
 
 #[derive(Debug)]
 struct Case {
-    seen: &'static [Seen],
+    observed: &'static [Observed],
     held: &'static [&'static str],
     free: &'static [&'static str],
 }
 
 #[rstest]
 #[case::two_crashes_are_too_few(Case {
-    seen: &[Seen::Crash(990, &["/a"]), Seen::Crash(991, &["/a"])],
+    observed: &[Observed::Crash(990, &["/a"]), Observed::Crash(991, &["/a"])],
     held: &[],
     free: &["/a"],
 })]
-#[case::the_third_is_enough(Case {
-    seen: &[
-        Seen::Crash(990, &["/a", "/b"]),
-        Seen::Crash(991, &["/a", "/c"]),
-        Seen::Crash(999, &["/d", "/a"]),
+#[case::the_third_crash_quarantines(Case {
+    observed: &[
+        Observed::Crash(990, &["/a", "/b"]),
+        Observed::Crash(991, &["/a", "/c"]),
+        Observed::Crash(999, &["/d", "/a"]),
     ],
     held: &["/a"],
     free: &["/b", "/c", "/d"],
 })]
-#[case::many_copies_in_one_crash_are_one(Case {
-    seen: &[Seen::Crash(990, &["/a", "/a", "/a"]), Seen::Crash(991, &["/a"])],
+#[case::copies_in_one_crash_count_once(Case {
+    observed: &[Observed::Crash(990, &["/a", "/a", "/a"]), Observed::Crash(991, &["/a"])],
     held: &[],
     free: &["/a"],
 })]
-#[case::an_answer_excuses_what_was_before(Case {
-    seen: &[
-        Seen::Crash(990, &["/a"]),
-        Seen::Crash(991, &["/a"]),
-        Seen::Answer(992, "/a"),
-        Seen::Crash(998, &["/a"]),
-        Seen::Crash(999, &["/a"]),
+#[case::an_answer_exempts_from_crashes_before_it(Case {
+    observed: &[
+        Observed::Crash(990, &["/a"]),
+        Observed::Crash(991, &["/a"]),
+        Observed::Answer(992, "/a"),
+        Observed::Crash(998, &["/a"]),
+        Observed::Crash(999, &["/a"]),
     ],
     held: &[],
     free: &["/a"],
 })]
 // All targets of a failure domain fall at once, under what every one of them ran.
-#[case::an_answer_excuses_what_comes_shortly_after(Case {
-    seen: &[
-        Seen::Answer(985, "/a"),
-        Seen::Crash(990, &["/a"]),
-        Seen::Crash(990, &["/a"]),
-        Seen::Crash(990, &["/a"]),
+#[case::an_answer_exempts_from_crashes_shortly_after_it(Case {
+    observed: &[
+        Observed::Answer(985, "/a"),
+        Observed::Crash(990, &["/a"]),
+        Observed::Crash(990, &["/a"]),
+        Observed::Crash(990, &["/a"]),
     ],
     held: &[],
     free: &["/a"],
 })]
 // Targets were mended, and operators let the request run again.
-#[case::a_release_excuses_what_was_before(Case {
-    seen: &[
-        Seen::Crash(990, &["/a", "/b"]),
-        Seen::Crash(991, &["/a", "/b"]),
-        Seen::Crash(992, &["/a", "/b"]),
-        Seen::Release(993, "/a"),
+#[case::a_release_exempts_from_crashes_before_it(Case {
+    observed: &[
+        Observed::Crash(990, &["/a", "/b"]),
+        Observed::Crash(991, &["/a", "/b"]),
+        Observed::Crash(992, &["/a", "/b"]),
+        Observed::Release(993, "/a"),
     ],
     held: &["/b"],
     free: &["/a"],
 })]
 // They weren't mended: unlike an answer, a release speaks for nothing that comes after it.
-#[case::a_release_excuses_nothing_after_it(Case {
-    seen: &[
-        Seen::Crash(980, &["/a"]),
-        Seen::Crash(981, &["/a"]),
-        Seen::Crash(982, &["/a"]),
-        Seen::Release(983, "/a"),
-        Seen::Crash(984, &["/a"]),
-        Seen::Crash(985, &["/a"]),
-        Seen::Crash(986, &["/a"]),
+#[case::a_release_does_not_exempt_from_later_crashes(Case {
+    observed: &[
+        Observed::Crash(980, &["/a"]),
+        Observed::Crash(981, &["/a"]),
+        Observed::Crash(982, &["/a"]),
+        Observed::Release(983, "/a"),
+        Observed::Crash(984, &["/a"]),
+        Observed::Crash(985, &["/a"]),
+        Observed::Crash(986, &["/a"]),
     ],
     held: &["/a"],
     free: &[],
 })]
 // A new release of a service crashes under what the one before answered.
-#[case::an_answer_long_ago_excuses_nothing(Case {
-    seen: &[
-        Seen::Answer(900, "/a"),
-        Seen::Crash(990, &["/a"]),
-        Seen::Crash(991, &["/a"]),
-        Seen::Crash(992, &["/a"]),
+#[case::an_old_answer_does_not_exempt(Case {
+    observed: &[
+        Observed::Answer(900, "/a"),
+        Observed::Crash(990, &["/a"]),
+        Observed::Crash(991, &["/a"]),
+        Observed::Crash(992, &["/a"]),
     ],
     held: &["/a"],
     free: &[],
 })]
-#[case::an_answer_to_another_excuses_nothing(Case {
-    seen: &[
-        Seen::Crash(990, &["/a"]),
-        Seen::Crash(991, &["/a"]),
-        Seen::Crash(992, &["/a"]),
-        Seen::Answer(993, "/b"),
+#[case::an_answer_to_another_request_does_not_exempt(Case {
+    observed: &[
+        Observed::Crash(990, &["/a"]),
+        Observed::Crash(991, &["/a"]),
+        Observed::Crash(992, &["/a"]),
+        Observed::Answer(993, "/b"),
     ],
     held: &["/a"],
     free: &["/b"],
 })]
-#[case::queries_that_change_are_one_request(Case {
-    seen: &[
-        Seen::Crash(990, &["/a?page=1"]),
-        Seen::Crash(991, &["/a?page=2"]),
-        Seen::Crash(992, &["/a?page=3"]),
+#[case::changing_queries_count_for_one_resource(Case {
+    observed: &[
+        Observed::Crash(990, &["/a?page=1"]),
+        Observed::Crash(991, &["/a?page=2"]),
+        Observed::Crash(992, &["/a?page=3"]),
     ],
     held: &["/a?page=1", "/a?page=4", "/a"],
     free: &["/b?page=1"],
 })]
-#[case::one_query_is_no_sign_against_others(Case {
-    seen: &[
-        Seen::Crash(990, &["/a?page=1"]),
-        Seen::Crash(991, &["/a?page=1"]),
-        Seen::Crash(992, &["/a?page=1", "/a?page=2"]),
-        Seen::Crash(993, &["/a?page=1"]),
+#[case::one_query_does_not_quarantine_others(Case {
+    observed: &[
+        Observed::Crash(990, &["/a?page=1"]),
+        Observed::Crash(991, &["/a?page=1"]),
+        Observed::Crash(992, &["/a?page=1", "/a?page=2"]),
+        Observed::Crash(993, &["/a?page=1"]),
     ],
     held: &["/a?page=1"],
     free: &["/a?page=2", "/a"],
 })]
-#[case::an_answer_to_another_query_excuses_the_path(Case {
-    seen: &[
-        Seen::Crash(990, &["/a?page=1"]),
-        Seen::Crash(991, &["/a?page=2"]),
-        Seen::Crash(992, &["/a?page=3"]),
-        Seen::Answer(993, "/a"),
+#[case::an_answer_without_query_exempts_the_resource(Case {
+    observed: &[
+        Observed::Crash(990, &["/a?page=1"]),
+        Observed::Crash(991, &["/a?page=2"]),
+        Observed::Crash(992, &["/a?page=3"]),
+        Observed::Answer(993, "/a"),
     ],
     held: &[],
     free: &["/a?page=1", "/a"],
 })]
 // After ten minutes without a crash it may show that its targets were mended.
-#[case::it_ends(Case {
-    seen: &[
-        Seen::Crash(390, &["/a"]),
-        Seen::Crash(391, &["/a"]),
-        Seen::Crash(399, &["/a"]),
+#[case::quarantine_ends(Case {
+    observed: &[
+        Observed::Crash(390, &["/a"]),
+        Observed::Crash(391, &["/a"]),
+        Observed::Crash(399, &["/a"]),
     ],
     held: &[],
     free: &["/a"],
 })]
-#[case::and_one_crash_more_brings_it_back(Case {
-    seen: &[
-        Seen::Crash(390, &["/a"]),
-        Seen::Crash(391, &["/a"]),
-        Seen::Crash(399, &["/a"]),
-        Seen::Crash(999, &["/a"]),
+#[case::one_more_crash_renews_it(Case {
+    observed: &[
+        Observed::Crash(390, &["/a"]),
+        Observed::Crash(391, &["/a"]),
+        Observed::Crash(399, &["/a"]),
+        Observed::Crash(999, &["/a"]),
     ],
     held: &["/a"],
     free: &[],
 })]
-fn what_is_in_quarantine_follows_from_what_was_seen(#[case] case: Case) {
+fn quarantine_follows_from_the_reports_in_any_order(#[case] case: Case) {
     // In whatever order it is heard, and also by a node that started in between.
     for started_s in [0, 995] {
         for seed in 0..8 {
-            let mut reports: Vec<Report> =
-                (1..).zip(case.seen).map(|(n, it)| it.report(n)).collect();
+            let mut reports: Vec<Report> = (1..)
+                .zip(case.observed)
+                .map(|(n, it)| it.report(n))
+                .collect();
             let mut rng = SmallRng::seed_from_u64(seed);
             for n in 0..reports.len() {
                 let other = rng.random_range(0..reports.len());
                 reports.swap(n, other);
             }
-            let now = at(NOW_S - started_s);
+            let now = at(RECEIVED_S - started_s);
             let mut known = Reports::default();
             for report in &reports {
                 assert!(known.merge(now, report));
@@ -244,7 +246,7 @@
 // Hundreds of targets fall for reasons of their own after one request had crashed three.
 // The reports of those three must not go to make room.
 #[test]
-fn reports_without_weight_make_room() {
+fn insignificant_reports_are_evicted_first() {
     let mut known = Reports::default();
     for number in 0..3 {
         known.merge(at(1), &crash(number, 1, "/a"));
@@ -256,14 +258,14 @@
     }
     let held = known.verdicts().held_until(at(3), &content("/a"));
     assert!(held.is_some());
-    let told = known.reports_to_send(at(3));
-    let of_it = |it: &&Report| it.id.number < 3;
-    assert_eq!(told.iter().filter(of_it).count(), 3);
+    let selected = known.reports_to_send(at(3));
+    let of_first_three = |it: &&Report| it.id.number < 3;
+    assert_eq!(selected.iter().filter(of_first_three).count(), 3);
 }
 
 // Two nodes that know the same have the same root, and one that forgot has another.
 #[test]
-fn the_root_is_that_of_what_is_known() {
+fn the_root_depends_only_on_the_kept_reports() {
     let (mut one, mut other) = (Reports::default(), Reports::default());
     let reports: Vec<Report> = (0..5).map(|n| crash(n, 1, "/a")).collect();
     for report in &reports {
@@ -284,7 +286,7 @@
 }
 
 #[test]
-fn contents_are_read_as_they_are_written() {
+fn a_written_content_parses_to_the_same() {
     for path in ["/a", "/a?page=1"] {
         let written = content(path);
         assert_eq!(Content::parse(&written.to_string()).unwrap(), written);
@@ -299,7 +301,7 @@
 }
 
 #[test]
-fn a_request_may_run_again_at_the_end_of_its_quarantine() {
+fn a_quarantine_ends_ten_minutes_after_the_last_crash() {
     let mut known = Reports::default();
     for number in 0..3 {
         known.merge(at(10), &crash(number, 10, "/a"));
--- a/crates/core/src/quarantine/verdicts.rs
+++ b/crates/core/src/quarantine/verdicts.rs
@@ -8,7 +8,7 @@
 
 use super::Content;
 use super::Fingerprint;
-use super::moment::Moment;
+use super::observed_at::ObservedAt;
 use crate::Tick;
 
 /// Crashes under one request after which no target runs it any more.
@@ -16,11 +16,11 @@
 
 /// Crashes after which an answer to it has to be told: one more would make
 /// [`CRASHES`].
-pub(super) const DOUBTED: usize = CRASHES - 1;
+pub(super) const CRASHES_TO_SUSPECT: usize = CRASHES - 1;
 
 /// How long a request is in quarantine after the last crash under it. Then it may show
 /// that its targets were mended; one more crash puts it back.
-const HOLD: Duration = Duration::from_secs(600);
+const QUARANTINE_PERIOD: Duration = Duration::from_secs(600);
 
 /// How long an answer excuses a request from crashes after it. Targets that fall together
 /// fall under everything that is asked often, before another could answer.
@@ -35,107 +35,112 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Verdicts {
     /// Until when each is in quarantine.
-    held: BTreeMap<Fingerprint, Tick>,
-    doubted: BTreeSet<Fingerprint>,
+    quarantined: BTreeMap<Fingerprint, Tick>,
+    suspects: BTreeSet<Fingerprint>,
 }
 
 impl Verdicts {
     /// Until when no target is to run a request, if it is in quarantine at `now`.
     pub fn held_until(&self, now: Tick, content: &Content) -> Option<Tick> {
-        if self.held.is_empty() {
+        if self.quarantined.is_empty() {
             return None;
         }
-        let until = |content| self.held.get(&content).copied();
+        let until = |content| self.quarantined.get(&content).copied();
         let until = content.fingerprints().filter_map(until).max();
         until.filter(|until| now < *until)
     }
 
     /// Whether others are to hear that a request was answered.
     pub fn doubts(&self, content: Fingerprint) -> bool {
-        self.doubted.contains(&content)
+        self.suspects.contains(&content)
     }
 
     /// All of which others are to hear that they were answered.
     pub fn doubted(&self) -> impl Iterator<Item = Fingerprint> {
-        self.doubted.iter().copied()
+        self.suspects.iter().copied()
     }
 
     /// Those in quarantine at `now`, and until when.
     pub fn held_at(&self, now: Tick) -> impl Iterator<Item = (Fingerprint, Tick)> {
-        let held = self.held.iter().map(|(content, until)| (*content, *until));
+        let held = self
+            .quarantined
+            .iter()
+            .map(|(content, until)| (*content, *until));
         held.filter(move |(_, until)| now < *until)
     }
 
     /// Those in quarantine, or that were.
     pub fn held(&self) -> impl Iterator<Item = Fingerprint> {
-        self.held.keys().copied()
+        self.quarantined.keys().copied()
     }
 
     /// Whether it is in quarantine, or was.
     pub(crate) fn holds(&self, content: Fingerprint) -> bool {
-        self.held.contains_key(&content)
+        self.quarantined.contains_key(&content)
     }
 
     /// Judges by crashes, and by the moment up to which each request is excused from them.
-    pub(super) fn judge(
-        crashes: &[(Moment, &[Content])],
-        excused: &HashMap<Fingerprint, Moment>,
+    pub(super) fn evaluate(
+        crashes: &[(ObservedAt, &[Content])],
+        exempt_until: &HashMap<Fingerprint, ObservedAt>,
     ) -> Verdicts {
         let mut verdicts = Verdicts::default();
-        let mut whole = Counts::new(excused);
+        let mut by_whole = CrashCounts::new(exempt_until);
         for (at, ran) in crashes {
-            whole.count(*at, ran.iter().map(Content::whole));
+            by_whole.count(*at, ran.iter().map(Content::whole));
         }
-        whole.judge(&mut verdicts);
+        by_whole.evaluate(&mut verdicts);
         // A crash under a request that is in quarantine is no sign against others that
         // differ from it by their query.
-        let mut wider = Counts::new(excused);
+        let mut by_resource = CrashCounts::new(exempt_until);
         for (at, ran) in crashes {
             let held = ran.iter().filter(|it| verdicts.holds(it.whole()));
             let explained: HashSet<Fingerprint> = held.map(Content::resource).collect();
             let resources = ran.iter().map(Content::resource);
-            wider.count(*at, resources.filter(|it| !explained.contains(it)));
+            by_resource.count(*at, resources.filter(|it| !explained.contains(it)));
         }
-        wider.judge(&mut verdicts);
+        by_resource.evaluate(&mut verdicts);
         verdicts
     }
 }
 
 /// Crashes by fingerprint.
 #[derive(Debug)]
-struct Counts<'a> {
-    excused: &'a HashMap<Fingerprint, Moment>,
-    crashes: HashMap<Fingerprint, Vec<Moment>>,
+struct CrashCounts<'a> {
+    exempt_until: &'a HashMap<Fingerprint, ObservedAt>,
+    crashes: HashMap<Fingerprint, Vec<ObservedAt>>,
 }
 
-impl<'a> Counts<'a> {
-    fn new(excused: &'a HashMap<Fingerprint, Moment>) -> Counts<'a> {
-        Counts {
-            excused,
+impl<'a> CrashCounts<'a> {
+    fn new(exempt_until: &'a HashMap<Fingerprint, ObservedAt>) -> CrashCounts<'a> {
+        CrashCounts {
+            exempt_until,
             crashes: HashMap::new(),
         }
     }
 
-    /// Counts one crash against each that ran, once.
-    fn count(&mut self, at: Moment, ran: impl Iterator<Item = Fingerprint>) {
+    /// CrashCounts one crash against each that ran, once.
+    fn count(&mut self, at: ObservedAt, ran: impl Iterator<Item = Fingerprint>) {
         let ran: HashSet<Fingerprint> = ran.collect();
         for content in ran {
-            let excused_until = self.excused.get(&content);
-            if excused_until.is_none_or(|until| *until < at) {
+            let exempt = self.exempt_until.get(&content);
+            if exempt.is_none_or(|until| *until < at) {
                 self.crashes.entry(content).or_default().push(at);
             }
         }
     }
 
-    fn judge(self, verdicts: &mut Verdicts) {
+    fn evaluate(self, verdicts: &mut Verdicts) {
         for (content, crashes) in self.crashes {
-            if crashes.len() >= DOUBTED {
-                verdicts.doubted.insert(content);
+            if crashes.len() >= CRASHES_TO_SUSPECT {
+                verdicts.suspects.insert(content);
             }
             if crashes.len() >= CRASHES
                 && let Some(last) = crashes.iter().max()
             {
-                verdicts.held.insert(content, last.plus(HOLD).tick());
+                verdicts
+                    .quarantined
+                    .insert(content, last.later_by(QUARANTINE_PERIOD).tick());
             }
         }
     }
