--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -3,6 +3,7 @@
 //! A target and its node are drained apart. While only the target drains, the
 //! node goes on to carry the calls that the target makes.
 
+pub use self::atomic_word::Word;
 pub use self::gate::Gate;
 pub use self::gate::Pass;
 pub use self::stage::Drain;
@@ -10,10 +11,9 @@
 pub use self::stage::Progress;
 pub use self::stage::Serving;
 pub use self::stage::Stopped;
-pub use self::word::Word;
 
+mod atomic_word;
 mod gate;
 mod stage;
 #[cfg(test)]
 mod tests;
-mod word;
--- a/crates/core/src/drain/word.rs
+++ b/crates/core/src/drain/atomic_word.rs
@@ -10,7 +10,7 @@
     /// Reads it.
     fn load(&self) -> u64;
     /// Writes `new` if it is `current`, and tells whether it was.
-    fn swap_if(&self, current: u64, new: u64) -> bool;
+    fn compare_and_set(&self, current: u64, new: u64) -> bool;
 }
 
 impl Word for AtomicU64 {
@@ -22,7 +22,7 @@
         AtomicU64::load(self, Ordering::SeqCst)
     }
 
-    fn swap_if(&self, current: u64, new: u64) -> bool {
+    fn compare_and_set(&self, current: u64, new: u64) -> bool {
         self.compare_exchange(current, new, Ordering::SeqCst, Ordering::SeqCst)
             .is_ok()
     }
--- a/crates/core/src/drain/gate.rs
+++ b/crates/core/src/drain/gate.rs
@@ -10,7 +10,7 @@
 use crate::Word;
 
 /// The bit that says that the gate is closed; those below it count.
-const CLOSED: u64 = 1 << 63;
+const CLOSED_BIT: u64 = 1 << 63;
 
 /// Counts requests in flight and lets none in once it is closed.
 ///
@@ -34,10 +34,10 @@
     pub fn enter(&self) -> Result<Pass<W>, Refusal> {
         loop {
             let word = self.0.load();
-            if word & CLOSED != 0 {
+            if word & CLOSED_BIT != 0 {
                 return Err(Refusal::not_run(Step::Admission, Reason::Draining));
             }
-            if self.0.swap_if(word, word + 1) {
+            if self.0.compare_and_set(word, word + 1) {
                 return Ok(Pass(self.0.clone()));
             }
         }
@@ -45,26 +45,26 @@
 
     /// Whether it is closed.
     pub fn is_closed(&self) -> bool {
-        self.0.load() & CLOSED != 0
+        self.0.load() & CLOSED_BIT != 0
     }
 
     /// How many passes there are.
     pub fn in_flight(&self) -> u64 {
-        self.0.load() & !CLOSED
+        self.0.load() & !CLOSED_BIT
     }
 
     pub(super) fn close(&self) {
-        self.change(|word| word | CLOSED);
+        self.update(|word| word | CLOSED_BIT);
     }
 
     pub(super) fn reopen(&self) {
-        self.change(|word| word & !CLOSED);
+        self.update(|word| word & !CLOSED_BIT);
     }
 
-    fn change(&self, to: impl Fn(u64) -> u64) {
+    fn update(&self, to: impl Fn(u64) -> u64) {
         loop {
             let word = self.0.load();
-            if self.0.swap_if(word, to(word)) {
+            if self.0.compare_and_set(word, to(word)) {
                 return;
             }
         }
@@ -94,7 +94,7 @@
     fn drop(&mut self) {
         loop {
             let word = self.0.load();
-            if self.0.swap_if(word, word - 1) {
+            if self.0.compare_and_set(word, word - 1) {
                 return;
             }
         }
--- a/crates/core/src/drain/tests.rs
+++ b/crates/core/src/drain/tests.rs
@@ -26,7 +26,7 @@
         AtomicU64::load(self, Ordering::SeqCst)
     }
 
-    fn swap_if(&self, current: u64, new: u64) -> bool {
+    fn compare_and_set(&self, current: u64, new: u64) -> bool {
         self.compare_exchange(current, new, Ordering::SeqCst, Ordering::SeqCst)
             .is_ok()
     }
@@ -41,38 +41,38 @@
 
 /// Guards against a request that slips in after a drain saw nothing in flight.
 #[test]
-fn nothing_enters_once_a_closed_gate_is_empty() {
-    shuttle::check_random(race::<AtomicU64>, 2_000);
+fn no_request_enters_an_empty_closed_gate() {
+    shuttle::check_random(race_entry_with_drain::<AtomicU64>, 2_000);
 }
 
 // The same with a word whose compare and write are two steps.
 #[test]
 #[should_panic]
-fn a_gate_of_two_steps_is_found() {
-    shuttle::check_random(race::<TwoSteps>, 2_000);
+fn the_race_is_found_with_a_two_step_word() {
+    shuttle::check_random(race_entry_with_drain::<TwoStepWord>, 2_000);
 }
 
-struct TwoSteps(AtomicU64);
+struct TwoStepWord(AtomicU64);
 
-impl Word for TwoSteps {
-    fn zero() -> TwoSteps {
-        TwoSteps(AtomicU64::new(0))
+impl Word for TwoStepWord {
+    fn zero() -> TwoStepWord {
+        TwoStepWord(AtomicU64::new(0))
     }
 
     fn load(&self) -> u64 {
         self.0.load(Ordering::SeqCst)
     }
 
-    fn swap_if(&self, current: u64, new: u64) -> bool {
-        let same = Word::load(self) == current;
-        if same {
+    fn compare_and_set(&self, current: u64, new: u64) -> bool {
+        let is_current = Word::load(self) == current;
+        if is_current {
             self.0.store(new, Ordering::SeqCst);
         }
-        same
+        is_current
     }
 }
 
-fn race<W: Word + 'static>() {
+fn race_entry_with_drain<W: Word + 'static>() {
     let drain = Drain::<Serving, W>::serving();
     let gate = drain.gate().clone();
     let inside = Arc::new(AtomicU64::new(0));
@@ -80,7 +80,7 @@
     let mut drain = drain.begin(NOW, BOUND);
     loop {
         match drain.poll(NOW) {
-            Progress::Waiting(same) => drain = same,
+            Progress::Waiting(next) => drain = next,
             Progress::Over(over) => {
                 assert_eq!(over.cut(), 0);
                 break;
@@ -106,7 +106,7 @@
 
 /// Guards against a request that a second stop cuts.
 #[test]
-fn a_second_planned_stop_cuts_nothing() {
+fn a_second_planned_stop_does_not_shorten_the_bound() {
     let serving = Drain::<Serving>::serving();
     let pass = serving.gate().enter().unwrap();
     let drain = serving.begin(NOW, BOUND);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_bound_ends_a_drain_and_counts_what_it_cut() {
+fn the_bound_ends_a_drain_and_counts_cut_requests() {
     let serving = Drain::<Serving>::serving();
     let passes = [(); 2].map(|()| serving.gate().enter().unwrap());
     let Progress::Over(over) = serving.begin(NOW, BOUND).poll(NOW + BOUND) else {
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_target_that_comes_back_takes_work_again() {
+fn a_reopened_gate_admits_requests() {
     let drain = Drain::<Serving>::serving().begin(NOW, BOUND).reopen();
     assert!(drain.gate().enter().is_ok());
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -6,11 +6,11 @@
 //! every hop before it.
 
 pub use self::budget::Budget;
-pub use self::tries::Hop;
-pub use self::tries::Next;
-pub use self::tries::Tries;
+pub use self::retry_state::Hop;
+pub use self::retry_state::Next;
+pub use self::retry_state::Tries;
 
 mod budget;
+mod retry_state;
 #[cfg(test)]
 mod tests;
-mod tries;
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -6,13 +6,13 @@
 use crate::RetryLimits;
 
 /// What a retry costs.
-const RETRY: u64 = 1_000;
+const RETRY_COST: u64 = 1_000;
 /// What it costs to go to another endpoint after one that was the wrong one.
-const MOVE: u64 = 100;
+const REROUTE_COST: u64 = 100;
 /// What is there at the start, so that a service with few calls can retry.
-const START: u64 = 10 * RETRY;
+const INITIAL_BALANCE: u64 = 10 * RETRY_COST;
 /// The most that is saved up.
-const MAX: u64 = 100 * RETRY;
+const MAX_BALANCE: u64 = 100 * RETRY_COST;
 
 /// The retries that one service still has on this node.
 ///
@@ -30,51 +30,51 @@
 #[derive(Debug)]
 pub struct Budget {
     retries: AtomicU64,
-    moves: AtomicU64,
+    reroutes: AtomicU64,
 }
 
 impl Budget {
     /// The budget of a service without calls so far.
     pub const fn new() -> Budget {
         Budget {
-            retries: AtomicU64::new(START),
-            moves: AtomicU64::new(START),
+            retries: AtomicU64::new(INITIAL_BALANCE),
+            reroutes: AtomicU64::new(INITIAL_BALANCE),
         }
     }
 
     /// Pays in for one first try, by the service's limits.
-    pub(super) fn pay_in(&self, limits: &RetryLimits) {
-        let share = RETRY * u64::from(limits.budget_percent) / 100;
-        let most = RETRY * u64::from(limits.burst);
-        pay(&self.retries, share, most.min(MAX));
-        pay(&self.moves, share, MAX);
+    pub(super) fn credit_first_try(&self, limits: &RetryLimits) {
+        let amount = RETRY_COST * u64::from(limits.budget_percent) / 100;
+        let limit = RETRY_COST * u64::from(limits.burst);
+        credit(&self.retries, amount, limit.min(MAX_BALANCE));
+        credit(&self.reroutes, amount, MAX_BALANCE);
     }
 
     /// Takes out a retry, if there is one.
-    pub(super) fn take_retry(&self) -> bool {
-        take(&self.retries, RETRY)
+    pub(super) fn spend_retry(&self) -> bool {
+        debit(&self.retries, RETRY_COST)
     }
 
     /// Takes out a move to another endpoint, if there is one.
-    pub(super) fn take_move(&self) -> bool {
-        take(&self.moves, MOVE)
+    pub(super) fn spend_reroute(&self) -> bool {
+        debit(&self.reroutes, REROUTE_COST)
     }
 }
 
-fn pay(account: &AtomicU64, share: u64, most: u64) {
+fn credit(account: &AtomicU64, amount: u64, limit: u64) {
     let held = account.load(Ordering::Relaxed);
     // Most calls meet a full account, which takes no write that the traffic
     // threads would contend for.
-    if held == most {
+    if held == limit {
         return;
     }
     // Threads that pay in at once may pass the mark by their shares; the least
     // of both is written, so that the bound holds.
-    let more = |held: u64| Some((held + share).min(most));
+    let more = |held: u64| Some((held + amount).min(limit));
     let _ = account.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more);
 }
 
-fn take(account: &AtomicU64, cost: u64) -> bool {
+fn debit(account: &AtomicU64, cost: u64) -> bool {
     let less = |held: u64| held.checked_sub(cost);
     account
         .fetch_update(Ordering::Relaxed, Ordering::Relaxed, less)
--- a/crates/core/src/retry/tries.rs
+++ b/crates/core/src/retry/retry_state.rs
@@ -12,12 +12,12 @@
 
 /// How often a request may go to another endpoint because those before were
 /// the wrong ones.
-const MAX_MOVES: u32 = 4;
+const MAX_REROUTES: u32 = 4;
 
 /// How often a request may ask another endpoint's node for room because the one
 /// before had none. Nothing reached a target, so that it costs no target
 /// anything; under an overload of the whole service the next is as full.
-const MAX_ASKS: u32 = 2;
+const MAX_CAPACITY_RETRIES: u32 = 2;
 
 /// Where in a chain of calls a node stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -51,13 +51,13 @@
     idempotent: bool,
     deadline: Deadline,
     attempt: Option<Attempt>,
-    tries: u32,
-    moves: u32,
-    asks: u32,
+    retries_left: u32,
+    reroutes_left: u32,
+    capacity_retries_left: u32,
     /// Until when the answer is worth most; nobody is asked for room after it.
-    aim: Option<Tick>,
+    soft_deadline: Option<Tick>,
     /// The first try that may have run.
-    lost: Option<Loss>,
+    first_loss: Option<Loss>,
 }
 
 impl Tries {
@@ -69,24 +69,24 @@
         deadline: Deadline,
         budget: &Budget,
     ) -> Tries {
-        budget.pay_in(limits);
+        budget.credit_first_try(limits);
         Tries {
             hop,
             idempotent,
             deadline,
             attempt: None,
-            tries: limits.attempts.saturating_sub(1),
-            moves: MAX_MOVES,
-            asks: MAX_ASKS,
-            aim: None,
-            lost: None,
+            retries_left: limits.attempts.saturating_sub(1),
+            reroutes_left: MAX_REROUTES,
+            capacity_retries_left: MAX_CAPACITY_RETRIES,
+            soft_deadline: None,
+            first_loss: None,
         }
     }
 
     /// The same for a request whose answer is worth most until `aim`.
     #[must_use]
-    pub const fn until(mut self, aim: Option<Tick>) -> Tries {
-        self.aim = aim;
+    pub const fn until(mut self, soft_deadline: Option<Tick>) -> Tries {
+        self.soft_deadline = soft_deadline;
         self
     }
 
@@ -99,20 +99,23 @@
 
     /// Whether another endpoint may be asked for room after the next one.
     pub fn may_ask_more(&self, now: Tick) -> bool {
-        let in_time = self.aim.is_none_or(|aim| now < aim);
-        self.hop == Hop::First && self.attempt.is_none() && self.asks > 0 && in_time
+        let in_time = self.soft_deadline.is_none_or(|deadline| now < deadline);
+        self.hop == Hop::First
+            && self.attempt.is_none()
+            && self.capacity_retries_left > 0
+            && in_time
     }
 
     /// What to do after `failure`.
     pub fn after(&mut self, now: Tick, failure: Failure, budget: &Budget) -> Next {
         if let Failure::Lost(loss) = failure {
-            self.lost.get_or_insert(loss);
+            self.first_loss.get_or_insert(loss);
         }
         let again = self.hop == Hop::First
             && !self.deadline.passed(now)
-            && self.may_repeat(&failure)
-            && self.is_worth_asking(now, &failure)
-            && self.can_pay(&failure, budget);
+            && self.is_safe_to_retry(&failure)
+            && self.has_time_for_capacity(now, &failure)
+            && self.spend(&failure, budget);
         if again {
             return Next::Again;
         }
@@ -126,7 +129,7 @@
     /// would tell the caller that nothing ran. The same goes for a refused
     /// repeat, whose earlier attempt may have run.
     pub fn final_failure(&self, failure: Failure) -> Failure {
-        if let Some(loss) = self.lost {
+        if let Some(loss) = self.first_loss {
             return Failure::Lost(loss);
         }
         match (failure, self.attempt) {
@@ -137,7 +140,7 @@
         }
     }
 
-    fn may_repeat(&self, failure: &Failure) -> bool {
+    fn is_safe_to_retry(&self, failure: &Failure) -> bool {
         match failure {
             Failure::Refused(refusal) => {
                 refusal.outcome() == Outcome::NotRun && !self.is_final(refusal.reason())
@@ -152,30 +155,34 @@
     /// A request that has waited in vain until its answer is late would wait as
     /// long again at the next, and its caller hears of it when it has no time
     /// left to do anything else.
-    fn is_worth_asking(&self, now: Tick, failure: &Failure) -> bool {
+    fn has_time_for_capacity(&self, now: Tick, failure: &Failure) -> bool {
         let Failure::Refused(refusal) = failure else {
             return true;
         };
-        let full = refusal.reason().is_overload() && !refusal.reason().is_of_target();
-        !full || self.aim.is_none_or(|aim| now < aim)
+        let is_full = refusal.reason().is_overload() && !refusal.reason().is_of_target();
+        !is_full || self.soft_deadline.is_none_or(|deadline| now < deadline)
     }
 
-    fn can_pay(&mut self, failure: &Failure, budget: &Budget) -> bool {
+    fn spend(&mut self, failure: &Failure, budget: &Budget) -> bool {
         // A wrong endpoint says nothing of the load of the service, and no
         // target has spent anything on the request: it costs less, and is
         // bounded on its own, so that a drain doesn't use up the retries.
         // The same goes for a node without room, which kept the request from
         // its target.
-        let refused = match failure {
+        let reason = match failure {
             Failure::Refused(refusal) => Some(refusal.reason()),
             Failure::Lost(_) => None,
         };
-        let (left, paid): (&mut u32, fn(&Budget) -> bool) = match refused {
-            Some(reason) if reason.is_misplaced() => (&mut self.moves, Budget::take_move),
-            Some(reason) if !reason.is_of_target() => (&mut self.asks, Budget::take_move),
-            _ => (&mut self.tries, Budget::take_retry),
+        let (left, spend): (&mut u32, fn(&Budget) -> bool) = match reason {
+            Some(reason) if reason.is_misplaced() => {
+                (&mut self.reroutes_left, Budget::spend_reroute)
+            }
+            Some(reason) if !reason.is_of_target() => {
+                (&mut self.capacity_retries_left, Budget::spend_reroute)
+            }
+            _ => (&mut self.retries_left, Budget::spend_retry),
         };
-        if *left == 0 || !paid(budget) {
+        if *left == 0 || !spend(budget) {
             return false;
         }
         *left -= 1;
--- a/crates/core/src/retry/tests.rs
+++ b/crates/core/src/retry/tests.rs
@@ -18,7 +18,7 @@
 use crate::Tick;
 use crate::Tries;
 
-mod drawn;
+mod properties;
 
 const NOW: Tick = Tick::from_millis(1_000);
 const LIMITS: RetryLimits = RetryLimits {
@@ -57,14 +57,14 @@
 #[case(Case { hop: Hop::First, idempotent: true, failure: refused(Reason::DeadlinePassed), again: false })]
 #[case(Case { hop: Hop::Later, idempotent: true, failure: lost(), again: false })]
 #[case(Case { hop: Hop::Later, idempotent: false, failure: refused(Reason::QueueFull), again: false })]
-fn only_the_first_hop_tries_what_may_run_again(#[case] case: Case) {
+fn only_the_first_hop_retries_what_may_run_again(#[case] case: Case) {
     let budget = Budget::new();
     let next = tries(case.hop, case.idempotent, &budget).after(NOW, case.failure, &budget);
     assert_eq!(next == Next::Again, case.again, "{case:?}");
 }
 
 #[test]
-fn nothing_is_tried_after_the_deadline_or_the_last_attempt() {
+fn nothing_is_retried_after_the_deadline_or_the_last_attempt() {
     let budget = Budget::new();
     let late = NOW + Duration::from_secs(1);
     let stop = tries(Hop::First, true, &budget).after(late, lost(), &budget);
@@ -76,7 +76,7 @@
 
 /// Guards against retries that double the load of a service that is down.
 #[test]
-fn a_budget_bounds_the_retries_of_a_service() {
+fn the_budget_bounds_the_retries_of_a_service() {
     let budget = Budget::new();
     let again = |_: &u32| {
         let mut tries = tries(Hop::First, true, &budget);
@@ -88,12 +88,12 @@
 
 /// Guards against a retry budget that refusals of leaving endpoints use up.
 #[test]
-fn moving_on_from_a_leaving_endpoint_is_cheap_and_bounded() {
+fn rerouting_from_a_draining_endpoint_is_cheap_and_bounded() {
     let budget = Budget::new();
     let mut tries = tries(Hop::First, false, &budget);
     let draining = refused(Reason::Draining);
-    let moves = (0..9).take_while(|_| tries.after(NOW, draining, &budget) == Next::Again);
-    assert_eq!(moves.count(), 4);
+    let reroutes = (0..9).take_while(|_| tries.after(NOW, draining, &budget) == Next::Again);
+    assert_eq!(reroutes.count(), 4);
     assert_eq!(
         tries.after(NOW, refused(Reason::QueueFull), &budget),
         Next::Again
@@ -101,7 +101,7 @@
 }
 
 #[derive(Debug)]
-struct Told {
+struct Reported {
     attempt: Attempt,
     reason: Reason,
     outcome: Outcome,
@@ -109,12 +109,12 @@
 
 /// Guards against a repeat that is called not run while its first attempt may have run.
 #[rstest]
-#[case(Told { attempt: Attempt::MayRepeat, reason: Reason::Draining, outcome: Outcome::Unknown })]
-#[case(Told { attempt: Attempt::MayRepeat, reason: Reason::Connect, outcome: Outcome::Unknown })]
-#[case(Told { attempt: Attempt::MayRepeat, reason: Reason::NoEndpoint, outcome: Outcome::Unknown })]
-#[case(Told { attempt: Attempt::MayRepeat, reason: Reason::WindowFull, outcome: Outcome::NotRun })]
-#[case(Told { attempt: Attempt::First, reason: Reason::Draining, outcome: Outcome::NotRun })]
-fn a_repeat_is_told_not_run_only_with_proof(#[case] case: Told) {
+#[case(Reported { attempt: Attempt::MayRepeat, reason: Reason::Draining, outcome: Outcome::Unknown })]
+#[case(Reported { attempt: Attempt::MayRepeat, reason: Reason::Connect, outcome: Outcome::Unknown })]
+#[case(Reported { attempt: Attempt::MayRepeat, reason: Reason::NoEndpoint, outcome: Outcome::Unknown })]
+#[case(Reported { attempt: Attempt::MayRepeat, reason: Reason::WindowFull, outcome: Outcome::NotRun })]
+#[case(Reported { attempt: Attempt::First, reason: Reason::Draining, outcome: Outcome::NotRun })]
+fn a_repeat_is_reported_not_run_only_with_proof(#[case] case: Reported) {
     let budget = Budget::new();
     let mut tries = tries(Hop::First, false, &budget).keyed(case.attempt);
     let Next::Stop(failure) = tries.after(NOW, refused(case.reason), &budget) else {
@@ -125,19 +125,19 @@
 
 /// Guards against retries saved up by many nodes and spent at once.
 #[test]
-fn what_is_saved_up_is_bounded_by_the_service_s_limits() {
+fn the_balance_is_bounded_by_the_limits_of_the_service() {
     let limits = RetryLimits { burst: 2, ..LIMITS };
     let budget = Budget::new();
     let deadline = Deadline::within(NOW, Duration::from_secs(1));
-    let mut again = 0;
+    let mut retries = 0;
     for n in 0..1_020 {
         let mut tries = Tries::first(Hop::First, true, &limits, deadline, &budget);
         if n >= 1_000 && tries.after(NOW, lost(), &budget) == Next::Again {
-            again += 1;
+            retries += 1;
         }
     }
     assert_eq!(
-        again, 3,
+        retries, 3,
         "two that were saved, and a tenth of the calls since"
     );
 }
--- a/crates/core/src/retry/tests/drawn.rs
+++ b/crates/core/src/retry/tests/properties.rs
@@ -26,38 +26,38 @@
 use crate::Tries;
 
 /// How long a request may take.
-const ALLOWED: Duration = Duration::from_secs(1);
+const TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Tries of one request that may not have reached a target, besides those that
 /// did: moves away from wrong endpoints, and asks for room.
-const MOST_BESIDES: usize = 4 + 2;
+const MAX_RETRIES_WITHOUT_TARGET: usize = 4 + 2;
 
 /// One request and how its tries fail, one after the other.
 #[derive(Debug, Clone)]
-struct Drawn {
+struct RandomRequest {
     hop: Hop,
     idempotent: bool,
     failures: Vec<(Failure, u64)>,
 }
 
-impl Drawn {
+impl RandomRequest {
     /// Plays the failures until one ends the request. Gives the tries that
     /// followed each failure, and what the caller is told.
-    fn play(&self, budget: &Budget) -> (Vec<Failure>, Failure) {
-        let deadline = Deadline::within(NOW, ALLOWED);
+    fn run(&self, budget: &Budget) -> (Vec<Failure>, Failure) {
+        let deadline = Deadline::within(NOW, TIMEOUT);
         let mut tries = Tries::first(self.hop, self.idempotent, &LIMITS, deadline, budget);
-        let mut again = Vec::new();
+        let mut retried = Vec::new();
         let mut now: Tick = NOW;
         for (failure, took_ms) in &self.failures {
             now = now + Duration::from_millis(*took_ms);
             match tries.after(now, *failure, budget) {
-                Next::Again => again.push(*failure),
-                Next::Stop(told) => return (again, told),
+                Next::Again => retried.push(*failure),
+                Next::Stop(reported) => return (retried, reported),
             }
         }
         // Whatever it is tried on, its time is over at last.
-        match tries.after(NOW + ALLOWED, lost(), budget) {
-            Next::Stop(told) => (again, told),
+        match tries.after(NOW + TIMEOUT, lost(), budget) {
+            Next::Stop(reported) => (retried, reported),
             Next::Again => panic!("tried again after its deadline"),
         }
     }
@@ -82,10 +82,10 @@
     ]
 }
 
-fn request() -> impl Strategy<Value = Drawn> {
+fn request() -> impl Strategy<Value = RandomRequest> {
     let hop = prop_oneof![Just(Hop::First), Just(Hop::Later)];
     let failures = vec((failure(), 0_u64..400), 1..12);
-    (hop, any::<bool>(), failures).prop_map(|(hop, idempotent, failures)| Drawn {
+    (hop, any::<bool>(), failures).prop_map(|(hop, idempotent, failures)| RandomRequest {
         hop,
         idempotent,
         failures,
@@ -109,38 +109,38 @@
 
     /// Guards against retries that double what may have run, and false refusals.
     #[test]
-    fn nothing_runs_twice_and_nobody_is_told_falsely(drawn in request()) {
-        let (again, told) = drawn.play(&Budget::new());
-        assert!(drawn.hop == Hop::First || again.is_empty());
-        let lost_before = again.iter().any(|it| matches!(it, Failure::Lost(_)));
-        assert!(!lost_before || drawn.idempotent);
-        if let Failure::Refused(refusal) = told {
+    fn nothing_runs_twice_and_no_refusal_is_false(case in request()) {
+        let (retried, reported) = case.run(&Budget::new());
+        assert!(case.hop == Hop::First || retried.is_empty());
+        let lost_before = retried.iter().any(|it| matches!(it, Failure::Lost(_)));
+        assert!(!lost_before || case.idempotent);
+        if let Failure::Refused(refusal) = reported {
             assert!(!lost_before || refusal.outcome() != Outcome::NotRun);
         }
-        let troubled = again.iter().filter(|it| reached_a_target(it)).count();
-        assert!(troubled < usize::try_from(LIMITS.attempts).unwrap());
-        assert!(again.len() - troubled <= MOST_BESIDES);
+        let reached = retried.iter().filter(|it| reached_a_target(it)).count();
+        assert!(reached < usize::try_from(LIMITS.attempts).unwrap());
+        assert!(retried.len() - reached <= MAX_RETRIES_WITHOUT_TARGET);
     }
 
     /// Guards against retries that double the load of a failing service.
     #[test]
-    fn a_failing_service_gets_a_tenth_more_where_naive_retries_double_it(
+    fn a_failing_service_gets_a_tenth_more_where_naive_retries_double_the_load(
         kinds in vec(any::<bool>(), 400..600),
     ) {
         let budget = Budget::new();
-        let calls = kinds.iter().map(|shed| Drawn {
+        let calls = kinds.iter().map(|shed| RandomRequest {
             hop: Hop::First,
             idempotent: true,
             failures: vec![(if *shed { refused(Reason::TargetShed) } else { lost() }, 1); 3],
         });
         let (mut sent, mut naive) = (0, 0);
         for call in calls {
-            let (again, _) = call.play(&budget);
-            sent += 1 + again.len();
+            let (retried, _) = call.run(&budget);
+            sent += 1 + retried.len();
             naive += call.naive_sends();
         }
-        let saved_up = 10;
-        assert!(sent <= kinds.len() * 110 / 100 + saved_up + 1, "{sent}");
+        let initial_balance = 10;
+        assert!(sent <= kinds.len() * 110 / 100 + initial_balance + 1, "{sent}");
         assert_eq!(naive, 2 * kinds.len());
     }
 }
