--- a/crates/core/tests/at_most_once/fault.rs
+++ b/crates/core/tests/at_most_once/fault.rs
@@ -8,13 +8,13 @@
     /// Owners take their list to be in force without proof.
     LeaseIgnored,
     /// Owners take their keys as theirs for all time.
-    TenureIgnored,
+    OwnershipIgnored,
     /// Owners forget keys whose outcome is unknown.
-    LostForgotten,
+    UnknownOutcomeForgotten,
     /// Owners forget keys sooner than callers do.
     HoldTooShort,
     /// Callers vouch for every attempt as the first.
     EveryAttemptFirst,
     /// First hops hand on refusals of repeats as they are.
-    RepeatToldNotRun,
+    RepeatReportedNotRun,
 }
--- a/crates/core/tests/at_most_once/main.rs
+++ b/crates/core/tests/at_most_once/main.rs
@@ -25,7 +25,7 @@
 mod world;
 
 /// Steps of a walk.
-const STEPS: usize = 120;
+const STEPS_PER_WALK: usize = 120;
 /// Walks of a test.
 const WALKS: u64 = 400;
 
@@ -58,7 +58,7 @@
     }
 
     fn apply(mut world: World, (): &(), step: Step) -> World {
-        world.take(step);
+        world.apply(step);
         world
     }
 
@@ -83,8 +83,8 @@
 fn walk(seed: u64, fault: Fault) -> World {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(fault);
-    for _ in 0..STEPS {
-        world.take(Step::from_bits(rng.next_u64()));
+    for _ in 0..STEPS_PER_WALK {
+        world.apply(Step::from_bits(rng.next_u64()));
     }
     world
 }
@@ -92,12 +92,12 @@
 /// Guards against a check that passes with a rule left out.
 #[rstest]
 #[case(Fault::LeaseIgnored)]
-#[case(Fault::TenureIgnored)]
-#[case(Fault::LostForgotten)]
+#[case(Fault::OwnershipIgnored)]
+#[case(Fault::UnknownOutcomeForgotten)]
 #[case(Fault::HoldTooShort)]
 #[case(Fault::EveryAttemptFirst)]
-#[case(Fault::RepeatToldNotRun)]
-fn a_rule_left_out_is_found(#[case] fault: Fault) {
+#[case(Fault::RepeatReportedNotRun)]
+fn an_omitted_rule_is_detected(#[case] fault: Fault) {
     let broken = |seed: &u64| !walk(*seed, fault).finish().is_empty();
     let found = (0..20 * WALKS).find(broken);
     assert!(found.is_some(), "{fault:?} goes unseen");
@@ -105,13 +105,13 @@
 
 // The promise would also hold if nothing ever ran.
 #[test]
-fn everything_runs_while_nothing_fails() {
+fn every_operation_runs_without_faults() {
     let mut world = World::new(Fault::None);
     for i in 0..40 {
-        world.take(Step::Ask(i));
-        world.take(Step::Deliver(0));
-        world.take(Step::HandOver(0));
-        world.take(Step::Answer(0, true));
+        world.apply(Step::NewOperation(i));
+        world.apply(Step::Deliver(0));
+        world.apply(Step::HandOver(0));
+        world.apply(Step::Answer(0, true));
     }
     assert_eq!((world.operations(), world.runs()), (40, 40));
     assert_eq!(world.finish(), Vec::<String>::new());
@@ -119,7 +119,7 @@
 
 // Longer than the drawn runs above, and the same ones at every commit.
 #[test]
-fn fixed_walks_keep_the_promise() {
+fn fixed_walks_have_no_violation() {
     for seed in (0..WALKS).chain([5_314]) {
         assert_eq!(walk(seed, Fault::None).finish(), Vec::<String>::new());
     }
--- a/crates/core/tests/at_most_once/node.rs
+++ b/crates/core/tests/at_most_once/node.rs
@@ -19,7 +19,7 @@
 
 /// What a node knows of the newest list.
 #[derive(Debug, Clone)]
-pub(crate) struct Known {
+pub(crate) struct KnownList {
     pub(crate) list: InstanceList,
     pub(crate) proved: (Revision, Tick),
 }
@@ -28,18 +28,18 @@
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) id: InstanceId,
-    pub(crate) cut: bool,
+    pub(crate) partitioned: bool,
     pub(crate) paused: bool,
-    pub(crate) known: Known,
+    pub(crate) known: KnownList,
     pub(crate) window: RepeatWindow,
 }
 
 impl Node {
-    pub(crate) fn new(id: InstanceId, known: Known, fault: Fault) -> Node {
+    pub(crate) fn new(id: InstanceId, known: KnownList, fault: Fault) -> Node {
         let window = window(&id, fault);
         Node {
             id,
-            cut: false,
+            partitioned: false,
             paused: false,
             known,
             window,
@@ -50,20 +50,20 @@
     pub(crate) fn restart(&mut self, now: Tick, fault: Fault) {
         self.paused = false;
         self.window = window(&self.id, fault);
-        self.learn(now, &self.known.clone(), fault);
+        self.merge(now, &self.known.clone(), fault);
     }
 
     /// Takes over what the source or another node says.
-    pub(crate) fn learn(&mut self, now: Tick, heard: &Known, fault: Fault) {
-        let revision = heard.list.version().revision();
+    pub(crate) fn merge(&mut self, now: Tick, received: &KnownList, fault: Fault) {
+        let revision = received.list.version().revision();
         if revision > self.known.list.version().revision() {
-            self.known = heard.clone();
+            self.known = received.clone();
         }
-        if heard.proved > self.known.proved {
-            self.known.proved = heard.proved;
+        if received.proved > self.known.proved {
+            self.known.proved = received.proved;
         }
         let since = match fault {
-            Fault::TenureIgnored => Tick::ZERO,
+            Fault::OwnershipIgnored => Tick::ZERO,
             _ => now,
         };
         self.window.apply_list(since, &self.known.list);
--- a/crates/core/tests/at_most_once/world.rs
+++ b/crates/core/tests/at_most_once/world.rs
@@ -20,13 +20,13 @@
 use self::setup::id;
 use self::setup::list;
 use super::fault::Fault;
-use super::node::Known;
+use super::node::KnownList;
 use super::node::Node;
 use super::step::Step;
 
 mod calls;
+mod outcomes;
 mod setup;
-mod told;
 
 const NODES: usize = 4;
 /// All nodes, a bit each.
@@ -77,7 +77,7 @@
     pub(crate) fn new(fault: Fault) -> World {
         let source = list(1, ALL);
         let now = Tick::from_millis(1_000);
-        let known = Known {
+        let known = KnownList {
             list: source.clone(),
             proved: (source.version().revision(), now),
         };
@@ -99,7 +99,7 @@
             history: History::new(),
             runs: 0,
         };
-        world.rest(200_000);
+        world.wait_in_sync(200_000);
         world
     }
 
@@ -113,24 +113,24 @@
 
     /// Every violation of the run.
     pub(crate) fn finish(self) -> Vec<String> {
-        let ours = [Promise::AtMostOnce, Promise::TrueRefusal];
+        let checked = [Promise::AtMostOnce, Promise::TrueRefusal];
         let found = check(&self.history, &Bounds::default());
-        let found = found.iter().filter(|v| ours.contains(&v.promise()));
-        let told = found.map(ToString::to_string);
-        told.chain(self.false_not_run).collect()
+        let found = found.iter().filter(|v| checked.contains(&v.promise()));
+        let violations = found.map(ToString::to_string);
+        violations.chain(self.false_not_run).collect()
     }
 
-    pub(crate) fn take(&mut self, step: Step) {
+    pub(crate) fn apply(&mut self, step: Step) {
         match step {
             Step::Wait(ms) => self.now = self.now + Duration::from_millis(ms),
-            Step::Rest(ms) => self.rest(ms),
+            Step::WaitInSync(ms) => self.wait_in_sync(ms),
             Step::Publish(i) => self.publish(i % NODES),
             Step::Read(i) => self.read(i % NODES),
-            Step::Tell(i, j) => self.tell(i % NODES, j % NODES),
-            Step::Cut(i, cut) => self.nodes[i % NODES].cut = cut,
+            Step::Gossip(i, j) => self.gossip(i % NODES, j % NODES),
+            Step::Partition(i, partitioned) => self.nodes[i % NODES].partitioned = partitioned,
             Step::Pause(i, paused) => self.nodes[i % NODES].paused = paused,
             Step::Restart(i) => self.restart(i % NODES),
-            Step::Ask(i) => self.ask(i % NODES),
+            Step::NewOperation(i) => self.start_operation(i % NODES),
             Step::Repeat(op, i) => self.repeat(op, i % NODES),
             Step::Deliver(i) => self.deliver(i),
             Step::HandOver(i) => self.hand_over(i),
@@ -144,7 +144,7 @@
         }
     }
 
-    fn rest(&mut self, ms: u64) {
+    fn wait_in_sync(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while self.now < end {
             self.now = self.now + Duration::from_millis(2_500);
@@ -159,37 +159,40 @@
     }
 
     fn read(&mut self, i: usize) {
-        if self.nodes[i].cut || self.nodes[i].paused {
+        if self.nodes[i].partitioned || self.nodes[i].paused {
             return;
         }
-        let heard = Known {
+        let received = KnownList {
             list: self.source.clone(),
             proved: (self.source.version().revision(), self.now),
         };
-        self.nodes[i].learn(self.now, &heard, self.fault);
+        self.nodes[i].merge(self.now, &received, self.fault);
     }
 
-    fn tell(&mut self, from: usize, to: usize) {
-        if from == to || !self.reach(from, to) {
+    fn gossip(&mut self, from: usize, to: usize) {
+        if from == to || !self.can_reach(from, to) {
             return;
         }
-        let heard = self.nodes[from].known.clone();
-        self.nodes[to].learn(self.now, &heard, self.fault);
+        let received = self.nodes[from].known.clone();
+        self.nodes[to].merge(self.now, &received, self.fault);
     }
 
     /// Whether two nodes run and stand on the same side.
-    fn reach(&self, a: usize, b: usize) -> bool {
+    fn can_reach(&self, a: usize, b: usize) -> bool {
         let (a, b) = (&self.nodes[a], &self.nodes[b]);
-        a.cut == b.cut && !a.paused && !b.paused
+        a.partitioned == b.partitioned && !a.paused && !b.paused
     }
 
     /// Connections end with the process, and what it ran has no known outcome.
     fn restart(&mut self, i: usize) {
-        let gone = |sent: &Sent| sent.owner == i || sent.hop == i;
-        let lost: Vec<_> = self.sent.extract_if(.., |sent| gone(sent)).collect();
-        let open: Vec<_> = self.open.extract_if(.., |open| gone(&open.sent)).collect();
-        for sent in lost.iter().chain(open.iter().map(|open| &open.sent)) {
-            self.tell_unknown(sent.request);
+        let is_affected = |sent: &Sent| sent.owner == i || sent.hop == i;
+        let in_flight: Vec<_> = self.sent.extract_if(.., |sent| is_affected(sent)).collect();
+        let open: Vec<_> = self
+            .open
+            .extract_if(.., |open| is_affected(&open.sent))
+            .collect();
+        for sent in in_flight.iter().chain(open.iter().map(|open| &open.sent)) {
+            self.record_unknown(sent.request);
         }
         drop(open);
         self.nodes[i].restart(self.now, self.fault);
--- a/crates/core/tests/at_most_once/world/calls.rs
+++ b/crates/core/tests/at_most_once/world/calls.rs
@@ -27,7 +27,7 @@
 use crate::node::LEASE;
 
 impl World {
-    pub(super) fn ask(&mut self, hop: usize) {
+    pub(super) fn start_operation(&mut self, hop: usize) {
         let operation = OperationId(self.operations.len() as u64);
         self.operations.push(Operation {
             first_at: self.now,
@@ -45,8 +45,8 @@
         let Some(op) = newest.checked_sub(1 + op % newest.clamp(1, 8)) else {
             return;
         };
-        let held = &self.operations[op];
-        if held.ended || self.now.since(held.first_at) > HOLD {
+        let pending = &self.operations[op];
+        if pending.ended || self.now.since(pending.first_at) > HOLD {
             return;
         }
         let attempt = match self.fault {
@@ -69,7 +69,7 @@
         };
         self.history.record(self.now, event);
         if self.nodes[hop].paused {
-            return self.tell_unknown(request);
+            return self.record_unknown(request);
         }
         match self.owner(hop, operation) {
             Ok(owner) => self.sent.push(Sent {
@@ -105,12 +105,12 @@
         let Some(i) = i.checked_rem(self.sent.len()) else {
             return;
         };
-        if !self.reach(self.sent[i].hop, self.sent[i].owner) {
+        if !self.can_reach(self.sent[i].hop, self.sent[i].owner) {
             return;
         }
         let sent = self.sent.swap_remove(i);
         if self.now.since(sent.at) > LEASE {
-            return self.tell_unknown(sent.request);
+            return self.record_unknown(sent.request);
         }
         let key = key(self.requests[&sent.request]);
         let window = &self.nodes[sent.owner].window;
@@ -120,7 +120,7 @@
                 running,
                 handed_over: false,
             }),
-            Begin::Answer(_) => self.tell_answer(sent.request),
+            Begin::Answer(_) => self.record_answer(sent.request),
             Begin::Refuse(refusal) => self.refuse(sent.request, sent.attempt, refusal),
         }
     }
@@ -159,8 +159,8 @@
         let open = self.open.swap_remove(i);
         if open.sent.request.0.is_multiple_of(3) {
             // The target broke off: nothing is known.
-            self.lose(open.running);
-            return self.tell_unknown(open.sent.request);
+            self.mark_unknown(open.running);
+            return self.record_unknown(open.sent.request);
         }
         let answer = StoredAnswer {
             status: 200,
@@ -168,21 +168,21 @@
             body: Vec::new(),
         };
         open.running.done(self.now, answer);
-        if arrives && self.reach(open.sent.hop, open.sent.owner) {
-            self.tell_answer(open.sent.request);
+        if arrives && self.can_reach(open.sent.hop, open.sent.owner) {
+            self.record_answer(open.sent.request);
         } else {
-            self.tell_unknown(open.sent.request);
+            self.record_unknown(open.sent.request);
         }
     }
 
-    pub(super) fn lose(&self, running: Running) {
-        let lost = Loss::new(
+    pub(super) fn mark_unknown(&self, running: Running) {
+        let loss = Loss::new(
             sassafrasspool_core::Step::Forward,
             LossCause::ConnectionLost,
         );
-        assert_eq!(lost.outcome(), Outcome::Unknown);
+        assert_eq!(loss.outcome(), Outcome::Unknown);
         match self.fault {
-            Fault::LostForgotten => {
+            Fault::UnknownOutcomeForgotten => {
                 let step = sassafrasspool_core::Step::Forward;
                 let reason = sassafrasspool_core::Reason::Connect;
                 let _ = running.refused(Refusal::not_run(step, reason));
--- a/crates/core/tests/at_most_once/world/told.rs
+++ b/crates/core/tests/at_most_once/world/outcomes.rs
@@ -35,29 +35,29 @@
             panic!("the deadline has passed");
         };
         let outcome = match (self.fault, failure) {
-            (Fault::RepeatToldNotRun, Failure::Refused(_)) => refusal.outcome(),
+            (Fault::RepeatReportedNotRun, Failure::Refused(_)) => refusal.outcome(),
             (_, failure) => failure.outcome(),
         };
         match outcome {
-            Outcome::NotRun => self.tell_not_run(request),
-            Outcome::Unknown => self.tell_unknown(request),
+            Outcome::NotRun => self.record_not_run(request),
+            Outcome::Unknown => self.record_unknown(request),
         }
     }
 
-    pub(super) fn tell_not_run(&mut self, request: RequestId) {
+    pub(super) fn record_not_run(&mut self, request: RequestId) {
         if self.sent_after_run.contains(&request) {
-            let told = format!("{request} was told not run, though an earlier one ran");
-            self.false_not_run.push(told);
+            let violation = format!("{request} was told not run, though an earlier one ran");
+            self.false_not_run.push(violation);
         }
         self.history
             .record(self.now, Event::RefusedNotRun { request });
     }
 
-    pub(super) fn tell_unknown(&mut self, request: RequestId) {
+    pub(super) fn record_unknown(&mut self, request: RequestId) {
         self.history.record(self.now, Event::Unknown { request });
     }
 
-    pub(super) fn tell_answer(&mut self, request: RequestId) {
+    pub(super) fn record_answer(&mut self, request: RequestId) {
         let operation = self.requests[&request];
         self.operations[operation.0 as usize].ended = true;
         let event = Event::Answered {
