--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -1,22 +1,22 @@
 /*!
-Judging a recorded run.
+Checks a recorded run against the guarantees of the system.
 
-While a fleet runs, its nodes, callers and targets record what happened as
+While a fleet runs, its nodes, callers and targets record what happens as
 typed [`Event`]s. [`check`] reads the whole record afterwards and returns every
-[`Violation`] of what must always hold. It knows nothing of how the decisions
-are made, so that a fault in them can't hide itself here.
+[`Violation`] of a guarantee. The checker shares no logic with the code that
+makes the decisions, so that a fault in that code can't hide itself here.
 
-| promise | what breaks it |
+| guarantee | violated if |
 |---|---|
-| [`Promise::NoStepBack`] | a node puts an older version in force than it had, another content of the same revision, or serves a request by one |
-| [`Promise::NoDangling`] | a snapshot in force has a route or endpoint whose service it lacks |
-| [`Promise::AllOrNothing`] | a bad or unpublished version is in force, or content differs from what the same versions are elsewhere |
-| [`Promise::WholeAnswer`] | an answer is another request's, is cut short, comes twice, or never |
+| [`Promise::NoStepBack`] | a node applies a version older than its current one or other content of the same revision, or routes a request by such a version |
+| [`Promise::NoDangling`] | a snapshot in force has a route or endpoint whose service is missing from it |
+| [`Promise::AllOrNothing`] | an invalid or unpublished version is in force, or the content of a pair of versions differs between snapshots |
+| [`Promise::WholeAnswer`] | an answer belongs to another request, is incomplete, arrives twice or never |
 | [`Promise::TrueRefusal`] | a request refused as not run was run |
 | [`Promise::AtMostOnce`] | an operation that may not be repeated runs a second time |
-| [`Promise::LeavingRests`] | a target starts work longer than a bound after it began to leave |
-| [`Promise::GracefulStop`] | a planned stop ends with work in flight |
-| [`Promise::InForceSoon`] | a good version isn't in force on a reachable node within a bound |
+| [`Promise::LeavingRests`] | a target starts work later than a bound after it began to leave |
+| [`Promise::GracefulStop`] | a planned stop ends with requests in flight |
+| [`Promise::InForceSoon`] | a valid version isn't in force on a reachable node within a bound |
 
 # Example
 
--- a/crates/core/src/history/check.rs
+++ b/crates/core/src/history/check.rs
@@ -1,13 +1,13 @@
-//! Running every rule over a history.
+//! Runs every rule over a history.
 
 use super::Bounds;
 use super::History;
 use super::Violation;
 use super::rule;
 
-/// Every violation in a history, rule by rule.
+/// Returns every violation in a history, rule by rule.
 ///
-/// A history is judged as a finished run: a request without an end is lost.
+/// The run counts as finished: a request without an end is lost.
 pub fn check(history: &History, bounds: &Bounds) -> Vec<Violation> {
     let records = history.in_order();
     let mut found = Vec::new();
--- a/crates/core/src/history/event.rs
+++ b/crates/core/src/history/event.rs
@@ -1,4 +1,4 @@
-//! What can happen in a recorded run.
+//! Events of a recorded run.
 
 use std::sync::Arc;
 
@@ -9,117 +9,121 @@
 use crate::Stream;
 use crate::Version;
 
-/// One thing that happened, recorded by whoever saw it.
+/// One event, recorded by the process that observed it.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The platform published a version that binds.
+    /// The platform published a valid version, from which a snapshot can be
+    /// built.
     PublishedGood {
-        /// Which value was published.
+        /// The stream of the version.
         stream: Stream,
-        /// The version that it got.
+        /// The version.
         version: Version,
     },
-    /// The platform published a version that doesn't bind.
+    /// The platform published an invalid version, from which no snapshot can be
+    /// built.
     PublishedBad {
-        /// Which value was published.
+        /// The stream of the version.
         stream: Stream,
-        /// The version that it got.
+        /// The version.
         version: Version,
     },
-    /// The source went into an outage or began to serve frozen versions.
+    /// An outage of the source began, or it began to serve stale versions.
     SourceLost,
     /// The source serves the newest versions again.
     SourceBack,
-    /// A node stopped, was paused, or was parted from the others.
+    /// A node stopped, was paused, or was partitioned from the others.
     NodeLost {
-        /// Which node.
+        /// The node.
         node: InstanceId,
     },
-    /// A node runs and can be reached.
+    /// A node runs and is reachable.
     NodeBack {
-        /// Which node.
+        /// The node.
         node: InstanceId,
     },
-    /// A node put a snapshot in force; recorded after the swap.
+    /// A node put a snapshot in force. Recorded after the swap.
     InForce {
-        /// Which node.
+        /// The node.
         node: InstanceId,
-        /// What the snapshot holds.
+        /// The facts of the snapshot.
         held: Arc<Held>,
     },
-    /// A node pinned its snapshot for a request; timed before it was read.
+    /// A node pinned its snapshot for a request. Its time is taken before the
+    /// snapshot is read.
     Pinned {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which node.
+        /// The node.
         node: InstanceId,
-        /// The catalogue of the pinned snapshot.
+        /// The catalogue version of the pinned snapshot.
         catalogue: Version,
-        /// The instance list of the pinned snapshot.
+        /// The instance list version of the pinned snapshot.
         instances: Version,
     },
     /// A caller sent a request.
     Sent {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// What the caller wants done.
+        /// The operation that it is for.
         operation: OperationId,
-        /// Whether that may be done more than once.
+        /// Whether the operation may run more than once.
         repeatable: bool,
     },
-    /// A caller got an answer.
+    /// A caller received an answer.
     Answered {
         /// The request that the caller sent.
         request: RequestId,
-        /// The request that the answer belongs to by its content.
+        /// The request to which the answer belongs by its content.
         answers: RequestId,
         /// Whether the body was complete.
         whole: bool,
     },
-    /// A caller was told that its request was not run.
+    /// A caller received a refusal that says that its request was not run.
     RefusedNotRun {
-        /// Which request.
+        /// The request.
         request: RequestId,
     },
-    /// A caller was told, or saw, that its request may or may not have run.
+    /// A request ended without the caller knowing whether it ran: by such an
+    /// answer or, for example, by a broken connection.
     Unknown {
-        /// Which request.
+        /// The request.
         request: RequestId,
     },
-    /// A caller went away before it had an answer.
+    /// A caller disconnected before it received an answer.
     CallerLeft {
-        /// Which request.
+        /// The request.
         request: RequestId,
     },
     /// A target began to run a request.
     RunStarted {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which target.
+        /// The target.
         target: InstanceId,
     },
     /// A target finished a request and wrote its whole answer.
     RunFinished {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// Which target.
+        /// The target.
         target: InstanceId,
     },
     /// A planned stop of a target and its node began.
     DrainBegan {
-        /// Which target.
+        /// The target.
         target: InstanceId,
     },
     /// A planned stop ended.
     DrainEnded {
-        /// Which target.
+        /// The target.
         target: InstanceId,
-        /// How many requests its node says it cut.
+        /// The number of requests that its node reports as cut.
         cut: u64,
     },
-    /// A target died without a plan: its open runs end there.
+    /// A target ended unplanned, and with it the requests that it ran.
     Crashed {
-        /// Which target.
+        /// The target.
         target: InstanceId,
     },
 }
--- a/crates/core/src/history/ids.rs
+++ b/crates/core/src/history/ids.rs
@@ -1,8 +1,8 @@
-//! What identifies requests in a record.
+//! Ids of requests and operations in a record.
 
 use std::fmt;
 
-/// One request as its caller sent it; a caller that asks again uses another.
+/// One request as its caller sent it. A repeat has an id of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -12,7 +12,7 @@
     }
 }
 
-/// What a caller wants done, over all requests that it sends for it.
+/// One operation of a caller, common to all requests that it sends for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperationId(pub u64);
 
--- a/crates/core/src/history/promise.rs
+++ b/crates/core/src/history/promise.rs
@@ -1,32 +1,32 @@
-//! What must always hold.
+//! The guarantees of the system.
 
 use std::fmt;
 
-/// One of the nine promises that a run is judged by.
+/// One of the nine guarantees that a run is checked against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Promise {
-    /// No node returns to an older version than one that it has applied.
+    /// No node returns to a version older than one that it has applied.
     NoStepBack,
-    /// No route points at a service or endpoint that the node doesn't hold.
+    /// No route refers to a service or endpoint that is missing on the node.
     NoDangling,
-    /// A version is held whole or not at all, and a bad one not at all.
+    /// A version is in force whole or not at all, and an invalid one not at all.
     AllOrNothing,
-    /// A caller gets the whole answer to its own request, once.
+    /// A caller receives the whole answer to its own request, once.
     WholeAnswer,
-    /// What was refused as not run was not run.
+    /// A request refused as not run was not run.
     TrueRefusal,
-    /// What may not be repeated runs at most once.
+    /// An operation that may not be repeated runs at most once.
     AtMostOnce,
-    /// A leaving target soon receives no new work.
+    /// A leaving target starts no new work after a bound.
     LeavingRests,
-    /// A planned stop cuts nothing that is in flight.
+    /// A planned stop cuts no request in flight.
     GracefulStop,
-    /// A good version is soon in force everywhere.
+    /// A valid version is in force on all reachable nodes within a bound.
     InForceSoon,
 }
 
 impl Promise {
-    /// All promises.
+    /// All guarantees.
     pub const ALL: [Promise; 9] = [
         Promise::NoStepBack,
         Promise::NoDangling,
@@ -39,7 +39,7 @@
         Promise::InForceSoon,
     ];
 
-    /// The promise's name in reports.
+    /// The guarantee's name in reports.
     pub const fn as_str(self) -> &'static str {
         match self {
             Promise::NoStepBack => "no-step-back",
--- a/crates/core/src/history/record.rs
+++ b/crates/core/src/history/record.rs
@@ -3,7 +3,7 @@
 use super::Event;
 use crate::Tick;
 
-/// One event with its time on the run's one clock.
+/// One event with its time on the clock of the run.
 #[derive(Debug, Clone)]
 pub struct Record {
     /// When it happened.
@@ -12,7 +12,7 @@
     pub event: Event,
 }
 
-/// All that was recorded in a run.
+/// All records of a run.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     records: Vec<Record>,
@@ -24,27 +24,27 @@
         History::default()
     }
 
-    /// Adds an event; the order of adding only matters within one tick.
+    /// Adds an event. The order of calls only matters within one tick.
     pub fn record(&mut self, at: Tick, event: Event) {
         self.records.push(Record { at, event });
     }
 
-    /// Adds all records of another recorder on the same clock.
+    /// Adds all records of another history with the same clock.
     pub fn merge(&mut self, other: History) {
         self.records.extend(other.records);
     }
 
-    /// How many events there are.
+    /// The number of events.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no events.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The records in the order of their time.
+    /// The records ordered by time.
     pub fn in_order(&self) -> Vec<&Record> {
         let mut ordered: Vec<&Record> = self.records.iter().collect();
         ordered.sort_by_key(|record| record.at);
--- a/crates/core/src/history/rule.rs
+++ b/crates/core/src/history/rule.rs
@@ -1,4 +1,4 @@
-//! The rules: one for each promise, each on its own.
+//! The rules that check a history, one for each guarantee.
 
 use self::all_or_nothing::AllOrNothing;
 use self::at_most_once::AtMostOnce;
@@ -25,16 +25,16 @@
 mod true_refusal;
 mod whole_answer;
 
-/// Judges one promise, event by event in the order of time.
+/// Checks one guarantee, event by event ordered by time.
 pub(super) trait Rule {
-    /// Takes note of an event.
+    /// Processes one event and adds the violations that it shows.
     fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>);
 
-    /// Judges what is left open when the run ends.
+    /// Adds the violations that only show at the end of the run.
     fn finish(&mut self, _at: Tick, _found: &mut Vec<Violation>) {}
 }
 
-/// A rule for each promise.
+/// One rule for each guarantee.
 pub(super) fn all(bounds: &Bounds) -> [Box<dyn Rule>; 9] {
     [
         Box::new(NoStepBack::default()),
@@ -49,7 +49,7 @@
     ]
 }
 
-/// Adds a breach to what was found.
+/// Adds a violation to `found`.
 fn add(found: &mut Vec<Violation>, at: Tick, breach: Breach) {
     found.push(Violation { at, breach });
 }
--- a/crates/core/src/history/rule/all_or_nothing.rs
+++ b/crates/core/src/history/rule/all_or_nothing.rs
@@ -1,4 +1,4 @@
-//! A version is in force whole or not at all.
+//! Checks that a version is in force whole or not at all.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -15,9 +15,9 @@
 use crate::history::Held;
 use crate::history::Violation;
 
-/// What was published, and what each pair of versions contains by the first
-/// node that had it in force. A run puts a snapshot built from the published
-/// texts first, so that all nodes can't be wrong alike.
+/// The valid versions published, and the content of each pair of versions as
+/// the first record of it in force gives it. A run records a snapshot built
+/// from the published texts first, so that a fault common to all nodes shows.
 #[derive(Debug, Default)]
 pub(super) struct AllOrNothing {
     published: HashSet<(Stream, Version)>,
--- a/crates/core/src/history/rule/at_most_once.rs
+++ b/crates/core/src/history/rule/at_most_once.rs
@@ -1,4 +1,4 @@
-//! What may not be repeated runs at most once.
+//! Checks that an operation that may not be repeated runs at most once.
 
 use std::collections::HashMap;
 
@@ -11,7 +11,7 @@
 use crate::history::RequestId;
 use crate::history::Violation;
 
-/// Which operation each request is for, and which request ran it first.
+/// The operation of each request, and the request that ran it first.
 #[derive(Debug, Default)]
 pub(super) struct AtMostOnce {
     non_repeatable: HashMap<RequestId, OperationId>,
--- a/crates/core/src/history/rule/graceful_stop.rs
+++ b/crates/core/src/history/rule/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing that is in flight.
+//! Checks that a planned stop cuts no request in flight.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -12,7 +12,7 @@
 use crate::history::RequestId;
 use crate::history::Violation;
 
-/// What runs on each target.
+/// The requests that run on each target.
 #[derive(Debug, Default)]
 pub(super) struct GracefulStop {
     running: HashMap<InstanceId, BTreeSet<RequestId>>,
--- a/crates/core/src/history/rule/in_force_soon.rs
+++ b/crates/core/src/history/rule/in_force_soon.rs
@@ -1,4 +1,4 @@
-//! A good version is soon in force on every node that can be reached.
+//! Checks that a valid version is soon in force on every reachable node.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -15,11 +15,11 @@
 use crate::history::Event;
 use crate::history::Violation;
 
-/// Which versions each node still has to put in force.
+/// The versions that each node still has to put in force.
 ///
-/// Time counts from the latest of: the version was published, the node came
-/// back, the source came back. A version that a newer one overtook is in
-/// force by the newer one.
+/// The bound counts from the latest of three times: the version was
+/// published, the node was reachable again, the source was available again.
+/// A newer version in force also satisfies the bound of the older ones.
 #[derive(Debug)]
 pub(super) struct InForceSoon {
     bound: Duration,
@@ -57,7 +57,8 @@
         if !is_relevant(event) {
             return;
         }
-        // What is overdue is judged before the event that might excuse it.
+        // Overdue versions are reported before the event is processed, as it
+        // may be one that excuses them.
         self.report_overdue(at, found);
         match event {
             Event::PublishedGood { stream, version } => self.publish(at, *stream, *version),
@@ -119,7 +120,7 @@
                     };
                     add(found, at, breach);
                 }
-                // Each version is told once.
+                // Each version is reported once.
                 pending.retain(|p| !overdue(p));
             }
         }
@@ -146,8 +147,8 @@
     }
 }
 
-/// Whether an event can make a version pending, in force or excused. Requests
-/// can't, and are nearly all of a long record.
+/// Whether an event can make a version pending, in force or excused. The
+/// events of requests can't, and are nearly all of a long record.
 fn is_relevant(event: &Event) -> bool {
     matches!(
         event,
--- a/crates/core/src/history/rule/no_dangling.rs
+++ b/crates/core/src/history/rule/no_dangling.rs
@@ -1,4 +1,4 @@
-//! No reference leads out of a snapshot.
+//! Checks that all references within a snapshot resolve.
 
 use super::Rule;
 use super::add;
@@ -7,7 +7,7 @@
 use crate::history::Event;
 use crate::history::Violation;
 
-/// Each snapshot is judged by itself.
+/// Has no state: each snapshot is checked by itself.
 #[derive(Debug)]
 pub(super) struct NoDangling;
 
--- a/crates/core/src/history/rule/no_step_back.rs
+++ b/crates/core/src/history/rule/no_step_back.rs
@@ -1,4 +1,4 @@
-//! No node returns to an older version.
+//! Checks that no node returns to an older version.
 
 use std::collections::HashMap;
 
@@ -13,8 +13,8 @@
 use crate::history::RequestId;
 use crate::history::Violation;
 
-/// The newest version of each stream on each node. It outlives restarts: a
-/// replaced process under the same name is the same node to its callers.
+/// The newest version of each stream on each node. It is kept across
+/// restarts: for callers, a new process with the same name is the same node.
 #[derive(Debug, Default)]
 pub(super) struct NoStepBack {
     newest: HashMap<(InstanceId, Stream), Version>,
@@ -47,7 +47,7 @@
     }
 }
 
-/// A request that was served by a snapshot.
+/// A request and the node that pinned a snapshot for it.
 #[derive(Debug)]
 struct Pin<'a> {
     at: Tick,
--- a/crates/core/src/history/rule/no_work_while_leaving.rs
+++ b/crates/core/src/history/rule/no_work_while_leaving.rs
@@ -1,4 +1,4 @@
-//! A leaving target soon receives no new work.
+//! Checks that a leaving target starts no new work after a bound.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::history::Event;
 use crate::history::Violation;
 
-/// When each leaving target began to leave.
+/// The time at which each leaving target began to leave.
 #[derive(Debug)]
 pub(super) struct NoWorkWhileLeaving {
     bound: Duration,
@@ -31,7 +31,7 @@
     fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
         match event {
             Event::DrainBegan { target } => {
-                // A second stop during the first doesn't move its start.
+                // A second stop during the first doesn't change the start time.
                 self.leaving.entry(target.clone()).or_insert(at);
             }
             Event::NodeBack { node } => {
--- a/crates/core/src/history/rule/true_refusal.rs
+++ b/crates/core/src/history/rule/true_refusal.rs
@@ -1,4 +1,4 @@
-//! What was refused as not run was not run.
+//! Checks that a request refused as not run was not run.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -12,7 +12,8 @@
 use crate::history::RequestId;
 use crate::history::Violation;
 
-/// Both orders count: a run after the refusal is as wrong as one before it.
+/// Requests refused and requests run. A run after the refusal is as wrong as
+/// one before it.
 #[derive(Debug, Default)]
 pub(super) struct TrueRefusal {
     refused: HashSet<RequestId>,
--- a/crates/core/src/history/rule/whole_answer.rs
+++ b/crates/core/src/history/rule/whole_answer.rs
@@ -1,4 +1,4 @@
-//! A caller gets the whole answer to its own request, once.
+//! Checks that a caller receives the whole answer to its own request, once.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::history::RequestId;
 use crate::history::Violation;
 
-/// Requests that were sent, and whether they have ended.
+/// The requests sent, and whether they have ended.
 #[derive(Debug, Default)]
 pub(super) struct WholeAnswer {
     requests: BTreeMap<RequestId, State>,
--- a/crates/core/src/history/snapshot_facts.rs
+++ b/crates/core/src/history/snapshot_facts.rs
@@ -1,4 +1,4 @@
-//! What a node's snapshot holds, in the few bytes that judging it needs.
+//! The facts about a node's snapshot that the checker needs.
 
 use crate::CatalogueItem;
 use crate::Digest;
@@ -20,28 +20,28 @@
     pub catalogue: Version,
     /// Version of the instance list.
     pub instances: Version,
-    /// Digest of all that the snapshot really holds, whatever its versions say.
+    /// Digest of the snapshot's actual content, independent of its versions.
     pub content: Digest,
-    /// What points at something that the snapshot doesn't hold.
+    /// References to items that are missing from the snapshot.
     pub dangling: Vec<Dangling>,
 }
 
-/// A reference that leads nowhere.
+/// A reference to an item that is missing from the snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Dangling {
-    /// A route whose service isn't held.
+    /// A route whose service is missing.
     Route {
         /// The route's path.
         path: RoutePath,
         /// The service that it names.
         service: ServiceName,
     },
-    /// A service that lists an endpoint which isn't held.
+    /// A service that lists a missing endpoint.
     Service {
         /// The service.
         service: ServiceName,
     },
-    /// An endpoint of a service that isn't held.
+    /// An endpoint whose service is missing.
     Endpoint {
         /// The endpoint's instance.
         instance: InstanceId,
@@ -49,7 +49,7 @@
 }
 
 impl Held {
-    /// Takes the facts from a snapshot by following every reference in it.
+    /// Extracts the facts from a snapshot by following every reference in it.
     ///
     /// # Errors
     ///
@@ -74,7 +74,7 @@
 
 fn content(snapshot: &Snapshot) -> Result<Digest> {
     let mut parts = Vec::new();
-    // The order of the maps is that of building, which is by name.
+    // The maps are ordered as they are built, which is by name.
     for (_, service) in snapshot.services() {
         parts.push(CatalogueItem::Service((*service.entry).clone()).digest()?);
         for (_, endpoint) in snapshot.endpoints_of(service) {
--- a/crates/core/src/history/tests.rs
+++ b/crates/core/src/history/tests.rs
@@ -20,7 +20,7 @@
 use crate::Tick;
 use crate::Version;
 
-/// One step of a run: milliseconds and what happened.
+/// One event of a run, with its time in milliseconds.
 #[derive(Debug, Clone)]
 struct At(u64, Event);
 
@@ -122,8 +122,8 @@
     }
 }
 
-/// A run without a fault: two versions, the second behind an outage and a
-/// pause; a run, a true refusal, a repeat under a second request; a stop.
+/// A correct run: two versions, the second delayed by an outage and a pause; a
+/// request that runs, a true refusal, a repeat as a second request; a stop.
 fn good_run() -> Vec<At> {
     vec![
         At(0, Event::NodeBack { node: node() }),
@@ -172,10 +172,10 @@
     assert_eq!(broken_guarantees(&good_run()), []);
 }
 
-/// A rule that is broken on purpose, by events put into the good run.
+/// A guarantee that is violated by events added to the correct run.
 #[derive(Debug)]
 struct BrokenRun {
-    /// How a user would see it.
+    /// The symptom from a user's point of view.
     symptom: &'static str,
     events: Vec<At>,
     promise: Promise,
@@ -183,12 +183,12 @@
 
 #[rstest]
 #[case(BrokenRun {
-    symptom: "a delta that was late brings back the limits of yesterday",
+    symptom: "a late delta restores outdated limits",
     events: vec![At(65_100, in_force(version(1, 1)))],
     promise: Promise::NoStepBack,
 })]
 #[case(BrokenRun {
-    symptom: "one revision was published with two contents, and a node takes the second",
+    symptom: "one revision is published with two contents, and a node applies the second",
     events: vec![
         At(65_050, published(Stream::Catalogue, version(2, 3))),
         At(65_100, in_force(version(2, 3))),
@@ -196,12 +196,12 @@
     promise: Promise::NoStepBack,
 })]
 #[case(BrokenRun {
-    symptom: "a request is still routed by the old snapshot after the swap",
+    symptom: "a request is routed by the old snapshot after the swap",
     events: vec![At(65_100, pinned(version(1, 1)))],
     promise: Promise::NoStepBack,
 })]
 #[case(BrokenRun {
-    symptom: "a route is called whose service was removed, and nobody answers",
+    symptom: "a route refers to a removed service, and its calls get no answer",
     events: vec![At(11, in_force_with(|held| held.dangling.push(Dangling::Route {
         path: RoutePath::new("/adjuster").unwrap(),
         service: ServiceName::new("gone").unwrap(),
@@ -209,7 +209,7 @@
     promise: Promise::NoDangling,
 })]
 #[case(BrokenRun {
-    symptom: "a version that doesn't bind is in force on one node",
+    symptom: "a version from which no snapshot can be built is in force on one node",
     events: vec![
         At(65_050, Event::PublishedBad { stream: Stream::Catalogue, version: version(3, 9) }),
         At(65_100, in_force(version(3, 9))),
@@ -217,32 +217,32 @@
     promise: Promise::AllOrNothing,
 })]
 #[case(BrokenRun {
-    symptom: "half of a version's entries are in force under its name",
+    symptom: "half of the entries of a version are in force as that version",
     events: vec![At(11, in_force_with(|held| held.content = Digest::of(b"half")))],
     promise: Promise::AllOrNothing,
 })]
 #[case(BrokenRun {
-    symptom: "an agent sees another agent's report",
+    symptom: "an agent receives another agent's report",
     events: vec![At(70, sent(9, 9)), At(71, answered(9, 1, true))],
     promise: Promise::WholeAnswer,
 })]
 #[case(BrokenRun {
-    symptom: "a photograph ends in the middle and looks complete to the client",
+    symptom: "a truncated photograph is delivered as complete",
     events: vec![At(70, sent(9, 9)), At(71, answered(9, 9, false))],
     promise: Promise::WholeAnswer,
 })]
 #[case(BrokenRun {
-    symptom: "an answer arrives after the caller was told that there is none",
+    symptom: "an answer arrives after the caller received an unknown outcome",
     events: vec![At(70, answered(3, 3, true))],
     promise: Promise::WholeAnswer,
 })]
 #[case(BrokenRun {
-    symptom: "a fitter waits and hears nothing at all",
+    symptom: "a request never ends",
     events: vec![At(70, sent(9, 9))],
     promise: Promise::WholeAnswer,
 })]
 #[case(BrokenRun {
-    symptom: "a refused approval was paid out, and is asked for again",
+    symptom: "an approval refused as not run is paid out",
     events: vec![At(70, sent(9, 9)), At(71, refused(9)), At(72, started(9)), At(73, finished(9))],
     promise: Promise::TrueRefusal,
 })]
@@ -262,7 +262,7 @@
     promise: Promise::AtMostOnce,
 })]
 #[case(BrokenRun {
-    symptom: "a peer that lags sends work to a target that left three seconds ago",
+    symptom: "a node with a stale list sends work to a target that began to leave three seconds ago",
     events: vec![
         At(69_000, sent(9, 9)),
         At(69_001, started(9)),
@@ -271,17 +271,17 @@
     promise: Promise::LeavingRests,
 })]
 #[case(BrokenRun {
-    symptom: "the target stops while it still runs a sign-off",
+    symptom: "a target stops while a sign-off runs",
     events: vec![At(66_010, sent(9, 9)), At(66_011, started(9)), At(67_000, unknown(9))],
     promise: Promise::GracefulStop,
 })]
 #[case(BrokenRun {
-    symptom: "the bound of a drain ends requests, and its node counts them",
+    symptom: "the bound of a drain cuts requests, and the node reports them",
     events: vec![At(67_001, drain_ended(2))],
     promise: Promise::GracefulStop,
 })]
 #[case(BrokenRun {
-    symptom: "a node that is up serves yesterday's limits for eleven seconds and more",
+    symptom: "a reachable node uses outdated limits for more than eleven seconds",
     events: vec![At(68_000, published(Stream::Catalogue, version(3, 3)))],
     promise: Promise::InForceSoon,
 })]
--- a/crates/core/src/history/violation.rs
+++ b/crates/core/src/history/violation.rs
@@ -1,4 +1,4 @@
-//! What a checker found.
+//! Violations that the checker found.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::Tick;
 use crate::Version;
 
-/// A broken promise and when it was seen.
+/// A violated guarantee and when the violation was seen.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Violation {
     /// When it was seen.
@@ -21,7 +21,7 @@
     pub breach: Breach,
 }
 
-/// What broke a promise.
+/// How a guarantee was violated.
 #[derive(Debug, Clone, PartialEq)]
 #[expect(missing_docs, reason = "the fields are what the variant's text names")]
 pub enum Breach {
@@ -32,7 +32,7 @@
         held: Version,
         applied: Version,
     },
-    /// A node served a request by `pinned` though `held` was in force.
+    /// A node routed a request by `pinned` though `held` was in force.
     ServedByOlder {
         node: InstanceId,
         request: RequestId,
@@ -40,32 +40,32 @@
         held: Version,
         pinned: Version,
     },
-    /// A snapshot in force has a reference that leads nowhere.
+    /// A snapshot in force refers to a missing item.
     Dangles { node: InstanceId, what: Dangling },
-    /// A version in force was never published as a good one.
+    /// A version in force was never published as a valid one.
     NotPublished {
         node: InstanceId,
         stream: Stream,
         version: Version,
     },
-    /// Content in force differs from what the same versions are elsewhere.
+    /// Content in force differs from that of the same versions elsewhere.
     InPart {
         node: InstanceId,
         catalogue: Version,
         instances: Version,
     },
-    /// A caller got the answer to another request.
+    /// A caller received the answer to another request.
     Crossed {
         request: RequestId,
         answers: RequestId,
     },
-    /// A caller got an incomplete body as if it were complete.
+    /// A caller received an incomplete body as if it were complete.
     CutShort { request: RequestId },
-    /// A caller got a second end of its request.
+    /// A request ended a second time for its caller.
     EndedTwice { request: RequestId },
-    /// A request was never answered, refused or given up.
+    /// A request was never answered, refused or abandoned.
     Lost { request: RequestId },
-    /// A request was refused as not run, but ran.
+    /// A request was refused as not run, but was run.
     RanThoughRefused {
         request: RequestId,
         target: InstanceId,
@@ -76,7 +76,7 @@
         first: RequestId,
         again: RequestId,
     },
-    /// A leaving target started work `after` it began to leave.
+    /// A target started work a time `after` it began to leave.
     WorkedWhileLeaving {
         target: InstanceId,
         request: RequestId,
@@ -87,9 +87,9 @@
         target: InstanceId,
         request: RequestId,
     },
-    /// A node counted requests that its planned stop cut.
+    /// A node reported requests that were cut by its planned stop.
     CountedCuts { target: InstanceId, cut: u64 },
-    /// A good version wasn't in force in time.
+    /// A valid version wasn't in force in time.
     Late {
         node: InstanceId,
         stream: Stream,
@@ -98,7 +98,7 @@
 }
 
 impl Violation {
-    /// The promise that was broken.
+    /// The guarantee that was violated.
     pub fn promise(&self) -> Promise {
         match self.breach {
             Breach::SteppedBack { .. } | Breach::ServedByOlder { .. } => Promise::NoStepBack,
