--- a/crates/core/src/repeat.rs
+++ b/crates/core/src/repeat.rs
@@ -1,54 +1,57 @@
-//! At most once, for requests that carry a key and may not be repeated.
+//! Deduplication by request key: at-most-once execution of requests that carry
+//! a key and may not be repeated.
 //!
-//! A caller that got no answer sends its request again under the same key. The
+//! A caller that received no answer repeats its request with the same key. The
 //! key has one owner among the live endpoints of the service, by rendezvous
-//! hashing over the instance list. The owner runs a key once, remembers it for
-//! a hold time, and answers repeats from memory or tells that the outcome is
-//! unknown. Nothing is written anywhere: an owner that restarts has forgotten,
-//! and the owner changes with the list. Both are fenced by time.
+//! hashing over the instance list. The owner runs a key once, keeps it for a
+//! hold time, and answers repeats with the stored answer or reports that the
+//! outcome is unknown. Nothing is persisted: a restarted owner has no keys, and
+//! the owner changes with the list. Waiting times guard against both.
 //!
-//! # What an owner must hold before it runs an unseen key
+//! # Conditions for running an unseen key
 //!
-//! - Its instance list was proved to be the source's newest at most a lease
-//!   ago. An owner that is cut off stops within the lease after the list moved,
-//!   measured on its own clock, which counts on while a process is paused.
+//! - The owner has a proof, no older than the lease, that its instance list was
+//!   the source's newest. An owner that is cut off therefore stops within the
+//!   lease after the list changed. The lease is measured on the owner's clock,
+//!   which also advances while the process is paused.
 //! - It has owned the key for two leases. By then every earlier owner has
-//!   stopped, also one of a list that this node never saw: between two lists
-//!   that it held, with proofs no further apart than the lease, no other list
-//!   was in force for so long.
-//! - For an attempt that isn't vouched for as the first, it has owned the key
-//!   for the hold time on top. Every attempt that an earlier owner, or this
+//!   stopped, also the owner by a list that this node never received: between
+//!   two lists with proofs no further apart than the lease, no other list was
+//!   in force for that long.
+//! - For an attempt that isn't marked as the first, it has owned the key for
+//!   the hold time in addition. Every attempt that an earlier owner, or this
 //!   process before its restart, may have run is then older than the hold time,
-//!   and callers don't use a key that long. Until then the answer is unknown.
-//! - There is room to remember it. A key is kept for the hold time and a lease
-//!   after its end, since its last repeat may be under way for so long.
+//!   and callers don't use a key for that long. Until then the outcome is
+//!   reported as unknown.
+//! - The window has room for the key. A key is kept for the hold time and a
+//!   lease after its end, since its last repeat may be in flight for a lease.
 //!
-//! The lease is looked at again right before the hand-over. Under what is
-//! assumed below this isn't needed; it narrows what a pause between the two
-//! looks can do where an assumption fails.
+//! The lease is checked again right before the hand-over to the target. Under
+//! the assumptions below this isn't needed. Where one of them fails, it limits
+//! the harm of a pause between the two checks.
 //!
-//! # What is assumed
+//! # Assumptions
 //!
 //! - All nodes have the same lease and hold time.
 //! - A caller uses a key for one operation, for no longer than the hold time,
 //!   and marks an attempt as the first only if it has sent none before.
-//! - No request stays under way for longer than the lease between the node that
-//!   took it and its owner: deadlines end it there, and a connection ends with
+//! - No request is in flight for longer than the lease between the caller's
+//!   node and the owner: deadlines bound this time, and a connection ends with
 //!   its process.
-//! - Between the last look at the lease and the first byte to the target, a
+//! - Between the last check of the lease and the first byte to the target, a
 //!   process isn't paused for longer than the lease.
 //!
-//! # What remains
+//! # Limits
 //!
 //! - A source that serves an old list as its newest renews the lease of an
-//!   owner that has lost its keys. While part of the fleet reads such a source
-//!   and another part reads the new list, both owners may run one key, if
+//!   owner that has lost its keys. While one part of the fleet reads such a
+//!   source and another part reads the new list, both owners may run one key if
 //!   attempts of one caller reach both parts.
-//! - Targets that crash after the hand-over leave the outcome unknown. It stays
-//!   unknown; no repeat is run.
-//! - Safety is paid for in availability: a long outage of the source ends all
-//!   leases, and unseen keys are refused until it is back. Requests without a
-//!   key and requests on idempotent routes go on.
+//! - A target that crashes after the hand-over leaves the outcome unknown. It
+//!   stays unknown, and no repeat is run.
+//! - Safety reduces availability: in a long outage of the source all leases
+//!   expire, and unseen keys are refused until it is back. Requests without a
+//!   key and requests on idempotent routes aren't affected.
 
 pub use self::attempt::Attempt;
 pub use self::attempt_decision::Begin;
--- a/crates/core/src/repeat/attempt.rs
+++ b/crates/core/src/repeat/attempt.rs
@@ -1,10 +1,10 @@
-//! What the caller says of an attempt.
+//! The caller's mark of an attempt.
 
 /// Whether earlier attempts with the same key may have been sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Attempt {
-    /// The caller vouches that this is the first.
+    /// The caller states that it has sent no earlier attempt.
     First,
-    /// It may be a repeat.
+    /// Earlier attempts may have been sent.
     MayRepeat,
 }
--- a/crates/core/src/repeat/key.rs
+++ b/crates/core/src/repeat/key.rs
@@ -9,18 +9,18 @@
 use crate::Step;
 use crate::route::Score;
 
-/// The longest key in bytes.
+/// The longest key of a caller, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// What makes two requests the same: the caller's key for the same operation.
+/// Identifies repeats of one request: the caller's key and the operation.
 ///
-/// The operation is part of it, so that a key that a caller uses again for
-/// something else never gets the answer to what it was used for first.
+/// The operation is part of it, so that a caller that uses a key for a second
+/// operation never receives the answer of the first one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestKey(Digest);
 
 impl RequestKey {
-    /// The key of a request to `service`, by the caller's `key` and the
+    /// The key of a request to `service`, from the caller's `key` and the
     /// operation, such as its method and path.
     ///
     /// # Errors
@@ -35,7 +35,7 @@
         Ok(RequestKey(Digest::of_all(&parts)))
     }
 
-    /// Its hash, against which endpoints are drawn for its owner.
+    /// The hash by which the owner is chosen among the endpoints.
     pub(crate) fn score(&self) -> Score {
         Score::of_digest(&self.0)
     }
--- a/crates/core/src/repeat/ownership.rs
+++ b/crates/core/src/repeat/ownership.rs
@@ -1,4 +1,4 @@
-//! Since when this node owns a key, by the instance lists that it has held.
+//! Since when this node owns a key, by the instance lists that it received.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,7 +9,8 @@
 use crate::Tick;
 use crate::route::Score;
 
-/// Lists that are remembered at most; older ones only shorten the tenure.
+/// The largest number of lists kept. Without an older one a key only counts as
+/// owned for a shorter time.
 const MAX_LISTS: usize = 64;
 
 /// The live endpoints of the node's service in one list.
@@ -22,7 +23,7 @@
         Members(ids.into_iter().map(scored).collect())
     }
 
-    /// The owner of a key; the same choice as the first hop makes.
+    /// The owner of a key. The first hop chooses it in the same way.
     pub(super) fn owner(&self, key: &RequestKey) -> Option<&InstanceId> {
         let by_score =
             |(score, id): &&(Score, InstanceId)| (score.against(key.score()), id.clone());
@@ -36,13 +37,13 @@
     members: Members,
 }
 
-/// The lists held so far, with the proof that the newest is in force.
+/// The lists received so far, and the proof that the newest is in force.
 ///
 /// # Invariants
 ///
-/// `lists` is in the order of time, and no list that named another owner of a
-/// key was in force between two of its neighbours for long enough that this
-/// owner could have run anything.
+/// `lists` is ordered by time. Between two neighbours in it, no list that gives
+/// a key another owner was in force for long enough that this owner could have
+/// run anything.
 #[derive(Debug)]
 pub(super) struct Ownership {
     me: InstanceId,
@@ -65,21 +66,22 @@
         }
     }
 
-    /// Whether a list this new was held already.
+    /// Whether this list or a newer one was already received.
     pub(super) fn has_seen(&self, revision: Revision) -> bool {
         self.revision.is_some_and(|held| held >= revision)
     }
 
-    /// Takes over a newer list.
+    /// Applies a newer list.
     pub(super) fn apply_list(&mut self, now: Tick, revision: Revision, members: Members) {
         if self.has_seen(revision) {
             return;
         }
-        // A list that this node never saw may have come and gone while it was
-        // cut off, and its owner may have run keys that seem unseen here. Such
-        // a list was published after the last proof of any list held here: if
-        // that is no older than the lease, it was in force for less than an
-        // owner waits before it runs anything. Beyond it nothing is sure.
+        // A list that this node never received may have been in force while it
+        // was cut off, and the owner by that list may have run keys that are
+        // unseen here. Such a list was published after the last proof of any
+        // list of this node. If that proof is no older than the lease, the list
+        // was in force for less than the time that an owner waits before it runs
+        // anything. If it is older, nothing is proved.
         if !self.is_recent(self.last_proof, now) {
             self.lists.clear();
         }
@@ -101,16 +103,16 @@
         }
     }
 
-    /// Takes over a proof that `revision` was the newest at `at`.
+    /// Records a proof that `revision` was the newest at `at`.
     pub(super) fn record_proof(&mut self, at: Tick, revision: Revision) {
-        // A proof of another list says nothing of the one that is held here.
+        // A proof of another list proves nothing about the current one.
         if self.revision == Some(revision) {
             self.proved_at = Ord::max(self.proved_at, Some(at));
             self.last_proof = Ord::max(self.last_proof, self.proved_at);
         }
     }
 
-    /// Whether the list held here is proved to be in force.
+    /// Whether the current list is proved to be in force.
     pub(super) fn is_lease_valid(&self, now: Tick) -> bool {
         self.is_recent(self.proved_at, now)
     }
@@ -119,7 +121,7 @@
         proof.is_some_and(|at| now.since(at) <= self.lease)
     }
 
-    /// Since when this node has owned a key, if it does.
+    /// Since when this node has owned a key without a break, if it owns it.
     pub(super) fn owned_since(&self, key: &RequestKey) -> Option<Tick> {
         let own = |held: &&HeldList| held.members.owner(key) == Some(&self.me);
         let owned = self.lists.iter().rev().take_while(own);
--- a/crates/core/src/repeat/run_permit.rs
+++ b/crates/core/src/repeat/run_permit.rs
@@ -1,4 +1,4 @@
-//! A key whose request runs.
+//! The right to run the request of a key.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 /// The right to run the request of a key once.
 ///
-/// Dropping it means that the outcome is unknown.
+/// Dropping it marks the outcome as unknown.
 #[derive(Debug)]
 #[must_use = "dropping it marks the outcome as unknown"]
 pub struct Running {
@@ -31,12 +31,13 @@
         }
     }
 
-    /// Looks once more whether this node may run it, right before the
-    /// hand-over; the right ends if it can't.
+    /// Checks again, right before the hand-over to the target, whether this
+    /// node may run the key. If it may not, the key counts as unused again.
     ///
     /// # Errors
     ///
-    /// Refuses as not run if the lease lapsed while the request waited.
+    /// Refuses if the node no longer owns the key or the lease expired while
+    /// the request waited.
     pub fn check(mut self, now: Tick) -> Result<Running, Refusal> {
         match self.shared.check_ownership(now, &self.key, self.attempt) {
             None => Ok(self),
@@ -48,19 +49,20 @@
         }
     }
 
-    /// It ran and the whole answer was received.
+    /// Stores the answer: the request ran and its whole answer was received.
     pub fn done(mut self, now: Tick, answer: StoredAnswer) {
         self.open = false;
         self.shared.complete(now, &self.key, answer);
     }
 
-    /// It was handed over and its outcome is unknown.
+    /// Marks the outcome as unknown: the request was handed over.
     pub fn lost(mut self, now: Tick) {
         self.open = false;
         self.shared.mark_unknown(Some(now), &self.key);
     }
 
-    /// It was refused before the hand-over: the key counts as unused again.
+    /// Returns the right: the request was refused before the hand-over, and the
+    /// key counts as unused again.
     pub fn refused(mut self, refusal: Refusal) -> Refusal {
         self.open = false;
         self.shared.remove(&self.key);
@@ -70,7 +72,7 @@
 
 impl Drop for Running {
     fn drop(&mut self) {
-        // A task that was cancelled may have handed its request over before.
+        // A cancelled task may already have handed its request over.
         if self.open {
             self.shared.mark_unknown(None, &self.key);
         }
--- a/crates/core/src/repeat/settings.rs
+++ b/crates/core/src/repeat/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the window of request keys.
+//! Settings of the deduplication by request key.
 
 use std::time::Duration;
 
@@ -6,50 +6,51 @@
 use crate::Result;
 use crate::Step;
 
-/// How long and how much an owner remembers.
+/// Times and bounds of the keys that an owner keeps.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RepeatSettings {
     /// How long a caller may use a key after its first attempt.
     pub hold: Duration,
-    /// How old the proof may be that the instance list is in force. It must be
-    /// the same on every node, and longer than a proof takes to get around:
-    /// two watches of the platform and some rounds of comparing with a peer,
-    /// one more for each doubling of the fleet.
+    /// The longest age of the proof that the instance list is in force. It must
+    /// be the same on every node, and longer than the dissemination of a proof
+    /// takes: two watches of the platform and some rounds of anti-entropy, one
+    /// more for each doubling of the fleet.
     pub lease: Duration,
-    /// Keys that are remembered at most.
+    /// The largest number of keys.
     pub max_keys: usize,
-    /// Bytes of stored answers at most, over all keys.
+    /// The largest total size of the stored answers, in bytes.
     pub max_bytes: usize,
-    /// Bytes of one stored answer at most.
+    /// The largest size of one stored answer, in bytes.
     pub max_answer_bytes: usize,
 }
 
 impl RepeatSettings {
-    /// The same settings.
+    /// Returns the settings if they are valid.
     ///
     /// # Errors
     ///
-    /// Fails if a time or bound is zero.
+    /// Fails if `hold`, `lease` or `max_keys` is zero.
     pub(super) fn validated(self) -> Result<RepeatSettings> {
         if self.hold.is_zero() || self.lease.is_zero() || self.max_keys == 0 {
-            let message = "hold, lease and keys of the repeat window are more than zero";
+            let message = "hold time, lease and number of request keys must be more than zero";
             return Err(Error::new(Step::Check, message));
         }
         Ok(self)
     }
 
-    /// How long an owner remembers a key: a repeat that was sent at the end of
-    /// the hold time may be under way for a lease.
+    /// How long an owner keeps a key: a repeat sent at the end of the hold time
+    /// may be in flight for a lease.
     pub(super) fn retention(&self) -> Duration {
         self.hold + self.lease
     }
 
-    /// How long an owner waits before it runs a first attempt.
+    /// How long a node must have owned a key before it runs a first attempt.
     pub(super) fn settling_period(&self) -> Duration {
         2 * self.lease
     }
 
-    /// How long an owner waits before an unseen key means an unused one.
+    /// How long a node must have owned a key before an unseen key is proved to
+    /// be unused.
     pub(super) fn unseen_proof_period(&self) -> Duration {
         self.settling_period() + self.hold
     }
--- a/crates/core/src/repeat/state.rs
+++ b/crates/core/src/repeat/state.rs
@@ -1,4 +1,4 @@
-//! What the window keeps under its lock.
+//! The state of the window, behind its lock.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -15,10 +15,10 @@
 use crate::StoredAnswer;
 use crate::Tick;
 
-/// When to come back for the answer of a request that runs.
+/// When a caller should retry while an earlier attempt runs.
 const RUNNING_RETRY: Duration = Duration::from_millis(200);
 
-/// What is known of a key.
+/// The state of a key.
 #[derive(Debug)]
 enum KeyState {
     Running,
@@ -26,7 +26,7 @@
     OutcomeUnknown,
 }
 
-/// What to do with an attempt.
+/// The decision on an attempt.
 pub(super) enum KeyDecision {
     Run,
     Answer(Arc<StoredAnswer>),
@@ -39,14 +39,14 @@
     key: RequestKey,
 }
 
-/// Keys and tenure of one owner.
+/// The keys of one owner, and since when it owns keys.
 ///
 /// # Invariants
 ///
-/// Each key that isn't running stands once in `ended`, in the order of time,
-/// and is kept as long as a repeat may come: a key that was seen never
-/// counts as unseen while a caller may still use it. `bytes` is the sum over
-/// the stored answers.
+/// Each key that isn't running is listed once in `ended`, ordered by time. It
+/// is kept as long as a repeat may arrive: a seen key never counts as unseen
+/// while a caller may still use it. `bytes` is the total size of the stored
+/// answers.
 pub(super) struct State {
     cfg: RepeatSettings,
     pub(super) ownership: Ownership,
@@ -72,7 +72,7 @@
 
     pub(super) fn begin(&mut self, now: Tick, key: RequestKey, attempt: Attempt) -> KeyDecision {
         self.expire(now);
-        // What is known of a key is true whoever owns it by now.
+        // The state of a known key is valid whichever node owns it now.
         match self.keys.get(&key) {
             Some(KeyState::Done(answer)) => return KeyDecision::Answer(answer.clone()),
             Some(KeyState::Running) => {
@@ -92,7 +92,7 @@
         KeyDecision::Run
     }
 
-    /// Why a key that isn't known here must not be run, if so.
+    /// Returns a refusal unless this node may run an unseen key.
     fn check_unseen_key(&self, now: Tick, key: &RequestKey, attempt: Attempt) -> Option<Refusal> {
         if let Some(refusal) = self.check_ownership(now, key, attempt) {
             return Some(refusal);
@@ -100,21 +100,22 @@
         let since = self.ownership.owned_since(key)?;
         let owned_for = now.since(since);
         if attempt == Attempt::MayRepeat && owned_for < self.cfg.unseen_proof_period() {
-            // An earlier attempt may have run at the owner before this one, or
-            // in this process before its restart.
+            // An earlier attempt may have run at the previous owner, or in this
+            // process before its restart.
             let wait = self.cfg.unseen_proof_period() - owned_for;
             let refusal = Refusal::unknown(Step::Admission, Reason::EarlierUnknown);
             return Some(refusal.after(wait));
         }
         if self.keys.len() >= self.cfg.max_keys {
-            // Forgetting an older key to make room would let its repeat run.
+            // If an older key were evicted instead, its repeat would run again.
             let refusal = Refusal::not_run(Step::Admission, Reason::WindowFull);
             return Some(refusal.after(self.time_until_room(now)));
         }
         None
     }
 
-    /// Why this node has no right to run an unseen key, if so.
+    /// Returns a refusal unless this node owns the key, with a valid lease and
+    /// for the settling period.
     pub(super) fn check_ownership(
         &self,
         now: Tick,
@@ -125,14 +126,14 @@
             return Some(Refusal::not_run(Step::Admission, Reason::NotOwner));
         };
         if !self.ownership.is_lease_valid(now) {
-            // A node that is cut off doesn't see that the key moved, while the
-            // new owner has begun to run it.
+            // A node that is cut off doesn't receive the list that gives the key
+            // to another owner, which may already run it.
             let refusal = refusal_without_proof(attempt, Reason::LeaseLapsed);
             return Some(refusal.after(self.cfg.lease));
         }
         let owned_for = now.since(since);
         if owned_for < self.cfg.settling_period() {
-            // The owner before may run the key until its lease lapses.
+            // The previous owner may run the key until its lease expires.
             let wait = self.cfg.settling_period() - owned_for;
             return Some(refusal_without_proof(attempt, Reason::Settling).after(wait));
         }
@@ -161,7 +162,7 @@
         self.finish(*key, KeyState::OutcomeUnknown);
     }
 
-    /// The request of a key was not handed over.
+    /// Removes a key whose request was not handed over.
     pub(super) fn remove(&mut self, key: &RequestKey) {
         self.keys.remove(key);
     }
@@ -175,8 +176,8 @@
         self.ended.push_back(EndedKey { at: self.now, key });
     }
 
-    /// Keeps the key of the oldest stored answer and lets the answer go: its
-    /// repeats are told that the outcome is unknown, and never run.
+    /// Drops the oldest stored answer and keeps its key: repeats are refused
+    /// with an unknown outcome, and never run.
     fn drop_oldest_answer(&mut self) {
         let Some(key) = self.answers.pop_front() else {
             return;
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Lets go of keys of which no repeat can come any more.
+    /// Removes the keys of which no repeat can arrive any more.
     fn expire(&mut self, now: Tick) {
         self.now = self.now.max(now);
         while let Some(oldest) = self.ended.front() {
@@ -214,7 +215,7 @@
     }
 }
 
-/// A refusal by a node that can't tell whether an earlier attempt has run.
+/// The refusal of a node that has no proof whether an earlier attempt has run.
 pub(super) fn refusal_without_proof(attempt: Attempt, reason: Reason) -> Refusal {
     match attempt {
         Attempt::First => Refusal::not_run(Step::Admission, reason),
--- a/crates/core/src/repeat/tests.rs
+++ b/crates/core/src/repeat/tests.rs
@@ -52,7 +52,7 @@
     InstanceList::new(Revision::new(revision).unwrap(), listed).unwrap()
 }
 
-/// The window of the only endpoint, which holds its list since the start.
+/// The window of the only endpoint, whose list is in force since the start.
 fn window() -> RepeatWindow {
     let me = InstanceId::new("ad-1").unwrap();
     let window = RepeatWindow::new(CFG, me, service()).unwrap();
@@ -69,14 +69,14 @@
 fn run(window: &RepeatWindow, s: u64, text: &str) -> Running {
     match window.begin(at(s), key(text), Attempt::MayRepeat) {
         Begin::Run(running) => running,
-        other => panic!("{text} isn't run: {other:?}"),
+        other => panic!("{text} should run: {other:?}"),
     }
 }
 
 fn refused(window: &RepeatWindow, s: u64, text: &str, attempt: Attempt) -> Refusal {
     match window.begin(at(s), key(text), attempt) {
         Begin::Refuse(refusal) => refusal,
-        other => panic!("{text} isn't refused: {other:?}"),
+        other => panic!("{text} should be refused: {other:?}"),
     }
 }
 
@@ -119,7 +119,7 @@
     let actual = match window.begin(at(case.now_s), key("a"), case.attempt) {
         Begin::Run(_) => None,
         Begin::Refuse(refusal) => Some((refusal.outcome(), refusal.reason())),
-        Begin::Answer(_) => panic!("nothing was answered yet"),
+        Begin::Answer(_) => panic!("no answer is stored yet"),
     };
     assert_eq!(actual, case.refused, "{case:?}");
 }
@@ -136,12 +136,13 @@
     assert!(refusal.retry_after().is_some());
     running.done(at(101), answer(9));
     let Begin::Answer(again) = window.begin(at(150), key("a"), REPEAT) else {
-        panic!("the answer is remembered");
+        panic!("the answer should be stored");
     };
     assert_eq!(*again, answer(9));
 }
 
-/// Guards against a payment that is made again after its first attempt was lost.
+/// Guards against a payment that is made again after the outcome of its first
+/// attempt was lost.
 #[rstest]
 #[case(true)]
 #[case(false)]
@@ -166,7 +167,7 @@
     run(&window, 101, "a").lost(at(101));
 }
 
-/// Guards against a repeat that runs again since its key was dropped for room.
+/// Guards against a repeat that runs again because its key was evicted.
 #[test]
 fn a_full_window_refuses_new_keys_and_keeps_stored_ones() {
     let window = proved(100);
@@ -182,7 +183,7 @@
     ));
 }
 
-/// Guards against a repeat that runs again since its answer was dropped for room.
+/// Guards against a repeat that runs again because its answer was evicted.
 #[test]
 fn answers_are_evicted_before_keys() {
     let window = proved(100);
@@ -211,7 +212,7 @@
     run(&window, 171, "a").lost(at(171));
 }
 
-/// Guards against a key that runs at two owners as it moves away and back.
+/// Guards against a key that runs at two owners as its ownership changes twice.
 #[test]
 fn a_key_that_had_another_owner_settles_again() {
     let both = ["ad-1", "ad-2"];
--- a/crates/core/src/repeat/window.rs
+++ b/crates/core/src/repeat/window.rs
@@ -1,4 +1,4 @@
-//! The window of keys at their owner.
+//! The window of request keys at their owner.
 
 use std::fmt;
 use std::sync::Arc;
@@ -27,25 +27,25 @@
 use crate::StoredAnswer;
 use crate::Tick;
 
-/// The keys that one owner has seen, shared by the traffic threads.
+/// The request keys that one owner has seen, shared by the traffic threads.
 ///
-/// Only requests with a key on routes that aren't idempotent come here.
+/// It is used only for requests with a key on routes that aren't idempotent.
 #[derive(Debug, Clone)]
 pub struct RepeatWindow(Arc<Shared>);
 
-/// What the window and those that run share.
+/// The state shared by the window and the running requests.
 pub(super) struct Shared {
     service: ServiceName,
     state: Mutex<State>,
 }
 
 impl RepeatWindow {
-    /// The empty window of a node that just started beside instance `me` of
-    /// `service`.
+    /// The empty window of the node of instance `me` of `service`, which has just
+    /// started.
     ///
     /// # Errors
     ///
-    /// Fails if a time or bound of the settings is zero.
+    /// Fails if the hold time, the lease or the number of keys is zero.
     pub fn new(cfg: RepeatSettings, me: InstanceId, service: ServiceName) -> Result<RepeatWindow> {
         let cfg = cfg.validated()?;
         let ownership = Ownership::new(me, cfg.lease);
@@ -56,10 +56,10 @@
         })))
     }
 
-    /// Takes over a newer instance list.
+    /// Applies an instance list, if it is newer.
     ///
-    /// Call it before requests are routed by that list: an owner must not learn
-    /// of its keys later than those who send them.
+    /// Call it before requests are routed by that list: an owner must not
+    /// receive its keys later than the nodes that send requests with them.
     pub fn apply_list(&self, now: Tick, list: &InstanceList) {
         let revision = list.version().revision();
         if self.0.lock().ownership.has_seen(revision) {
@@ -71,11 +71,11 @@
         self.0.lock().ownership.apply_list(now, revision, members);
     }
 
-    /// Takes over the instance list that a snapshot was built from.
+    /// Applies the instance list of a snapshot.
     ///
-    /// It says the same as [`RepeatWindow::apply_list`], but says nothing if
-    /// the catalogue doesn't have the service: the list is then taken over as
-    /// if it were new once it does, which only makes the owner wait.
+    /// It does the same as [`RepeatWindow::apply_list`], but does nothing if the
+    /// catalogue doesn't have the service. Once it does, the list is applied as
+    /// if it were new, which only makes the owner wait.
     pub fn snapshot_changed(&self, now: Tick, snapshot: &Snapshot) {
         let revision = snapshot.instances().revision();
         let Some((_, service)) = snapshot.find_service(&self.0.service) else {
@@ -88,14 +88,15 @@
         self.0.lock().ownership.apply_list(now, revision, members);
     }
 
-    /// Takes over a proof that nothing newer than the list of `revision` was
-    /// published until `at`. It must not be dated later than the question that
-    /// it answers, to the platform or a peer: see [`crate::ListProof`].
+    /// Records a proof that nothing newer than the list of `revision` was
+    /// published until `at`. `at` must not be later than the time of the request
+    /// to the platform or a peer whose answer is the proof: see
+    /// [`crate::ListProof`].
     pub fn prove(&self, at: Tick, revision: Revision) {
         self.0.lock().ownership.record_proof(at, revision);
     }
 
-    /// Decides over an attempt that reached this node.
+    /// Decides whether an attempt that reached this node is run.
     pub fn begin(&self, now: Tick, key: RequestKey, attempt: Attempt) -> Begin {
         let decision = self.0.lock().begin(now, key, attempt);
         match decision {
@@ -105,12 +106,12 @@
         }
     }
 
-    /// How many keys are remembered.
+    /// The number of keys in the window.
     pub fn len(&self) -> usize {
         self.0.lock().len()
     }
 
-    /// Whether none is remembered.
+    /// Whether there is no key in the window.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -118,8 +119,8 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A panic under the lock would leave a key running, which is refused as
-        // unknown from then on: never run again, which is the safe side.
+        // A panic under the lock would leave a key running. Its repeats are then
+        // refused with an unknown outcome and never run, which is safe.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
