--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -1,16 +1,17 @@
-//! Requests that crash the targets that run them.
+//! Quarantine of requests that crash the targets that run them.
 //!
-//! A request may crash each target that begins to run it, and all that the target runs
-//! besides is lost with it. Its callers send it again, through any node, and each copy is
-//! another request. What the copies have in common is their [`Content`]. The node beside a
-//! target that crashed reports what ran there ([`Sighting::Crashed`]), nodes tell one
-//! another, and each counts for itself: what was running in [`CRASHES`] crashes, and was
-//! not answered by any target meanwhile, is in quarantine everywhere ([`Verdicts`]).
+//! A request may crash each target that begins to run it, and every other request that
+//! runs on the target is lost with it. Its callers repeat it through any node, and each
+//! copy is another request. The copies have the same [`Content`]. The node of a crashed
+//! target reports the requests that ran there ([`Sighting::Crashed`]), the reports are
+//! disseminated among the nodes, and each node evaluates them for itself: a request that
+//! was running in [`CRASHES`] crashes, and was not answered by any target meanwhile, is in
+//! quarantine on all nodes ([`Verdicts`]).
 //!
-//! A crash is no proof against any one of the requests that it ended. What tells the
-//! harmless from the harmful is that the harmless are answered elsewhere: an answer excuses
-//! a request from all crashes before it, and from those shortly after it. Nodes remember
-//! what they saw answered and report it ([`Sighting::Answered`]) once somebody has to know.
+//! A crash doesn't prove which of the requests that it ended caused it. Harmless requests
+//! are distinguished by being answered elsewhere: after an answer, no crash before it or
+//! shortly after it counts against the request. Nodes remember the answers that they saw
+//! and report them ([`Sighting::Answered`]) once other nodes need them.
 
 pub use self::content::Content;
 pub use self::content::Fingerprint;
--- a/crates/core/src/quarantine/content.rs
+++ b/crates/core/src/quarantine/content.rs
@@ -1,4 +1,4 @@
-//! What requests ask for.
+//! Fingerprints of the content of requests.
 
 use std::fmt;
 
@@ -10,23 +10,23 @@
 use crate::Result;
 use crate::Step;
 
-/// Between the two parts of a written [`Content`].
+/// The separator of the two parts of a written [`Content`].
 const SEPARATOR: char = '-';
 
-/// A hash of some of what a request asks for.
+/// A hash over parts of a request.
 ///
-/// Eight bytes: a node compares what comes with some hundred fingerprints at most, so
-/// that one that is met by chance would take longer than any deployment lasts.
+/// It has eight bytes: a node compares requests with some hundred fingerprints at most, so
+/// that the expected time to a collision is longer than the life of any deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// The fingerprint of what was hashed so far.
+    /// The fingerprint of all parts hashed so far.
     fn of(hasher: &blake3::Hasher) -> Fingerprint {
         Fingerprint(Digest::from_hash(&hasher.finalize()).head())
     }
 
-    /// Reads the hexadecimal form that [`fmt::Display`] writes.
+    /// Parses the hexadecimal form that [`fmt::Display`] writes.
     fn parse(text: &str) -> Option<Fingerprint> {
         let is_hex = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         let n = is_hex.then(|| u64::from_str_radix(text, 16).ok());
@@ -40,11 +40,11 @@
     }
 }
 
-/// What a request asks for, whoever sends it and by whatever id: with its query and
-/// without.
+/// The content of a request, with its query and without. It doesn't depend on the caller
+/// or the request's id.
 ///
-/// A handler may crash on one query of a path, or on the path whatever the query: a caller
-/// that comes back may have changed a part of the query that doesn't matter.
+/// A handler may crash on one query of a path, or on the path with any query: a caller that
+/// repeats a request may change a part of the query that makes no difference.
 ///
 /// # Example
 ///
@@ -63,8 +63,8 @@
 }
 
 impl Content {
-    /// The content of a request; of one whose body isn't held as a whole, its length if
-    /// that is known stands for the body.
+    /// The content of a request. If its body isn't buffered as a whole, `body` is the
+    /// length of the body if that is known.
     pub fn of(method: &str, host: &str, path: &str, query: Option<&str>, body: &[u8]) -> Content {
         let mut hasher = blake3::Hasher::new();
         for part in [method.as_bytes(), host.as_bytes(), path.as_bytes(), body] {
@@ -78,27 +78,27 @@
         Content { whole, resource }
     }
 
-    /// All that it asks for.
+    /// The fingerprint of the whole request.
     pub const fn whole(&self) -> Fingerprint {
         self.whole
     }
 
-    /// The same but for the query.
+    /// The fingerprint of the request without its query.
     pub const fn resource(&self) -> Fingerprint {
         self.resource
     }
 
-    /// Both, or one if it has no query.
+    /// Both fingerprints, or one if the request has no query.
     pub fn fingerprints(&self) -> impl Iterator<Item = Fingerprint> + use<> {
         let wider = (self.resource != self.whole).then_some(self.resource);
         std::iter::once(self.whole).chain(wider)
     }
 
-    /// Reads the form that [`fmt::Display`] writes.
+    /// Parses the form that [`fmt::Display`] writes.
     ///
     /// # Errors
     ///
-    /// Fails unless it is one or two fingerprints.
+    /// Fails unless `text` is one or two fingerprints.
     pub fn parse(text: &str) -> Result<Content> {
         let (whole, resource) = text.split_once(SEPARATOR).unwrap_or((text, text));
         let parsed = Fingerprint::parse(whole).zip(Fingerprint::parse(resource));
@@ -118,7 +118,8 @@
     }
 }
 
-/// Hashes one part; with its length before it, none can run into the next.
+/// Hashes one part, preceded by its length, so that different divisions of the same bytes
+/// into parts have different hashes.
 fn hash_part(hasher: &mut blake3::Hasher, part: &[u8]) {
     hasher.update(&(part.len() as u64).to_le_bytes());
     hasher.update(part);
--- a/crates/core/src/quarantine/observed_at.rs
+++ b/crates/core/src/quarantine/observed_at.rs
@@ -1,4 +1,4 @@
-//! When something was seen, also before this process began.
+//! Times of observations, which may lie before the start of the process.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 
 /// A time that may lie up to [`REPORT_RETENTION`] before the process's first tick.
 ///
-/// A node that starts hears of crashes from before. Were all of them dated at its start,
-/// an answer from before a crash would excuse it.
+/// A starting node receives reports of earlier crashes. If all of them were dated at its
+/// start, an answer from before a crash would count as one after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ObservedAt(Tick);
 
-/// How long what was seen counts.
+/// How long an observation counts.
 pub(super) const REPORT_RETENTION: Duration = Duration::from_secs(3_600);
 
 impl ObservedAt {
-    /// So long before `now`; nothing if that is too old to count.
+    /// The time `age` before `now`, or nothing if that is too old to count.
     pub(super) fn from_age(now: Tick, age: Duration) -> Option<ObservedAt> {
         let left = REPORT_RETENTION
             .checked_sub(age)
@@ -23,17 +23,17 @@
         Some(ObservedAt(now + left))
     }
 
-    /// How long before `now` it was.
+    /// The time from it to `now`.
     pub(super) fn age(self, now: Tick) -> Duration {
         (now + REPORT_RETENTION).since(self.0)
     }
 
-    /// So much later.
+    /// The time `span` later.
     pub(super) fn later_by(self, span: Duration) -> ObservedAt {
         ObservedAt(self.0 + span)
     }
 
-    /// The process's tick then; its first for what was before.
+    /// It as a tick of the process, at the earliest the process's first tick.
     pub(super) fn tick(self) -> Tick {
         Tick::ZERO + self.0.since(Tick::ZERO + REPORT_RETENTION)
     }
--- a/crates/core/src/quarantine/pending_answers.rs
+++ b/crates/core/src/quarantine/pending_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that others may have to hear of.
+//! Answers that may have to be reported to other nodes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,19 +10,20 @@
 use super::Verdicts;
 use crate::Tick;
 
-/// The longest that a node waits for others to tell of an answer first: some times as long
-/// as a report takes through a large fleet.
+/// The longest time that a node waits for another node to report an answer first: some
+/// times as long as the dissemination of a report takes in a large fleet.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// How much of that each node of the fleet is worth: small fleets need not wait long.
+/// The part of [`MAX_WAIT`] for each node of the fleet: small fleets need only short waits.
 const WAIT_PER_NODE: Duration = Duration::from_millis(10);
 
-/// Answers that this node saw and has not told yet.
+/// Answers that this node saw and has not reported yet.
 ///
-/// What is asked often is answered by all nodes, and all begin to doubt it at once. Were each
-/// to tell of its answer, a fleet of thousands would send thousands of reports to everybody.
-/// Each waits for a random time, of which short ones are rare, and says nothing if the first
-/// report has ended the doubt by then.
+/// A frequent request is answered through all nodes, and becomes suspect on all of them at
+/// once. If each node reported its answer, a fleet of thousands would send thousands of
+/// reports to every node. Each node therefore waits for a random time, of which short ones
+/// are rare, and sends no report if the request is no longer suspect by then, because of
+/// the first report.
 #[derive(Debug, Default)]
 pub(crate) struct PendingAnswers(BTreeMap<Fingerprint, PendingAnswer>);
 
@@ -33,7 +34,7 @@
 }
 
 impl PendingAnswers {
-    /// Notes an answer at `answered`, in a fleet of so many nodes.
+    /// Adds an answer given at `answered`, in a fleet of `nodes` nodes.
     pub(crate) fn note(
         &mut self,
         now: Tick,
@@ -50,12 +51,13 @@
         pending.answered = pending.answered.max(answered);
     }
 
-    /// When the next is to be told.
+    /// When the next answer is to be reported.
     pub(crate) fn due(&self) -> Option<Tick> {
         self.0.values().map(|pending| pending.due).min()
     }
 
-    /// Takes those that are due and still in doubt, with when they were answered.
+    /// Takes the requests whose answer is due and which are still suspect, each with the
+    /// time of its answer. Answers to requests that are no longer suspect are dropped.
     pub(crate) fn take_due(&mut self, now: Tick, verdicts: &Verdicts) -> Vec<(Fingerprint, Tick)> {
         let mut due_answers = Vec::new();
         self.0.retain(|content, pending| {
@@ -72,8 +74,8 @@
     }
 }
 
-/// A random wait by which one node of the fleet, about, doesn't wait at all, and the
-/// number of those that have waited so long grows by a constant factor in equal times.
+/// A random wait. Of the whole fleet, about one node doesn't wait at all, and the number
+/// of nodes whose wait has ended grows by a constant factor in equal times.
 fn random_wait(nodes: usize, rng: &mut impl Rng) -> Duration {
     let nodes = u32::try_from(nodes.max(2)).unwrap_or(u32::MAX);
     let longest = MAX_WAIT.min(WAIT_PER_NODE * nodes);
--- a/crates/core/src/quarantine/report.rs
+++ b/crates/core/src/quarantine/report.rs
@@ -1,4 +1,4 @@
-//! What nodes see of requests and crashes, and tell one another.
+//! Reports of crashes, answers and releases, as nodes exchange them.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,37 +7,37 @@
 use super::Fingerprint;
 use crate::InstanceId;
 
-/// What a node has seen, or was told by an operator.
+/// An observation of a node, or an order of an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Sighting {
-    /// The target crashed while it ran these.
+    /// The target crashed while it ran requests of these contents.
     Crashed(Vec<Content>),
     /// The target gave a whole answer to a request of this content.
     Answered(Fingerprint),
-    /// An operator let requests of this content run again.
+    /// An operator released requests of this content from quarantine.
     Released(Fingerprint),
 }
 
-/// Which report it is.
+/// The id of a report.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ReportId {
-    /// The node that saw it, or was told.
+    /// The node that made the observation or received the order.
     pub witness: InstanceId,
-    /// Which start of that node.
+    /// The incarnation of that node.
     pub incarnation: u64,
-    /// Counts the reports of that start.
+    /// The number of the report within that incarnation.
     pub number: u64,
 }
 
-/// A sighting on its way between nodes.
+/// An observation as nodes exchange it.
 ///
-/// It is told as an age, since wall clocks differ between instances.
+/// It carries its age instead of a time, since wall clocks differ between instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Which it is.
+    /// The id of the report.
     pub id: ReportId,
-    /// Milliseconds since it was seen.
+    /// Milliseconds since the observation.
     pub age_ms: u32,
-    /// What was seen.
+    /// The observation.
     pub sighting: Sighting,
 }
--- a/crates/core/src/quarantine/reports.rs
+++ b/crates/core/src/quarantine/reports.rs
@@ -1,4 +1,4 @@
-//! All reports that a node knows.
+//! The reports that a node keeps.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,30 +18,31 @@
 use crate::Digest;
 use crate::Tick;
 
-/// Reports that are kept; of those that prove nothing, the oldest go first.
+/// The largest number of reports kept. Beyond it, the oldest of those that contribute to
+/// no verdict are evicted first.
 const MAX_REPORTS: usize = 512;
 
-/// Requests of one crash that are told at most: all slots of large targets.
+/// The largest number of requests in the report of one crash: all slots of a large target.
 const MAX_CONTENTS_PER_CRASH: usize = 256;
 
-/// Bytes of reports in one comparison, about: nodes that know different ones, since there
-/// are more than are kept, send so many every few seconds.
+/// The approximate bytes of reports in one anti-entropy message. Nodes that keep different
+/// reports, since there are more than are kept, send this many bytes every few seconds.
 const MAX_MESSAGE_BYTES: usize = 8 * 1024;
 
-/// Bytes of a report beside what it tells of requests, about.
+/// The approximate bytes of a report without its requests.
 const REPORT_OVERHEAD_BYTES: usize = 32;
 
-/// Bytes that one request takes in a report.
+/// The bytes of one request in a report.
 const CONTENT_BYTES: usize = 18;
 
-/// The reports that a node has made or heard of.
+/// The reports that a node has made or received.
 ///
 /// # Invariants
 ///
-/// A report is never changed: the first copy of it counts. `root` is over the ids of those
-/// that are kept, so that two nodes with the same root know the same. `crashes` counts the
-/// reports of crashes that tell of a request, and while `is_up_to_date`, `verdicts` follow from
-/// the reports.
+/// A report is never changed: the first copy of it counts. `root` is a hash over the ids of
+/// the kept reports, so that two nodes with the same root keep the same reports. `crashes`
+/// counts for each request the crash reports that contain it. While `is_up_to_date`,
+/// `verdicts` follow from the reports.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
     reports: BTreeMap<ReportId, KeptReport>,
@@ -58,7 +59,7 @@
 }
 
 impl Reports {
-    /// Takes a report in; false if it says nothing new.
+    /// Adds a report. Returns false if it is already kept or too old to count.
     pub(crate) fn merge(&mut self, now: Tick, report: &Report) -> bool {
         let age = Duration::from_millis(report.age_ms.into());
         let Some(at) = ObservedAt::from_age(now, age) else {
@@ -72,7 +73,7 @@
             ran.truncate(MAX_CONTENTS_PER_CRASH);
         }
         let kept = KeptReport { at, sighting };
-        // INVARIANT: A report goes into the root once, as it comes.
+        // INVARIANT: A report enters the root once, when it is added.
         self.root ^= hash_id(&report.id);
         let contents = kept.contents();
         if kept.is_crash() {
@@ -88,7 +89,7 @@
         true
     }
 
-    /// Forgets what is too old to count.
+    /// Removes the reports that are too old to count.
     pub(crate) fn forget(&mut self, now: Tick) {
         let is_old = |kept: &KeptReport| kept.at.age(now) >= REPORT_RETENTION;
         let old = self.reports.iter().filter(|(_, kept)| is_old(kept));
@@ -102,7 +103,7 @@
         let Some(kept) = self.reports.remove(id) else {
             return;
         };
-        // INVARIANT: What goes leaves the root and the counts.
+        // INVARIANT: A removed report leaves the root and the counts.
         self.root ^= hash_id(id);
         let contents = kept.contents();
         self.invalidate_verdicts(&contents);
@@ -119,8 +120,9 @@
         }
     }
 
-    /// Notes that a report of these has come or goes. Most tell of requests that fell with
-    /// one target alone, and change no verdict.
+    /// Marks the verdicts as outdated if a report of these contents, added or removed, may
+    /// change them. Most reports contain only requests that were lost with a single target,
+    /// and change no verdict.
     fn invalidate_verdicts(&mut self, contents: &BTreeSet<Fingerprint>) {
         let is_suspect = |content| {
             self.crashes
@@ -130,7 +132,7 @@
         self.is_up_to_date &= !contents.iter().any(is_suspect);
     }
 
-    /// Judges anew; gives the verdicts before and now if these are others.
+    /// Evaluates the reports. Returns the previous and the new verdicts if they differ.
     pub(crate) fn judge(&mut self) -> Option<(Verdicts, &Verdicts)> {
         if std::mem::replace(&mut self.is_up_to_date, true) {
             return None;
@@ -156,24 +158,24 @@
         Some((before, &self.verdicts))
     }
 
-    /// What follows from the reports, as it was judged last.
+    /// The verdicts of the last evaluation.
     pub(crate) fn verdicts(&self) -> &Verdicts {
         &self.verdicts
     }
 
-    /// A hash over all that is known.
+    /// A hash over the ids of all kept reports.
     pub(crate) fn root(&self) -> u64 {
         self.root
     }
 
-    /// A report with its age at `now`.
+    /// A report with its age at `now`, if it is kept.
     pub(crate) fn report_at(&self, now: Tick, id: &ReportId) -> Option<Report> {
         let kept = self.reports.get(id)?;
         Some(kept.report_at(now, id))
     }
 
-    /// As many reports as fit into a message: those of what is in quarantine first, then
-    /// the newest.
+    /// As many reports as fit into a message: the significant ones first, and of equally
+    /// significant ones the newest first.
     pub(crate) fn reports_to_send(&self, now: Tick) -> Vec<Report> {
         let mut by_significance: Vec<(&ReportId, &KeptReport)> = self.reports.iter().collect();
         by_significance.sort_by_cached_key(|(_, kept)| (self.is_significant(kept), kept.at));
@@ -189,7 +191,8 @@
         selected
     }
 
-    /// Whether it tells of a request that is in quarantine or nearly so.
+    /// Whether the report contributes to a verdict: it is an answer or a release, or a crash
+    /// report with a suspect request.
     fn is_significant(&self, kept: &KeptReport) -> bool {
         match &kept.sighting {
             Sighting::Answered(_) | Sighting::Released(_) => true,
@@ -200,8 +203,8 @@
         }
     }
 
-    /// Makes room: crashes of many targets that have nothing in common mustn't push out
-    /// those that prove something.
+    /// Evicts one report. Crashes of many targets without a common request must not evict
+    /// the reports that contribute to a verdict.
     fn evict_one(&mut self) {
         let least = self
             .reports
@@ -219,7 +222,7 @@
         matches!(self.sighting, Sighting::Crashed(_))
     }
 
-    /// What it tells of, each once.
+    /// The fingerprints in the report, each once.
     fn contents(&self) -> BTreeSet<Fingerprint> {
         match &self.sighting {
             Sighting::Crashed(ran) => ran.iter().flat_map(Content::fingerprints).collect(),
@@ -236,7 +239,7 @@
         }
     }
 
-    /// Bytes in a message, about.
+    /// The approximate bytes of the report in a message.
     fn bytes(&self) -> usize {
         match &self.sighting {
             Sighting::Crashed(ran) => REPORT_OVERHEAD_BYTES + CONTENT_BYTES * ran.len(),
--- a/crates/core/src/quarantine/tests.rs
+++ b/crates/core/src/quarantine/tests.rs
@@ -13,7 +13,7 @@
 use crate::InstanceId;
 use crate::Tick;
 
-/// When the reports of the cases are heard, in seconds.
+/// When the reports of the cases are received, in seconds.
 const RECEIVED_S: u64 = 1_000;
 
 fn at(secs: u64) -> Tick {
@@ -27,7 +27,7 @@
     Content::of("GET", "desk.example", path, query, b"")
 }
 
-/// A report of something that was seen in second `at_s`, heard in second `now_s`.
+/// A report of an observation in second `at_s`, received in second `now_s`.
 fn report(number: u64, at_s: u64, now_s: u64, sighting: Sighting) -> Report {
     Report {
         id: ReportId {
@@ -42,11 +42,11 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Observed {
-    /// A crash under these.
+    /// A crash while these ran.
     Crash(u64, &'static [&'static str]),
-    /// An answer to it.
+    /// An answer to this request.
     Answer(u64, &'static str),
-    /// An operator's release.
+    /// An operator's release of this request.
     Release(u64, &'static str),
 }
 
@@ -107,7 +107,7 @@
     held: &[],
     free: &["/a"],
 })]
-// All targets of a failure domain fall at once, under what every one of them ran.
+// All targets of a failure domain crash at once, while all of them run the same request.
 #[case::an_answer_exempts_from_crashes_shortly_after_it(Case {
     observed: &[
         Observed::Answer(985, "/a"),
@@ -118,7 +118,7 @@
     held: &[],
     free: &["/a"],
 })]
-// Targets were mended, and operators let the request run again.
+// The targets were fixed, and operators released the request.
 #[case::a_release_exempts_from_crashes_before_it(Case {
     observed: &[
         Observed::Crash(990, &["/a", "/b"]),
@@ -129,7 +129,7 @@
     held: &["/b"],
     free: &["/a"],
 })]
-// They weren't mended: unlike an answer, a release speaks for nothing that comes after it.
+// The targets weren't fixed: unlike an answer, a release exempts from no crash after it.
 #[case::a_release_does_not_exempt_from_later_crashes(Case {
     observed: &[
         Observed::Crash(980, &["/a"]),
@@ -143,7 +143,7 @@
     held: &["/a"],
     free: &[],
 })]
-// A new release of a service crashes under what the one before answered.
+// A new version of a service crashes on a request that the previous version answered.
 #[case::an_old_answer_does_not_exempt(Case {
     observed: &[
         Observed::Answer(900, "/a"),
@@ -193,7 +193,7 @@
     held: &[],
     free: &["/a?page=1", "/a"],
 })]
-// After ten minutes without a crash it may show that its targets were mended.
+// After ten minutes without a crash a request may run again, as its targets may be fixed.
 #[case::quarantine_ends(Case {
     observed: &[
         Observed::Crash(390, &["/a"]),
@@ -214,7 +214,7 @@
     free: &[],
 })]
 fn quarantine_follows_from_the_reports_in_any_order(#[case] case: Case) {
-    // In whatever order it is heard, and also by a node that started in between.
+    // In any order of the reports, and also on a node that started in between.
     for started_s in [0, 995] {
         for seed in 0..8 {
             let mut reports: Vec<Report> = (1..)
@@ -243,8 +243,8 @@
     report(number, now_s, now_s, Sighting::Crashed(vec![content(path)]))
 }
 
-// Hundreds of targets fall for reasons of their own after one request had crashed three.
-// The reports of those three must not go to make room.
+// After one request crashed three targets, many others crash for other reasons.
+// Guards against the eviction of the reports of the three.
 #[test]
 fn insignificant_reports_are_evicted_first() {
     let mut known = Reports::default();
@@ -263,7 +263,7 @@
     assert_eq!(selected.iter().filter(of_first_three).count(), 3);
 }
 
-// Two nodes that know the same have the same root, and one that forgot has another.
+// Two nodes with the same reports have the same root, and one that removed some has another.
 #[test]
 fn the_root_depends_only_on_the_kept_reports() {
     let (mut one, mut other) = (Reports::default(), Reports::default());
--- a/crates/core/src/quarantine/verdicts.rs
+++ b/crates/core/src/quarantine/verdicts.rs
@@ -1,4 +1,4 @@
-//! What follows from the reports.
+//! Which requests are in quarantine, as it follows from the reports.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,36 +11,35 @@
 use super::observed_at::ObservedAt;
 use crate::Tick;
 
-/// Crashes under one request after which no target runs it any more.
+/// The number of crashes while a request ran after which no target runs it any more.
 pub const CRASHES: usize = 3;
 
-/// Crashes after which an answer to it has to be told: one more would make
-/// [`CRASHES`].
+/// The number of crashes after which a request is suspect and answers to it have to be
+/// reported: one more crash makes [`CRASHES`].
 pub(super) const CRASHES_TO_SUSPECT: usize = CRASHES - 1;
 
-/// How long a request is in quarantine after the last crash under it. Then it may show
-/// that its targets were mended; one more crash puts it back.
+/// How long a request stays in quarantine after the last crash while it ran. Then it may run
+/// again, as its targets may have been fixed. One more crash renews the quarantine.
 const QUARANTINE_PERIOD: Duration = Duration::from_secs(600);
 
-/// How long an answer excuses a request from crashes after it. Targets that fall together
-/// fall under everything that is asked often, before another could answer.
+/// How long after an answer crashes don't count against the request. Targets that crash
+/// together do so while they run all frequent requests, before another target could answer.
 pub const ANSWER_EXCUSES: Duration = Duration::from_secs(10);
 
-/// Which requests are in quarantine, and of which it matters to know that they were
-/// answered.
+/// The requests in quarantine, and the suspect ones, whose answers have to be reported.
 ///
 /// # Invariants
 ///
-/// Whatever is in quarantine is doubted as well.
+/// Every request in quarantine is suspect as well.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Verdicts {
-    /// Until when each is in quarantine.
+    /// The end of the quarantine of each request.
     quarantined: BTreeMap<Fingerprint, Tick>,
     suspects: BTreeSet<Fingerprint>,
 }
 
 impl Verdicts {
-    /// Until when no target is to run a request, if it is in quarantine at `now`.
+    /// The time until which no target may run a request, if it is in quarantine at `now`.
     pub fn held_until(&self, now: Tick, content: &Content) -> Option<Tick> {
         if self.quarantined.is_empty() {
             return None;
@@ -50,17 +49,17 @@
         until.filter(|until| now < *until)
     }
 
-    /// Whether others are to hear that a request was answered.
+    /// Whether a request is suspect, so that answers to it have to be reported.
     pub fn doubts(&self, content: Fingerprint) -> bool {
         self.suspects.contains(&content)
     }
 
-    /// All of which others are to hear that they were answered.
+    /// All suspect requests.
     pub fn doubted(&self) -> impl Iterator<Item = Fingerprint> {
         self.suspects.iter().copied()
     }
 
-    /// Those in quarantine at `now`, and until when.
+    /// The requests in quarantine at `now`, each with the end of its quarantine.
     pub fn held_at(&self, now: Tick) -> impl Iterator<Item = (Fingerprint, Tick)> {
         let held = self
             .quarantined
@@ -69,17 +68,18 @@
         held.filter(move |(_, until)| now < *until)
     }
 
-    /// Those in quarantine, or that were.
+    /// The requests that are in quarantine, or whose quarantine has ended.
     pub fn held(&self) -> impl Iterator<Item = Fingerprint> {
         self.quarantined.keys().copied()
     }
 
-    /// Whether it is in quarantine, or was.
+    /// Whether a request is in quarantine, or its quarantine has ended.
     pub(crate) fn holds(&self, content: Fingerprint) -> bool {
         self.quarantined.contains_key(&content)
     }
 
-    /// Judges by crashes, and by the moment up to which each request is excused from them.
+    /// Evaluates crashes. `exempt_until` is the time up to which crashes don't count against
+    /// a request.
     pub(super) fn evaluate(
         crashes: &[(ObservedAt, &[Content])],
         exempt_until: &HashMap<Fingerprint, ObservedAt>,
@@ -90,8 +90,8 @@
             by_whole.count(*at, ran.iter().map(Content::whole));
         }
         by_whole.evaluate(&mut verdicts);
-        // A crash under a request that is in quarantine is no sign against others that
-        // differ from it by their query.
+        // A crash while a quarantined request ran doesn't count against requests that differ
+        // from it only by their query.
         let mut by_resource = CrashCounts::new(exempt_until);
         for (at, ran) in crashes {
             let held = ran.iter().filter(|it| verdicts.holds(it.whole()));
@@ -104,7 +104,7 @@
     }
 }
 
-/// Crashes by fingerprint.
+/// The crashes that count against each fingerprint.
 #[derive(Debug)]
 struct CrashCounts<'a> {
     exempt_until: &'a HashMap<Fingerprint, ObservedAt>,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// CrashCounts one crash against each that ran, once.
+    /// Counts one crash against each request that ran, however many copies of it ran.
     fn count(&mut self, at: ObservedAt, ran: impl Iterator<Item = Fingerprint>) {
         let ran: HashSet<Fingerprint> = ran.collect();
         for content in ran {
