--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -1,7 +1,7 @@
-//! Planned stops: take nothing new, finish what runs, then stop.
+//! Planned stops: refuse new requests, finish those in flight, then stop.
 //!
-//! A target and its node are drained apart. While only the target drains, the
-//! node goes on to carry the calls that the target makes.
+//! A target and its node are drained separately. While only the target drains,
+//! the node still forwards the calls that the target makes.
 
 pub use self::atomic_word::Word;
 pub use self::gate::Gate;
--- a/crates/core/src/drain/atomic_word.rs
+++ b/crates/core/src/drain/atomic_word.rs
@@ -1,15 +1,16 @@
-//! The one shared word of a gate.
+//! The atomic word of a gate.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// An atomic word; a trait so that tests can explore every interleaving.
+/// An atomic word. It is a trait so that tests can explore interleavings of
+/// threads.
 pub trait Word: Send + Sync {
-    /// A word of zero.
+    /// A word with the value zero.
     fn zero() -> Self;
-    /// Reads it.
+    /// Reads the value.
     fn load(&self) -> u64;
-    /// Writes `new` if it is `current`, and tells whether it was.
+    /// Writes `new` if the value is `current`. Returns whether it was.
     fn compare_and_set(&self, current: u64, new: u64) -> bool;
 }
 
--- a/crates/core/src/drain/gate.rs
+++ b/crates/core/src/drain/gate.rs
@@ -1,4 +1,4 @@
-//! Counting what runs, with a door that closes.
+//! A count of the requests in flight that can be closed to new ones.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,15 +9,16 @@
 use crate::Step;
 use crate::Word;
 
-/// The bit that says that the gate is closed; those below it count.
+/// The bit that is set when the gate is closed. The lower bits are the count.
 const CLOSED_BIT: u64 = 1 << 63;
 
-/// Counts requests in flight and lets none in once it is closed.
+/// Counts requests in flight, and refuses new ones once it is closed.
 ///
 /// # Invariants
 ///
-/// Door and count are one word: after the closing write no request enters, so
-/// that a count of zero seen on a closed gate is final.
+/// The closed bit and the count are in one atomic word: after the write that
+/// closes the gate no request enters, so that a count of zero read from a
+/// closed gate is final.
 pub struct Gate<W: Word = AtomicU64>(Arc<W>);
 
 impl<W: Word> Gate<W> {
@@ -26,7 +27,7 @@
         Gate(Arc::new(W::zero()))
     }
 
-    /// Lets a request in.
+    /// Admits a request.
     ///
     /// # Errors
     ///
@@ -43,12 +44,12 @@
         }
     }
 
-    /// Whether it is closed.
+    /// Whether the gate is closed.
     pub fn is_closed(&self) -> bool {
         self.0.load() & CLOSED_BIT != 0
     }
 
-    /// How many passes there are.
+    /// The number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.0.load() & !CLOSED_BIT
     }
@@ -86,8 +87,9 @@
     }
 }
 
-/// Held by a request in flight until its answer has been sent whole.
-#[must_use = "dropping a pass ends the request"]
+/// Counts a request as in flight until it is dropped, which is when the whole
+/// answer has been sent.
+#[must_use = "dropping it ends the count of the request as in flight"]
 pub struct Pass<W: Word = AtomicU64>(Arc<W>);
 
 impl<W: Word> Drop for Pass<W> {
--- a/crates/core/src/drain/stage.rs
+++ b/crates/core/src/drain/stage.rs
@@ -1,4 +1,4 @@
-//! The stages of a planned stop, as types.
+//! The stages of a planned stop as types.
 
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
@@ -7,40 +7,41 @@
 use crate::Tick;
 use crate::Word;
 
-/// New work is taken.
+/// New requests are admitted.
 #[derive(Debug)]
 pub struct Serving(());
 
-/// New work is refused as not run; what runs goes on until the bound.
+/// New requests are refused as not run. Those in flight continue until the
+/// bound.
 #[derive(Debug)]
 pub struct Draining {
     until: Tick,
 }
 
-/// Nothing runs any more, or the bound has passed.
+/// No request is in flight, or the bound has passed.
 #[derive(Debug)]
 pub struct Stopped {
     cut: u64,
 }
 
-/// A planned stop of whatever a gate guards.
+/// A planned stop of a target or node, whose requests enter through a gate.
 #[derive(Debug)]
 pub struct Drain<S, W: Word = AtomicU64> {
     gate: Gate<W>,
     stage: S,
 }
 
-/// How far a drain has come.
+/// The result of polling a drain.
 #[derive(Debug)]
 pub enum Progress<W: Word = AtomicU64> {
     /// Requests are in flight and the bound hasn't passed.
     Waiting(Drain<Draining, W>),
-    /// It is over.
+    /// The drain has ended.
     Over(Drain<Stopped, W>),
 }
 
 impl<W: Word> Drain<Serving, W> {
-    /// Begins to serve through a new, open gate.
+    /// Starts in the serving stage with a new, open gate.
     pub fn serving() -> Drain<Serving, W> {
         Drain {
             gate: Gate::open(),
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Closes the gate; what is in flight has `bound` to finish.
+    /// Closes the gate. Requests in flight have `bound` to finish.
     pub fn begin(self, now: Tick, bound: Duration) -> Drain<Draining, W> {
         self.gate.close();
         let until = now + bound;
@@ -60,19 +61,20 @@
 }
 
 impl<W: Word> Drain<Draining, W> {
-    /// A further planned stop while this one goes on: it never shortens the
-    /// bound, so that it cuts nothing that the first would have let finish.
+    /// Applies a further planned stop during this one. It never shortens the
+    /// bound, so that it cuts no request that could finish in the first.
     pub fn begin_again(mut self, now: Tick, bound: Duration) -> Drain<Draining, W> {
         self.stage.until = self.stage.until.max(now + bound);
         self
     }
 
-    /// When the bound passes.
+    /// The end of the bound.
     pub const fn until(&self) -> Tick {
         self.stage.until
     }
 
-    /// Looks whether it is over: nothing in flight, or the bound has passed.
+    /// Checks whether the drain has ended: no request is in flight, or the bound
+    /// has passed.
     pub fn poll(self, now: Tick) -> Progress<W> {
         let in_flight = self.gate.in_flight();
         if in_flight > 0 && now < self.stage.until {
@@ -85,7 +87,7 @@
         })
     }
 
-    /// Takes new work again, as when a target comes back after its restart.
+    /// Admits new requests again, for example after a restart of the target.
     pub fn reopen(self) -> Drain<Serving, W> {
         self.gate.reopen();
         Drain {
@@ -96,12 +98,12 @@
 }
 
 impl<W: Word> Drain<Stopped, W> {
-    /// Requests that were still in flight when the bound passed.
+    /// The number of requests in flight when the bound passed.
     pub const fn cut(&self) -> u64 {
         self.stage.cut
     }
 
-    /// Takes new work again, as when a target comes back after its restart.
+    /// Admits new requests again, for example after a restart of the target.
     pub fn reopen(self) -> Drain<Serving, W> {
         self.gate.reopen();
         Drain {
@@ -112,7 +114,7 @@
 }
 
 impl<S, W: Word> Drain<S, W> {
-    /// The gate, through which each request enters.
+    /// The gate through which each request enters.
     pub const fn gate(&self) -> &Gate<W> {
         &self.gate
     }
--- a/crates/core/src/drain/tests.rs
+++ b/crates/core/src/drain/tests.rs
@@ -39,13 +39,13 @@
     }
 }
 
-/// Guards against a request that slips in after a drain saw nothing in flight.
+/// Guards against a request that enters after a drain found none in flight.
 #[test]
 fn no_request_enters_an_empty_closed_gate() {
     shuttle::check_random(race_entry_with_drain::<AtomicU64>, 2_000);
 }
 
-// The same with a word whose compare and write are two steps.
+// The same race with a word whose compare and write are two steps must be found.
 #[test]
 #[should_panic]
 fn the_race_is_found_with_a_two_step_word() {
@@ -88,7 +88,11 @@
         }
         thread::yield_now();
     }
-    assert_eq!(inside.load(Ordering::SeqCst), 0, "one runs after the stop");
+    assert_eq!(
+        inside.load(Ordering::SeqCst),
+        0,
+        "a request runs after the stop"
+    );
     for thread in threads {
         thread.join().unwrap();
     }
@@ -104,7 +108,7 @@
     }
 }
 
-/// Guards against a request that a second stop cuts.
+/// Guards against a second planned stop that cuts a request of the first.
 #[test]
 fn a_second_planned_stop_does_not_shorten_the_bound() {
     let serving = Drain::<Serving>::serving();
@@ -118,7 +122,7 @@
     let drain = waiting(drain.poll(NOW + Duration::from_secs(29)));
     drop(pass);
     let Progress::Over(over) = drain.poll(NOW + Duration::from_secs(29)) else {
-        panic!("nothing is in flight");
+        panic!("no request is in flight");
     };
     assert_eq!(over.cut(), 0);
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,9 +1,8 @@
-//! Trying again: only what is proved not to have run, or may run twice, and
-//! only as often as a budget allows.
+//! Retries: only of requests that are proved not to have run or that may run
+//! twice, and only as often as a budget allows.
 //!
-//! The node that first took a call is the only one that tries it again. Were
-//! each hop of a chain to do so, a fault at its far end would multiply with
-//! every hop before it.
+//! Only the caller's node, the first hop, retries a call. If each hop of a
+//! chain did, a fault at its far end would multiply with every hop before it.
 
 pub use self::budget::Budget;
 pub use self::retry_state::Hop;
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -5,28 +5,29 @@
 
 use crate::RetryLimits;
 
-/// What a retry costs.
+/// The cost of a retry.
 const RETRY_COST: u64 = 1_000;
-/// What it costs to go to another endpoint after one that was the wrong one.
+/// The cost of a reroute: a try at another endpoint, after one that kept the
+/// request from its target.
 const REROUTE_COST: u64 = 100;
-/// What is there at the start, so that a service with few calls can retry.
+/// The balance at the start, so that a service with few calls can retry.
 const INITIAL_BALANCE: u64 = 10 * RETRY_COST;
-/// The most that is saved up.
+/// The largest balance.
 const MAX_BALANCE: u64 = 100 * RETRY_COST;
 
-/// The retries that one service still has on this node.
+/// The retry budget of one service on this node.
 ///
-/// Each first try pays a share of a retry in; each retry takes one out. Under
-/// a fault of the whole service the retries are thereby a set share of the
-/// calls, and don't deepen the overload that they came from. What is saved up is
+/// Each first try adds a share of the cost of a retry, and each retry spends
+/// that cost. In a fault of the whole service, retries are thereby a fixed share
+/// of the calls and don't add to the overload that causes them. The balance is
 /// bounded by the service's limits, since all nodes may spend theirs at once.
 ///
-/// Moves have an account of their own: they reach no target, so that they may be
-/// many where retries are few.
+/// Reroutes have a balance of their own: they reach no target, so that many of
+/// them are allowed where retries are few.
 ///
 /// # Invariants
 ///
-/// At most `MAX` is held on either account, and never less than nothing.
+/// Each balance is at least zero and at most `MAX_BALANCE`.
 #[derive(Debug)]
 pub struct Budget {
     retries: AtomicU64,
@@ -34,7 +35,7 @@
 }
 
 impl Budget {
-    /// The budget of a service without calls so far.
+    /// The budget of a service that has had no calls.
     pub const fn new() -> Budget {
         Budget {
             retries: AtomicU64::new(INITIAL_BALANCE),
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Pays in for one first try, by the service's limits.
+    /// Adds the share of one first try, by the service's limits.
     pub(super) fn credit_first_try(&self, limits: &RetryLimits) {
         let amount = RETRY_COST * u64::from(limits.budget_percent) / 100;
         let limit = RETRY_COST * u64::from(limits.burst);
@@ -50,12 +51,12 @@
         credit(&self.reroutes, amount, MAX_BALANCE);
     }
 
-    /// Takes out a retry, if there is one.
+    /// Spends the cost of a retry. Returns false if the balance is too small.
     pub(super) fn spend_retry(&self) -> bool {
         debit(&self.retries, RETRY_COST)
     }
 
-    /// Takes out a move to another endpoint, if there is one.
+    /// Spends the cost of a reroute. Returns false if the balance is too small.
     pub(super) fn spend_reroute(&self) -> bool {
         debit(&self.reroutes, REROUTE_COST)
     }
@@ -63,13 +64,13 @@
 
 fn credit(account: &AtomicU64, amount: u64, limit: u64) {
     let held = account.load(Ordering::Relaxed);
-    // Most calls meet a full account, which takes no write that the traffic
-    // threads would contend for.
+    // On most calls the balance is full. Returning early avoids a write for
+    // which the traffic threads would contend.
     if held == limit {
         return;
     }
-    // Threads that pay in at once may pass the mark by their shares; the least
-    // of both is written, so that the bound holds.
+    // Threads that add at the same time may exceed the limit by their amounts.
+    // The smaller of sum and limit is written, so that the bound holds.
     let more = |held: u64| Some((held + amount).min(limit));
     let _ = account.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more);
 }
--- a/crates/core/src/retry/retry_state.rs
+++ b/crates/core/src/retry/retry_state.rs
@@ -1,4 +1,4 @@
-//! The tries of one request.
+//! The remaining tries of one request.
 
 use crate::Attempt;
 use crate::Budget;
@@ -10,41 +10,42 @@
 use crate::RetryLimits;
 use crate::Tick;
 
-/// How often a request may go to another endpoint because those before were
-/// the wrong ones.
+/// The largest number of reroutes of a request: tries at another endpoint
+/// because the previous one was the wrong one.
 const MAX_REROUTES: u32 = 4;
 
-/// How often a request may ask another endpoint's node for room because the one
-/// before had none. Nothing reached a target, so that it costs no target
-/// anything; under an overload of the whole service the next is as full.
+/// The largest number of tries at another endpoint because the node of the
+/// previous one had no capacity. No target is reached, so that a try costs no
+/// target anything. In an overload of the whole service the next node is full
+/// as well.
 const MAX_CAPACITY_RETRIES: u32 = 2;
 
-/// Where in a chain of calls a node stands.
+/// The position of a node in a chain of hops.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Hop {
-    /// The node that took the call from its caller.
+    /// The caller's node.
     First,
-    /// A node that got it from another node.
+    /// A node that received the call from another node.
     Later,
 }
 
-/// What to do after a try that brought no answer.
+/// What to do after a try without an answer.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a request is either tried again or answered"]
 pub enum Next {
-    /// Choose an endpoint again and try at once.
+    /// Choose an endpoint again and retry immediately.
     Again,
-    /// This is the final answer, which the caller gets at once.
+    /// Send this failure to the caller immediately as the final answer.
     Stop(Failure),
 }
 
-/// What is left to try of one request.
+/// The remaining tries of one request.
 ///
 /// # Invariants
 ///
 /// [`Next::Again`] only follows a try that is proved not to have run, unless
-/// the route is idempotent. Once a try was lost, no failure that is told says
-/// that the request wasn't run.
+/// the route is idempotent. Once the outcome of a try is unknown, no failure
+/// returned says that the request wasn't run.
 #[derive(Debug)]
 pub struct Tries {
     hop: Hop,
@@ -54,14 +55,14 @@
     retries_left: u32,
     reroutes_left: u32,
     capacity_retries_left: u32,
-    /// Until when the answer is worth most; nobody is asked for room after it.
+    /// The soft deadline: after it, no other node is tried for capacity.
     soft_deadline: Option<Tick>,
-    /// The first try that may have run.
+    /// The loss of the first try that may have run.
     first_loss: Option<Loss>,
 }
 
 impl Tries {
-    /// The tries of a request whose first is about to be made.
+    /// The state of a request before its first try, which adds to `budget`.
     pub fn first(
         hop: Hop,
         idempotent: bool,
@@ -83,21 +84,22 @@
         }
     }
 
-    /// The same for a request whose answer is worth most until `aim`.
+    /// Sets the soft deadline of the request, if it has one.
     #[must_use]
     pub const fn until(mut self, soft_deadline: Option<Tick>) -> Tries {
         self.soft_deadline = soft_deadline;
         self
     }
 
-    /// The same for a request with a key, which only the key's owner may run.
+    /// Marks the request as one with a key, which only the key's owner may run.
     #[must_use]
     pub const fn keyed(mut self, attempt: Attempt) -> Tries {
         self.attempt = Some(attempt);
         self
     }
 
-    /// Whether another endpoint may be asked for room after the next one.
+    /// Whether another endpoint may be tried if the node of the next one has no
+    /// capacity.
     pub fn may_ask_more(&self, now: Tick) -> bool {
         let in_time = self.soft_deadline.is_none_or(|deadline| now < deadline);
         self.hop == Hop::First
@@ -106,7 +108,7 @@
             && in_time
     }
 
-    /// What to do after `failure`.
+    /// Decides what to do after `failure`.
     pub fn after(&mut self, now: Tick, failure: Failure, budget: &Budget) -> Next {
         if let Failure::Lost(loss) = failure {
             self.first_loss.get_or_insert(loss);
@@ -122,12 +124,13 @@
         Next::Stop(self.final_failure(failure))
     }
 
-    /// What the caller is told if `failure` ends the request.
+    /// The failure that the caller receives if `failure` ends the request.
     ///
-    /// A lookup whose first try was lost may have run, although the second
-    /// was refused; the refusal is true of the second alone. Passed on, it
-    /// would tell the caller that nothing ran. The same goes for a refused
-    /// repeat, whose earlier attempt may have run.
+    /// If the first try of an idempotent request was lost and the second was
+    /// refused, the request may have run: the refusal is true only of the
+    /// second try. If it were forwarded, the caller would conclude that nothing
+    /// ran. The same applies to a refused repeat, whose earlier attempt may have
+    /// run.
     pub fn final_failure(&self, failure: Failure) -> Failure {
         if let Some(loss) = self.first_loss {
             return Failure::Lost(loss);
@@ -145,16 +148,16 @@
             Failure::Refused(refusal) => {
                 refusal.outcome() == Outcome::NotRun && !self.is_final(refusal.reason())
             }
-            // After the hand-over nothing proves that it didn't run.
+            // After the hand-over there is no proof that it didn't run.
             Failure::Lost(_) => self.idempotent,
         }
     }
 
-    /// Whether a request that found no room may find some in time.
+    /// Whether a request that found no capacity may find some in time.
     ///
-    /// A request that has waited in vain until its answer is late would wait as
-    /// long again at the next, and its caller hears of it when it has no time
-    /// left to do anything else.
+    /// A request that waited for capacity without effect until its soft deadline
+    /// would wait as long again at the next node. Its caller would receive the
+    /// refusal when it has no time left to do anything else.
     fn has_time_for_capacity(&self, now: Tick, failure: &Failure) -> bool {
         let Failure::Refused(refusal) = failure else {
             return true;
@@ -164,10 +167,10 @@
     }
 
     fn spend(&mut self, failure: &Failure, budget: &Budget) -> bool {
-        // A wrong endpoint says nothing of the load of the service, and no
-        // target has spent anything on the request: it costs less, and is
-        // bounded on its own, so that a drain doesn't use up the retries.
-        // The same goes for a node without room, which kept the request from
+        // A wrong endpoint is no sign of load on the service, and no target has
+        // spent anything on the request. A reroute therefore costs less and has
+        // a bound of its own, so that a drain doesn't use up the retries. The
+        // same applies to a node without capacity, which kept the request from
         // its target.
         let reason = match failure {
             Failure::Refused(refusal) => Some(refusal.reason()),
@@ -189,7 +192,7 @@
         true
     }
 
-    /// Whether trying again would bring the same refusal.
+    /// Whether a retry would be refused for the same reason.
     fn is_final(&self, reason: Reason) -> bool {
         let keyed = self.attempt.is_some();
         match reason {
@@ -207,7 +210,7 @@
             | Reason::NoConfiguration
             | Reason::CallerGone
             | Reason::Quarantined => true,
-            // A key has one owner, and no other endpoint stands in for it.
+            // A key has one owner, which no other endpoint can replace.
             Reason::Connect
             | Reason::Draining
             | Reason::Starting
--- a/crates/core/src/retry/tests.rs
+++ b/crates/core/src/retry/tests.rs
@@ -74,7 +74,7 @@
     assert_eq!(tries.after(NOW, lost(), &budget), Next::Stop(lost()));
 }
 
-/// Guards against retries that double the load of a service that is down.
+/// Guards against retries that double the load of a failing service.
 #[test]
 fn the_budget_bounds_the_retries_of_a_service() {
     let budget = Budget::new();
@@ -86,7 +86,7 @@
     assert!((100..=120).contains(&retried), "{retried}");
 }
 
-/// Guards against a retry budget that refusals of leaving endpoints use up.
+/// Guards against a retry budget that is used up by refusals of draining endpoints.
 #[test]
 fn rerouting_from_a_draining_endpoint_is_cheap_and_bounded() {
     let budget = Budget::new();
@@ -107,7 +107,7 @@
     outcome: Outcome,
 }
 
-/// Guards against a repeat that is called not run while its first attempt may have run.
+/// Guards against a repeat that is reported as not run while its first attempt may have run.
 #[rstest]
 #[case(Reported { attempt: Attempt::MayRepeat, reason: Reason::Draining, outcome: Outcome::Unknown })]
 #[case(Reported { attempt: Attempt::MayRepeat, reason: Reason::Connect, outcome: Outcome::Unknown })]
@@ -118,12 +118,12 @@
     let budget = Budget::new();
     let mut tries = tries(Hop::First, false, &budget).keyed(case.attempt);
     let Next::Stop(failure) = tries.after(NOW, refused(case.reason), &budget) else {
-        panic!("a key has one owner: {case:?}");
+        panic!("a request with a key must not be retried: {case:?}");
     };
     assert_eq!(failure.outcome(), case.outcome, "{case:?}");
 }
 
-/// Guards against retries saved up by many nodes and spent at once.
+/// Guards against balances that many nodes build up and spend at once.
 #[test]
 fn the_balance_is_bounded_by_the_limits_of_the_service() {
     let limits = RetryLimits { burst: 2, ..LIMITS };
@@ -138,6 +138,6 @@
     }
     assert_eq!(
         retries, 3,
-        "two that were saved, and a tenth of the calls since"
+        "two of the balance, and a tenth of the calls since"
     );
 }
--- a/crates/core/src/retry/tests/properties.rs
+++ b/crates/core/src/retry/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Over drawn failures, beside a naive version.
+//! Properties over random failures, compared with a naive version.
 
 use std::time::Duration;
 
@@ -25,14 +25,14 @@
 use crate::Tick;
 use crate::Tries;
 
-/// How long a request may take.
+/// The timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tries of one request that may not have reached a target, besides those that
-/// did: moves away from wrong endpoints, and asks for room.
+/// The largest number of retries of one request after tries that reached no
+/// target: reroutes from wrong endpoints, and tries at nodes without capacity.
 const MAX_RETRIES_WITHOUT_TARGET: usize = 4 + 2;
 
-/// One request and how its tries fail, one after the other.
+/// One request with the failures of its tries, each with its time in milliseconds.
 #[derive(Debug, Clone)]
 struct RandomRequest {
     hop: Hop,
@@ -41,8 +41,8 @@
 }
 
 impl RandomRequest {
-    /// Plays the failures until one ends the request. Gives the tries that
-    /// followed each failure, and what the caller is told.
+    /// Applies the failures until one ends the request. Returns the failures that
+    /// were retried, and the failure that the caller receives.
     fn run(&self, budget: &Budget) -> (Vec<Failure>, Failure) {
         let deadline = Deadline::within(NOW, TIMEOUT);
         let mut tries = Tries::first(self.hop, self.idempotent, &LIMITS, deadline, budget);
@@ -55,15 +55,15 @@
                 Next::Stop(reported) => return (retried, reported),
             }
         }
-        // Whatever it is tried on, its time is over at last.
+        // At its deadline every request ends.
         match tries.after(NOW + TIMEOUT, lost(), budget) {
             Next::Stop(reported) => (retried, reported),
-            Next::Again => panic!("tried again after its deadline"),
+            Next::Again => panic!("retried after its deadline"),
         }
     }
 
-    /// How often the naive version sends it: whatever failed goes again, as long
-    /// as there are attempts.
+    /// How often the naive version sends the request: it retries every failure
+    /// as long as there are attempts.
     fn naive_sends(&self) -> usize {
         let attempts = usize::try_from(LIMITS.attempts).unwrap();
         attempts.min(self.failures.len() + 1)
@@ -92,7 +92,7 @@
     })
 }
 
-/// Whether a try that ended so may have spent a target's time.
+/// Whether a try with this failure may have used a target's time.
 fn reached_a_target(failure: &Failure) -> bool {
     match failure {
         Failure::Lost(_) => true,
@@ -107,7 +107,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against retries that double what may have run, and false refusals.
+    /// Guards against retries of requests that may have run, and false refusals.
     #[test]
     fn nothing_runs_twice_and_no_refusal_is_false(case in request()) {
         let (retried, reported) = case.run(&Budget::new());
