--- a/crates/core/tests/at_most_once/fault.rs
+++ b/crates/core/tests/at_most_once/fault.rs
@@ -1,20 +1,20 @@
-//! Rules that are left out on purpose.
+//! Faults injected into a run: rules that are omitted on purpose.
 
-/// Which rule a run leaves out.
+/// The rule that a run omits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// None: the run must keep every promise.
+    /// No rule: the run must have no violation.
     None,
-    /// Owners take their list to be in force without proof.
+    /// Owners treat their list as in force without a proof.
     LeaseIgnored,
-    /// Owners take their keys as theirs for all time.
+    /// Owners treat their keys as owned since the start of the run.
     OwnershipIgnored,
-    /// Owners forget keys whose outcome is unknown.
+    /// Owners remove keys whose outcome is unknown.
     UnknownOutcomeForgotten,
-    /// Owners forget keys sooner than callers do.
+    /// Owners remove keys while callers still use them.
     HoldTooShort,
-    /// Callers vouch for every attempt as the first.
+    /// Callers mark every attempt as the first.
     EveryAttemptFirst,
-    /// First hops hand on refusals of repeats as they are.
+    /// First hops forward refusals of repeats unchanged.
     RepeatReportedNotRun,
 }
--- a/crates/core/tests/at_most_once/main.rs
+++ b/crates/core/tests/at_most_once/main.rs
@@ -1,5 +1,5 @@
-//! Requests that may not be repeated run at most once: random runs of callers,
-//! first hops and owners, judged from their history.
+//! Tests that requests that may not be repeated run at most once: random runs of
+//! callers, first hops and owners, whose history is checked.
 
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::Strategy;
@@ -24,12 +24,13 @@
 mod step;
 mod world;
 
-/// Steps of a walk.
+/// The number of steps of a random walk.
 const STEPS_PER_WALK: usize = 120;
-/// Walks of a test.
+/// The number of random walks of a test.
 const WALKS: u64 = 400;
 
-/// The abstract machine draws the steps; all state is in the world.
+/// The reference state machine only generates the steps. All state is in the
+/// world.
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -89,7 +90,7 @@
     world
 }
 
-/// Guards against a check that passes with a rule left out.
+/// Guards against a test that passes although a rule is omitted.
 #[rstest]
 #[case(Fault::LeaseIgnored)]
 #[case(Fault::OwnershipIgnored)]
@@ -100,10 +101,10 @@
 fn an_omitted_rule_is_detected(#[case] fault: Fault) {
     let broken = |seed: &u64| !walk(*seed, fault).finish().is_empty();
     let found = (0..20 * WALKS).find(broken);
-    assert!(found.is_some(), "{fault:?} goes unseen");
+    assert!(found.is_some(), "{fault:?} is not detected");
 }
 
-// The promise would also hold if nothing ever ran.
+// Guards against a test that passes because no operation ever runs.
 #[test]
 fn every_operation_runs_without_faults() {
     let mut world = World::new(Fault::None);
@@ -117,7 +118,7 @@
     assert_eq!(world.finish(), Vec::<String>::new());
 }
 
-// Longer than the drawn runs above, and the same ones at every commit.
+// Longer than the random runs above, and the same ones at every commit.
 #[test]
 fn fixed_walks_have_no_violation() {
     for seed in (0..WALKS).chain([5_314]) {
--- a/crates/core/tests/at_most_once/node.rs
+++ b/crates/core/tests/at_most_once/node.rs
@@ -1,4 +1,4 @@
-//! Nodes of a run: owners beside targets, and first hops.
+//! The nodes of a run, each both an owner of keys and a first hop.
 
 use std::time::Duration;
 
@@ -12,19 +12,19 @@
 
 use super::fault::Fault;
 
-/// How old a proof may be.
+/// The longest age of a valid proof.
 pub(crate) const LEASE: Duration = Duration::from_secs(10);
 /// How long callers use a key.
 pub(crate) const HOLD: Duration = Duration::from_secs(60);
 
-/// What a node knows of the newest list.
+/// The newest list that a node has, and the newest proof.
 #[derive(Debug, Clone)]
 pub(crate) struct KnownList {
     pub(crate) list: InstanceList,
     pub(crate) proved: (Revision, Tick),
 }
 
-/// A node that takes calls and owns keys.
+/// A node that receives calls and owns keys.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) id: InstanceId,
@@ -46,14 +46,14 @@
         }
     }
 
-    /// The process is replaced; nothing is kept.
+    /// Restarts the process, which loses the window.
     pub(crate) fn restart(&mut self, now: Tick, fault: Fault) {
         self.paused = false;
         self.window = window(&self.id, fault);
         self.merge(now, &self.known.clone(), fault);
     }
 
-    /// Takes over what the source or another node says.
+    /// Merges a list and a proof from the source or another node.
     pub(crate) fn merge(&mut self, now: Tick, received: &KnownList, fault: Fault) {
         let revision = received.list.version().revision();
         if revision > self.known.list.version().revision() {
--- a/crates/core/tests/at_most_once/step.rs
+++ b/crates/core/tests/at_most_once/step.rs
@@ -1,31 +1,32 @@
 //! The steps of a run.
 
-/// One step, drawn at random.
+/// One random step.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Step {
-    /// Time goes on, in milliseconds.
+    /// Time advances by so many milliseconds.
     Wait(u64),
-    /// Time goes on while everything that is connected stays up to date.
+    /// Time advances by so many milliseconds, while connected nodes read the
+    /// source.
     WaitInSync(u64),
-    /// The platform lists an endpoint, or lists it no more.
+    /// The platform adds an endpoint to the list, or removes it.
     Publish(usize),
     /// A node reads the source.
     Read(usize),
-    /// One node tells another what it knows of the list.
+    /// One node sends another its list and proof.
     Gossip(usize, usize),
     /// A node is cut off from the source, or connected again.
     Partition(usize, bool),
-    /// A node is paused, or goes on.
+    /// A node is paused, or resumed.
     Pause(usize, bool),
-    /// An owner's process is replaced.
+    /// The process of an owner is restarted.
     Restart(usize),
-    /// A caller asks for something new.
+    /// A caller sends a new operation.
     NewOperation(usize),
-    /// A caller asks again, without an answer so far.
+    /// A caller repeats an operation without an answer.
     Repeat(usize, usize),
     /// A request reaches its owner.
     Deliver(usize),
-    /// An owner hands a request over.
+    /// An owner hands a request over to its target.
     HandOver(usize),
     /// A target answers, and the answer reaches the caller or is lost.
     Answer(usize, bool),
@@ -33,11 +34,12 @@
 
 /// Waits in milliseconds, around the lease of 10 s and the hold time of 60 s.
 const WAITS_MS: [u64; 8] = [1, 100, 1_000, 4_000, 9_000, 10_500, 21_000, 61_000];
-/// Rests in milliseconds: within the lease, past two leases, past all.
+/// Waits in sync in milliseconds: within the lease, longer than two leases,
+/// longer than hold time and two leases.
 const SYNCED_WAITS_MS: [u64; 3] = [5_000, 25_000, 90_000];
 
 impl Step {
-    /// The step that random bits stand for.
+    /// Decodes a step from random bits.
     pub(crate) fn from_bits(bits: u64) -> Step {
         let field = |shift: u64, bound: usize| (bits >> shift) as usize % bound;
         let (a, b) = (field(8, 64), field(16, 64));
--- a/crates/core/tests/at_most_once/world.rs
+++ b/crates/core/tests/at_most_once/world.rs
@@ -1,4 +1,4 @@
-//! A small fleet with its callers, stepped by hand.
+//! A simulation of a small fleet and its callers, driven step by step.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -29,10 +29,10 @@
 mod setup;
 
 const NODES: usize = 4;
-/// All nodes, a bit each.
+/// The mask of all nodes, one bit each.
 const ALL: u8 = (1 << NODES) - 1;
 
-/// A request on its way from a first hop to an owner.
+/// A request in flight from a first hop to an owner.
 struct Sent {
     request: RequestId,
     attempt: Attempt,
@@ -41,20 +41,20 @@
     at: Tick,
 }
 
-/// A request that its owner runs, or is about to.
+/// A request with a permit of its owner, before or after the hand-over.
 struct Open {
     sent: Sent,
     running: Running,
     handed_over: bool,
 }
 
-/// What a caller remembers of an operation.
+/// A caller's state of an operation.
 struct Operation {
     first_at: Tick,
     ended: bool,
 }
 
-/// The fleet, the source, the callers and the record of what happened.
+/// The fleet, the source, the callers and the history of the run.
 pub(crate) struct World {
     fault: Fault,
     now: Tick,
@@ -111,7 +111,7 @@
         self.runs
     }
 
-    /// Every violation of the run.
+    /// Returns every violation of the run.
     pub(crate) fn finish(self) -> Vec<String> {
         let checked = [Promise::AtMostOnce, Promise::TrueRefusal];
         let found = check(&self.history, &Bounds::default());
@@ -177,13 +177,14 @@
         self.nodes[to].merge(self.now, &received, self.fault);
     }
 
-    /// Whether two nodes run and stand on the same side.
+    /// Whether two nodes run and are on the same side of the partition.
     fn can_reach(&self, a: usize, b: usize) -> bool {
         let (a, b) = (&self.nodes[a], &self.nodes[b]);
         a.partitioned == b.partitioned && !a.paused && !b.paused
     }
 
-    /// Connections end with the process, and what it ran has no known outcome.
+    /// Restarts a node. Its connections end, and the outcome of the requests on
+    /// them is unknown.
     fn restart(&mut self, i: usize) {
         let is_affected = |sent: &Sent| sent.owner == i || sent.hop == i;
         let in_flight: Vec<_> = self.sent.extract_if(.., |sent| is_affected(sent)).collect();
--- a/crates/core/tests/at_most_once/world/calls.rs
+++ b/crates/core/tests/at_most_once/world/calls.rs
@@ -1,4 +1,4 @@
-//! Requests on their way.
+//! Requests, from the caller to the answer.
 
 use sassafrasspool_core::Attempt;
 use sassafrasspool_core::Begin;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The owner of a key as a first hop chooses it.
+    /// The owner of an operation's key, as the first hop chooses it.
     pub(super) fn owner(&mut self, hop: usize, operation: OperationId) -> Result<usize, Refusal> {
         let list = &self.nodes[hop].known.list;
         let revision = list.version().revision();
@@ -158,7 +158,7 @@
         }
         let open = self.open.swap_remove(i);
         if open.sent.request.0.is_multiple_of(3) {
-            // The target broke off: nothing is known.
+            // The target broke off the answer: the outcome is unknown.
             self.mark_unknown(open.running);
             return self.record_unknown(open.sent.request);
         }
--- a/crates/core/tests/at_most_once/world/outcomes.rs
+++ b/crates/core/tests/at_most_once/world/outcomes.rs
@@ -1,4 +1,4 @@
-//! What callers are told.
+//! The outcomes that callers receive.
 
 use sassafrasspool_core::Attempt;
 use sassafrasspool_core::Budget;
@@ -17,8 +17,8 @@
 use crate::fault::Fault;
 
 impl World {
-    /// The first hop decides over a refusal: it isn't tried again here, since
-    /// the caller's own repeats do the same.
+    /// Records the final outcome that the first hop derives from a refusal. The
+    /// first hop doesn't retry here, since the caller's repeats do the same.
     pub(super) fn refuse(&mut self, request: RequestId, attempt: Attempt, refusal: Refusal) {
         let limits = RetryLimits {
             attempts: 1,
@@ -46,7 +46,8 @@
 
     pub(super) fn record_not_run(&mut self, request: RequestId) {
         if self.sent_after_run.contains(&request) {
-            let violation = format!("{request} was told not run, though an earlier one ran");
+            let violation =
+                format!("{request} was reported as not run, though an earlier attempt ran");
             self.false_not_run.push(violation);
         }
         self.history
--- a/crates/core/tests/at_most_once/world/setup.rs
+++ b/crates/core/tests/at_most_once/world/setup.rs
@@ -1,4 +1,4 @@
-//! The fleet at its start, and lists that change.
+//! Ids, keys, instance lists and routing of the fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -61,7 +61,7 @@
     }
 }
 
-/// A snapshot with its picker, as a first hop holds them.
+/// A snapshot and its picker, as a first hop has them.
 pub(super) struct Routing {
     pub(super) snapshot: Snapshot,
     pub(super) picker: Picker,
