--- a/crates/core/src/history/event.rs
+++ b/crates/core/src/history/event.rs
@@ -79,7 +79,7 @@
         /// Whether the body was complete.
         whole: bool,
     },
-    /// A caller received a refusal that says that its request was not run.
+    /// A caller received a refusal which states that its request was not run.
     RefusedNotRun {
         /// The request.
         request: RequestId,
--- a/crates/core/src/history/snapshot_facts.rs
+++ b/crates/core/src/history/snapshot_facts.rs
@@ -102,8 +102,9 @@
         }
     }
     for (_, service) in snapshot.services() {
-        let held = snapshot.endpoints_of(service);
-        let wrong = held.filter(|(_, endpoint)| endpoint.instance.service != service.entry.name);
+        let endpoints = snapshot.endpoints_of(service);
+        let wrong =
+            endpoints.filter(|(_, endpoint)| endpoint.instance.service != service.entry.name);
         found.extend(wrong.map(|(_, endpoint)| Dangling::Endpoint {
             instance: endpoint.instance.id.clone(),
         }));
--- a/crates/core/src/quarantine/tests.rs
+++ b/crates/core/src/quarantine/tests.rs
@@ -72,15 +72,15 @@
 #[derive(Debug)]
 struct Case {
     observed: &'static [Observed],
-    held: &'static [&'static str],
-    free: &'static [&'static str],
+    quarantined: &'static [&'static str],
+    allowed: &'static [&'static str],
 }
 
 #[rstest]
 #[case::two_crashes_are_too_few(Case {
     observed: &[Observed::Crash(990, &["/a"]), Observed::Crash(991, &["/a"])],
-    held: &[],
-    free: &["/a"],
+    quarantined: &[],
+    allowed: &["/a"],
 })]
 #[case::the_third_crash_quarantines(Case {
     observed: &[
@@ -88,13 +88,13 @@
         Observed::Crash(991, &["/a", "/c"]),
         Observed::Crash(999, &["/d", "/a"]),
     ],
-    held: &["/a"],
-    free: &["/b", "/c", "/d"],
+    quarantined: &["/a"],
+    allowed: &["/b", "/c", "/d"],
 })]
 #[case::copies_in_one_crash_count_once(Case {
     observed: &[Observed::Crash(990, &["/a", "/a", "/a"]), Observed::Crash(991, &["/a"])],
-    held: &[],
-    free: &["/a"],
+    quarantined: &[],
+    allowed: &["/a"],
 })]
 #[case::an_answer_exempts_from_crashes_before_it(Case {
     observed: &[
@@ -104,8 +104,8 @@
         Observed::Crash(998, &["/a"]),
         Observed::Crash(999, &["/a"]),
     ],
-    held: &[],
-    free: &["/a"],
+    quarantined: &[],
+    allowed: &["/a"],
 })]
 // All targets of a failure domain crash at once, while all of them run the same request.
 #[case::an_answer_exempts_from_crashes_shortly_after_it(Case {
@@ -115,8 +115,8 @@
         Observed::Crash(990, &["/a"]),
         Observed::Crash(990, &["/a"]),
     ],
-    held: &[],
-    free: &["/a"],
+    quarantined: &[],
+    allowed: &["/a"],
 })]
 // The targets were fixed, and operators released the request.
 #[case::a_release_exempts_from_crashes_before_it(Case {
@@ -126,8 +126,8 @@
         Observed::Crash(992, &["/a", "/b"]),
         Observed::Release(993, "/a"),
     ],
-    held: &["/b"],
-    free: &["/a"],
+    quarantined: &["/b"],
+    allowed: &["/a"],
 })]
 // The targets weren't fixed: unlike an answer, a release exempts from no crash after it.
 #[case::a_release_does_not_exempt_from_later_crashes(Case {
@@ -140,8 +140,8 @@
         Observed::Crash(985, &["/a"]),
         Observed::Crash(986, &["/a"]),
     ],
-    held: &["/a"],
-    free: &[],
+    quarantined: &["/a"],
+    allowed: &[],
 })]
 // A new version of a service crashes on a request that the previous version answered.
 #[case::an_old_answer_does_not_exempt(Case {
@@ -151,8 +151,8 @@
         Observed::Crash(991, &["/a"]),
         Observed::Crash(992, &["/a"]),
     ],
-    held: &["/a"],
-    free: &[],
+    quarantined: &["/a"],
+    allowed: &[],
 })]
 #[case::an_answer_to_another_request_does_not_exempt(Case {
     observed: &[
@@ -161,8 +161,8 @@
         Observed::Crash(992, &["/a"]),
         Observed::Answer(993, "/b"),
     ],
-    held: &["/a"],
-    free: &["/b"],
+    quarantined: &["/a"],
+    allowed: &["/b"],
 })]
 #[case::changing_queries_count_for_one_resource(Case {
     observed: &[
@@ -170,8 +170,8 @@
         Observed::Crash(991, &["/a?page=2"]),
         Observed::Crash(992, &["/a?page=3"]),
     ],
-    held: &["/a?page=1", "/a?page=4", "/a"],
-    free: &["/b?page=1"],
+    quarantined: &["/a?page=1", "/a?page=4", "/a"],
+    allowed: &["/b?page=1"],
 })]
 #[case::one_query_does_not_quarantine_others(Case {
     observed: &[
@@ -180,8 +180,8 @@
         Observed::Crash(992, &["/a?page=1", "/a?page=2"]),
         Observed::Crash(993, &["/a?page=1"]),
     ],
-    held: &["/a?page=1"],
-    free: &["/a?page=2", "/a"],
+    quarantined: &["/a?page=1"],
+    allowed: &["/a?page=2", "/a"],
 })]
 #[case::an_answer_without_query_exempts_the_resource(Case {
     observed: &[
@@ -190,8 +190,8 @@
         Observed::Crash(992, &["/a?page=3"]),
         Observed::Answer(993, "/a"),
     ],
-    held: &[],
-    free: &["/a?page=1", "/a"],
+    quarantined: &[],
+    allowed: &["/a?page=1", "/a"],
 })]
 // After ten minutes without a crash a request may run again, as its targets may be fixed.
 #[case::quarantine_ends(Case {
@@ -200,8 +200,8 @@
         Observed::Crash(391, &["/a"]),
         Observed::Crash(399, &["/a"]),
     ],
-    held: &[],
-    free: &["/a"],
+    quarantined: &[],
+    allowed: &["/a"],
 })]
 #[case::one_more_crash_renews_it(Case {
     observed: &[
@@ -210,8 +210,8 @@
         Observed::Crash(399, &["/a"]),
         Observed::Crash(999, &["/a"]),
     ],
-    held: &["/a"],
-    free: &[],
+    quarantined: &["/a"],
+    allowed: &[],
 })]
 fn quarantine_follows_from_the_reports_in_any_order(#[case] case: Case) {
     // In any order of the reports, and also on a node that started in between.
@@ -232,9 +232,16 @@
                 assert!(known.merge(now, report));
                 known.judge();
             }
-            let held = |path: &&str| known.verdicts().held_until(now, &content(path)).is_some();
-            assert!(case.held.iter().all(held), "{case:?}, {started_s}, {seed}");
-            assert!(!case.free.iter().any(held), "{case:?}, {started_s}, {seed}");
+            let is_quarantined =
+                |path: &&str| known.verdicts().held_until(now, &content(path)).is_some();
+            assert!(
+                case.quarantined.iter().all(is_quarantined),
+                "{case:?}, {started_s}, {seed}"
+            );
+            assert!(
+                !case.allowed.iter().any(is_quarantined),
+                "{case:?}, {started_s}, {seed}"
+            );
         }
     }
 }
@@ -256,8 +263,8 @@
         known.merge(at(2), &crash(number, 2, &format!("/other/{number}")));
         known.judge();
     }
-    let held = known.verdicts().held_until(at(3), &content("/a"));
-    assert!(held.is_some());
+    let until = known.verdicts().held_until(at(3), &content("/a"));
+    assert!(until.is_some());
     let selected = known.reports_to_send(at(3));
     let of_first_three = |it: &&Report| it.id.number < 3;
     assert_eq!(selected.iter().filter(of_first_three).count(), 3);
--- a/crates/core/src/quarantine/verdicts.rs
+++ b/crates/core/src/quarantine/verdicts.rs
@@ -61,11 +61,11 @@
 
     /// The requests in quarantine at `now`, each with the end of its quarantine.
     pub fn held_at(&self, now: Tick) -> impl Iterator<Item = (Fingerprint, Tick)> {
-        let held = self
+        let quarantined = self
             .quarantined
             .iter()
             .map(|(content, until)| (*content, *until));
-        held.filter(move |(_, until)| now < *until)
+        quarantined.filter(move |(_, until)| now < *until)
     }
 
     /// The requests that are in quarantine, or whose quarantine has ended.
@@ -94,8 +94,8 @@
         // from it only by their query.
         let mut by_resource = CrashCounts::new(exempt_until);
         for (at, ran) in crashes {
-            let held = ran.iter().filter(|it| verdicts.holds(it.whole()));
-            let explained: HashSet<Fingerprint> = held.map(Content::resource).collect();
+            let quarantined = ran.iter().filter(|it| verdicts.holds(it.whole()));
+            let explained: HashSet<Fingerprint> = quarantined.map(Content::resource).collect();
             let resources = ran.iter().map(Content::resource);
             by_resource.count(*at, resources.filter(|it| !explained.contains(it)));
         }
--- a/crates/core/src/repeat/ownership.rs
+++ b/crates/core/src/repeat/ownership.rs
@@ -32,7 +32,7 @@
 }
 
 #[derive(Debug)]
-struct HeldList {
+struct ReceivedList {
     since: Tick,
     members: Members,
 }
@@ -48,7 +48,7 @@
 pub(super) struct Ownership {
     me: InstanceId,
     lease: Duration,
-    lists: VecDeque<HeldList>,
+    lists: VecDeque<ReceivedList>,
     revision: Option<Revision>,
     proved_at: Option<Tick>,
     last_proof: Option<Tick>,
@@ -68,7 +68,7 @@
 
     /// Whether this list or a newer one was already received.
     pub(super) fn has_seen(&self, revision: Revision) -> bool {
-        self.revision.is_some_and(|held| held >= revision)
+        self.revision.is_some_and(|current| current >= revision)
     }
 
     /// Applies a newer list.
@@ -90,11 +90,11 @@
         if self
             .lists
             .back()
-            .is_some_and(|held| held.members == members)
+            .is_some_and(|list| list.members == members)
         {
             return;
         }
-        self.lists.push_back(HeldList {
+        self.lists.push_back(ReceivedList {
             since: now,
             members,
         });
@@ -123,8 +123,8 @@
 
     /// Since when this node has owned a key without a break, if it owns it.
     pub(super) fn owned_since(&self, key: &RequestKey) -> Option<Tick> {
-        let own = |held: &&HeldList| held.members.owner(key) == Some(&self.me);
+        let own = |list: &&ReceivedList| list.members.owner(key) == Some(&self.me);
         let owned = self.lists.iter().rev().take_while(own);
-        owned.last().map(|held| held.since)
+        owned.last().map(|list| list.since)
     }
 }
--- a/crates/core/src/repeat/state.rs
+++ b/crates/core/src/repeat/state.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    pub(super) fn begin(&mut self, now: Tick, key: RequestKey, attempt: Attempt) -> KeyDecision {
+    pub(super) fn decide(&mut self, now: Tick, key: RequestKey, attempt: Attempt) -> KeyDecision {
         self.expire(now);
         // The state of a known key is valid whichever node owns it now.
         match self.keys.get(&key) {
--- a/crates/core/src/repeat/window.rs
+++ b/crates/core/src/repeat/window.rs
@@ -98,7 +98,7 @@
 
     /// Decides whether an attempt that reached this node is run.
     pub fn begin(&self, now: Tick, key: RequestKey, attempt: Attempt) -> Begin {
-        let decision = self.0.lock().begin(now, key, attempt);
+        let decision = self.0.lock().decide(now, key, attempt);
         match decision {
             KeyDecision::Run => Begin::Run(Running::new(&self.0, key, attempt)),
             KeyDecision::Answer(answer) => Begin::Answer(answer),
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -63,22 +63,22 @@
 }
 
 fn credit(account: &AtomicU64, amount: u64, limit: u64) {
-    let held = account.load(Ordering::Relaxed);
+    let balance = account.load(Ordering::Relaxed);
     // On most calls the balance is full. Returning early avoids a write for
     // which the traffic threads would contend.
-    if held == limit {
+    if balance == limit {
         return;
     }
     // Threads that add at the same time may exceed the limit by their amounts.
     // The smaller of sum and limit is written, so that the bound holds.
-    let more = |held: u64| Some((held + amount).min(limit));
-    let _ = account.fetch_update(Ordering::Relaxed, Ordering::Relaxed, more);
+    let credited = |balance: u64| Some((balance + amount).min(limit));
+    let _ = account.fetch_update(Ordering::Relaxed, Ordering::Relaxed, credited);
 }
 
 fn debit(account: &AtomicU64, cost: u64) -> bool {
-    let less = |held: u64| held.checked_sub(cost);
+    let debited = |balance: u64| balance.checked_sub(cost);
     account
-        .fetch_update(Ordering::Relaxed, Ordering::Relaxed, less)
+        .fetch_update(Ordering::Relaxed, Ordering::Relaxed, debited)
         .is_ok()
 }
 
--- a/crates/core/tests/at_most_once/world/setup.rs
+++ b/crates/core/tests/at_most_once/world/setup.rs
@@ -69,8 +69,8 @@
 
 pub(super) fn routing(list: &InstanceList) -> Routing {
     let items = catalogue::parse(CATALOGUE).unwrap();
-    let held = Catalogue::new(Revision::new(1).unwrap(), items).unwrap();
-    let snapshot = Snapshot::build(&held, list).unwrap();
+    let published = Catalogue::new(Revision::new(1).unwrap(), items).unwrap();
+    let snapshot = Snapshot::build(&published, list).unwrap();
     let at = instance(0);
     let position = Position {
         instance: at.id,
