--- a/crates/core/src/history/rule/graceful_stop.rs
+++ b/crates/core/src/history/rule/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing that is in flight.
+//! Checks that a planned stop cuts no request in flight.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -12,14 +12,14 @@
 use crate::history::RequestId;
 use crate::history::Violation;
 
-/// What runs on each target.
+/// The requests that run on each target.
 #[derive(Debug, Default)]
 pub(super) struct GracefulStop {
     running: HashMap<InstanceId, BTreeSet<RequestId>>,
 }
 
 impl Rule for GracefulStop {
-    fn see(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
+    fn observe(&mut self, at: Tick, event: &Event, found: &mut Vec<Violation>) {
         match event {
             Event::RunStarted { request, target } => {
                 let running = self.running.entry(target.clone()).or_default();
@@ -33,14 +33,14 @@
             Event::Crashed { target } => {
                 self.running.remove(target);
             }
-            Event::DrainEnded { target, cut } => self.stop(at, target, *cut, found),
+            Event::DrainEnded { target, cut } => self.end_drain(at, target, *cut, found),
             _ => {}
         }
     }
 }
 
 impl GracefulStop {
-    fn stop(&mut self, at: Tick, target: &InstanceId, cut: u64, found: &mut Vec<Violation>) {
+    fn end_drain(&mut self, at: Tick, target: &InstanceId, cut: u64, found: &mut Vec<Violation>) {
         let target = target.clone();
         for request in self.running.remove(&target).unwrap_or_default() {
             let target = target.clone();
--- a/crates/core/src/retry/tests/drawn.rs
+++ b/crates/core/src/retry/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Over drawn failures, beside a naive version.
+//! Properties over random failures, compared with a naive version.
 
 use std::time::Duration;
 
@@ -25,45 +25,45 @@
 use crate::Tick;
 use crate::Tries;
 
-/// How long a request may take.
-const ALLOWED: Duration = Duration::from_secs(1);
+/// The timeout of a request.
+const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tries of one request that may not have reached a target, besides those that
-/// did: moves away from wrong endpoints, and asks for room.
-const MOST_BESIDES: usize = 4 + 2;
+/// The largest number of retries of one request after tries that reached no
+/// target: reroutes from wrong endpoints, and tries at nodes without capacity.
+const MAX_RETRIES_WITHOUT_TARGET: usize = 4 + 2;
 
-/// One request and how its tries fail, one after the other.
+/// One request with the failures of its tries, each with its time in milliseconds.
 #[derive(Debug, Clone)]
-struct Drawn {
+struct RandomRequest {
     hop: Hop,
     idempotent: bool,
     failures: Vec<(Failure, u64)>,
 }
 
-impl Drawn {
-    /// Plays the failures until one ends the request. Gives the tries that
-    /// followed each failure, and what the caller is told.
-    fn play(&self, budget: &Budget) -> (Vec<Failure>, Failure) {
-        let deadline = Deadline::within(NOW, ALLOWED);
+impl RandomRequest {
+    /// Applies the failures until one ends the request. Returns the failures that
+    /// were retried, and the failure that the caller receives.
+    fn run(&self, budget: &Budget) -> (Vec<Failure>, Failure) {
+        let deadline = Deadline::within(NOW, TIMEOUT);
         let mut tries = Tries::first(self.hop, self.idempotent, &LIMITS, deadline, budget);
-        let mut again = Vec::new();
+        let mut retried = Vec::new();
         let mut now: Tick = NOW;
         for (failure, took_ms) in &self.failures {
             now = now + Duration::from_millis(*took_ms);
             match tries.after(now, *failure, budget) {
-                Next::Again => again.push(*failure),
-                Next::Stop(told) => return (again, told),
+                Next::Again => retried.push(*failure),
+                Next::Stop(reported) => return (retried, reported),
             }
         }
-        // Whatever it is tried on, its time is over at last.
-        match tries.after(NOW + ALLOWED, lost(), budget) {
-            Next::Stop(told) => (again, told),
-            Next::Again => panic!("tried again after its deadline"),
+        // At its deadline every request ends.
+        match tries.after(NOW + TIMEOUT, lost(), budget) {
+            Next::Stop(reported) => (retried, reported),
+            Next::Again => panic!("retried after its deadline"),
         }
     }
 
-    /// How often the naive version sends it: whatever failed goes again, as long
-    /// as there are attempts.
+    /// How often the naive version sends the request: it retries every failure
+    /// as long as there are attempts.
     fn naive_sends(&self) -> usize {
         let attempts = usize::try_from(LIMITS.attempts).unwrap();
         attempts.min(self.failures.len() + 1)
@@ -82,17 +82,17 @@
     ]
 }
 
-fn request() -> impl Strategy<Value = Drawn> {
+fn request() -> impl Strategy<Value = RandomRequest> {
     let hop = prop_oneof![Just(Hop::First), Just(Hop::Later)];
     let failures = vec((failure(), 0_u64..400), 1..12);
-    (hop, any::<bool>(), failures).prop_map(|(hop, idempotent, failures)| Drawn {
+    (hop, any::<bool>(), failures).prop_map(|(hop, idempotent, failures)| RandomRequest {
         hop,
         idempotent,
         failures,
     })
 }
 
-/// Whether a try that ended so may have spent a target's time.
+/// Whether a try with this failure may have used a target's time.
 fn reached_a_target(failure: &Failure) -> bool {
     match failure {
         Failure::Lost(_) => true,
@@ -107,40 +107,40 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against retries that double what may have run, and false refusals.
+    /// Guards against retries of requests that may have run, and false refusals.
     #[test]
-    fn nothing_runs_twice_and_nobody_is_told_falsely(drawn in request()) {
-        let (again, told) = drawn.play(&Budget::new());
-        assert!(drawn.hop == Hop::First || again.is_empty());
-        let lost_before = again.iter().any(|it| matches!(it, Failure::Lost(_)));
-        assert!(!lost_before || drawn.idempotent);
-        if let Failure::Refused(refusal) = told {
+    fn nothing_runs_twice_and_no_refusal_is_false(case in request()) {
+        let (retried, reported) = case.run(&Budget::new());
+        assert!(case.hop == Hop::First || retried.is_empty());
+        let lost_before = retried.iter().any(|it| matches!(it, Failure::Lost(_)));
+        assert!(!lost_before || case.idempotent);
+        if let Failure::Refused(refusal) = reported {
             assert!(!lost_before || refusal.outcome() != Outcome::NotRun);
         }
-        let troubled = again.iter().filter(|it| reached_a_target(it)).count();
-        assert!(troubled < usize::try_from(LIMITS.attempts).unwrap());
-        assert!(again.len() - troubled <= MOST_BESIDES);
+        let reached = retried.iter().filter(|it| reached_a_target(it)).count();
+        assert!(reached < usize::try_from(LIMITS.attempts).unwrap());
+        assert!(retried.len() - reached <= MAX_RETRIES_WITHOUT_TARGET);
     }
 
     /// Guards against retries that double the load of a failing service.
     #[test]
-    fn a_failing_service_gets_a_tenth_more_where_naive_retries_double_it(
+    fn a_failing_service_gets_a_tenth_more_where_naive_retries_double_the_load(
         kinds in vec(any::<bool>(), 400..600),
     ) {
         let budget = Budget::new();
-        let calls = kinds.iter().map(|shed| Drawn {
+        let calls = kinds.iter().map(|shed| RandomRequest {
             hop: Hop::First,
             idempotent: true,
             failures: vec![(if *shed { refused(Reason::TargetShed) } else { lost() }, 1); 3],
         });
         let (mut sent, mut naive) = (0, 0);
         for call in calls {
-            let (again, _) = call.play(&budget);
-            sent += 1 + again.len();
+            let (retried, _) = call.run(&budget);
+            sent += 1 + retried.len();
             naive += call.naive_sends();
         }
-        let saved_up = 10;
-        assert!(sent <= kinds.len() * 110 / 100 + saved_up + 1, "{sent}");
+        let initial_balance = 10;
+        assert!(sent <= kinds.len() * 110 / 100 + initial_balance + 1, "{sent}");
         assert_eq!(naive, 2 * kinds.len());
     }
 }
--- a/crates/core/tests/at_most_once/main.rs
+++ b/crates/core/tests/at_most_once/main.rs
@@ -1,5 +1,5 @@
-//! Requests that may not be repeated run at most once: random runs of callers,
-//! first hops and owners, judged from their history.
+//! Tests that requests that may not be repeated run at most once: random runs of
+//! callers, first hops and owners, whose history is checked.
 
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::Strategy;
@@ -24,12 +24,13 @@
 mod step;
 mod world;
 
-/// Steps of a walk.
-const STEPS: usize = 120;
-/// Walks of a test.
+/// The number of steps of a random walk.
+const STEPS_PER_WALK: usize = 120;
+/// The number of random walks of a test.
 const WALKS: u64 = 400;
 
-/// The abstract machine draws the steps; all state is in the world.
+/// The reference state machine only generates the steps. All state is in the
+/// world.
 struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -58,7 +59,7 @@
     }
 
     fn apply(mut world: World, (): &(), step: Step) -> World {
-        world.take(step);
+        world.apply(step);
         world
     }
 
@@ -83,43 +84,43 @@
 fn walk(seed: u64, fault: Fault) -> World {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(fault);
-    for _ in 0..STEPS {
-        world.take(Step::from_bits(rng.next_u64()));
+    for _ in 0..STEPS_PER_WALK {
+        world.apply(Step::from_bits(rng.next_u64()));
     }
     world
 }
 
-/// Guards against a check that passes with a rule left out.
+/// Guards against a test that passes although a rule is omitted.
 #[rstest]
 #[case(Fault::LeaseIgnored)]
-#[case(Fault::TenureIgnored)]
-#[case(Fault::LostForgotten)]
+#[case(Fault::OwnershipIgnored)]
+#[case(Fault::UnknownOutcomeForgotten)]
 #[case(Fault::HoldTooShort)]
 #[case(Fault::EveryAttemptFirst)]
-#[case(Fault::RepeatToldNotRun)]
-fn a_rule_left_out_is_found(#[case] fault: Fault) {
+#[case(Fault::RepeatReportedNotRun)]
+fn an_omitted_rule_is_detected(#[case] fault: Fault) {
     let broken = |seed: &u64| !walk(*seed, fault).finish().is_empty();
     let found = (0..20 * WALKS).find(broken);
-    assert!(found.is_some(), "{fault:?} goes unseen");
+    assert!(found.is_some(), "{fault:?} is not detected");
 }
 
-// The promise would also hold if nothing ever ran.
+// Guards against a test that passes because no operation ever runs.
 #[test]
-fn everything_runs_while_nothing_fails() {
+fn every_operation_runs_without_faults() {
     let mut world = World::new(Fault::None);
     for i in 0..40 {
-        world.take(Step::Ask(i));
-        world.take(Step::Deliver(0));
-        world.take(Step::HandOver(0));
-        world.take(Step::Answer(0, true));
+        world.apply(Step::NewOperation(i));
+        world.apply(Step::Deliver(0));
+        world.apply(Step::HandOver(0));
+        world.apply(Step::Answer(0, true));
     }
     assert_eq!((world.operations(), world.runs()), (40, 40));
     assert_eq!(world.finish(), Vec::<String>::new());
 }
 
-// Longer than the drawn runs above, and the same ones at every commit.
+// Longer than the random runs above, and the same ones at every commit.
 #[test]
-fn fixed_walks_keep_the_promise() {
+fn fixed_walks_have_no_violation() {
     for seed in (0..WALKS).chain([5_314]) {
         assert_eq!(walk(seed, Fault::None).finish(), Vec::<String>::new());
     }
--- a/crates/core/tests/at_most_once/node.rs
+++ b/crates/core/tests/at_most_once/node.rs
@@ -1,4 +1,4 @@
-//! Nodes of a run: owners beside targets, and first hops.
+//! The nodes of a run, each both an owner of keys and a first hop.
 
 use std::time::Duration;
 
@@ -12,61 +12,61 @@
 
 use super::fault::Fault;
 
-/// How old a proof may be.
+/// The longest age of a valid proof.
 pub(crate) const LEASE: Duration = Duration::from_secs(10);
 /// How long callers use a key.
 pub(crate) const HOLD: Duration = Duration::from_secs(60);
 
-/// What a node knows of the newest list.
+/// The newest list that a node has, and the newest proof.
 #[derive(Debug, Clone)]
-pub(crate) struct Known {
+pub(crate) struct KnownList {
     pub(crate) list: InstanceList,
     pub(crate) proved: (Revision, Tick),
 }
 
-/// A node that takes calls and owns keys.
+/// A node that receives calls and owns keys.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) id: InstanceId,
-    pub(crate) cut: bool,
+    pub(crate) partitioned: bool,
     pub(crate) paused: bool,
-    pub(crate) known: Known,
+    pub(crate) known: KnownList,
     pub(crate) window: RepeatWindow,
 }
 
 impl Node {
-    pub(crate) fn new(id: InstanceId, known: Known, fault: Fault) -> Node {
+    pub(crate) fn new(id: InstanceId, known: KnownList, fault: Fault) -> Node {
         let window = window(&id, fault);
         Node {
             id,
-            cut: false,
+            partitioned: false,
             paused: false,
             known,
             window,
         }
     }
 
-    /// The process is replaced; nothing is kept.
+    /// Restarts the process, which loses the window.
     pub(crate) fn restart(&mut self, now: Tick, fault: Fault) {
         self.paused = false;
         self.window = window(&self.id, fault);
-        self.learn(now, &self.known.clone(), fault);
+        self.merge(now, &self.known.clone(), fault);
     }
 
-    /// Takes over what the source or another node says.
-    pub(crate) fn learn(&mut self, now: Tick, heard: &Known, fault: Fault) {
-        let revision = heard.list.version().revision();
+    /// Merges a list and a proof from the source or another node.
+    pub(crate) fn merge(&mut self, now: Tick, received: &KnownList, fault: Fault) {
+        let revision = received.list.version().revision();
         if revision > self.known.list.version().revision() {
-            self.known = heard.clone();
+            self.known = received.clone();
         }
-        if heard.proved > self.known.proved {
-            self.known.proved = heard.proved;
+        if received.proved > self.known.proved {
+            self.known.proved = received.proved;
         }
         let since = match fault {
-            Fault::TenureIgnored => Tick::ZERO,
+            Fault::OwnershipIgnored => Tick::ZERO,
             _ => now,
         };
-        self.window.list_changed(since, &self.known.list);
+        self.window.apply_list(since, &self.known.list);
         let (revision, at) = self.known.proved;
         self.window.prove(at, revision);
     }
--- a/crates/core/tests/at_most_once/world/told.rs
+++ b/crates/core/tests/at_most_once/world/outcomes.rs
@@ -1,4 +1,4 @@
-//! What callers are told.
+//! The outcomes that callers receive.
 
 use sassafrasspool_core::Attempt;
 use sassafrasspool_core::Budget;
@@ -17,8 +17,8 @@
 use crate::fault::Fault;
 
 impl World {
-    /// The first hop decides over a refusal: it isn't tried again here, since
-    /// the caller's own repeats do the same.
+    /// Records the final outcome that the first hop derives from a refusal. The
+    /// first hop doesn't retry here, since the caller's repeats do the same.
     pub(super) fn refuse(&mut self, request: RequestId, attempt: Attempt, refusal: Refusal) {
         let limits = RetryLimits {
             attempts: 1,
@@ -35,29 +35,30 @@
             panic!("the deadline has passed");
         };
         let outcome = match (self.fault, failure) {
-            (Fault::RepeatToldNotRun, Failure::Refused(_)) => refusal.outcome(),
+            (Fault::RepeatReportedNotRun, Failure::Refused(_)) => refusal.outcome(),
             (_, failure) => failure.outcome(),
         };
         match outcome {
-            Outcome::NotRun => self.tell_not_run(request),
-            Outcome::Unknown => self.tell_unknown(request),
+            Outcome::NotRun => self.record_not_run(request),
+            Outcome::Unknown => self.record_unknown(request),
         }
     }
 
-    pub(super) fn tell_not_run(&mut self, request: RequestId) {
+    pub(super) fn record_not_run(&mut self, request: RequestId) {
         if self.sent_after_run.contains(&request) {
-            let told = format!("{request} was told not run, though an earlier one ran");
-            self.false_not_run.push(told);
+            let violation =
+                format!("{request} was reported as not run, though an earlier attempt ran");
+            self.false_not_run.push(violation);
         }
         self.history
             .record(self.now, Event::RefusedNotRun { request });
     }
 
-    pub(super) fn tell_unknown(&mut self, request: RequestId) {
+    pub(super) fn record_unknown(&mut self, request: RequestId) {
         self.history.record(self.now, Event::Unknown { request });
     }
 
-    pub(super) fn tell_answer(&mut self, request: RequestId) {
+    pub(super) fn record_answer(&mut self, request: RequestId) {
         let operation = self.requests[&request];
         self.operations[operation.0 as usize].ended = true;
         let event = Event::Answered {
--- a/crates/core/tests/at_most_once/world/setup.rs
+++ b/crates/core/tests/at_most_once/world/setup.rs
@@ -1,4 +1,4 @@
-//! The fleet at its start, and lists that change.
+//! Ids, keys, instance lists and routing of the fleet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -61,7 +61,7 @@
     }
 }
 
-/// A snapshot with its picker, as a first hop holds them.
+/// A snapshot and its picker, as a first hop has them.
 pub(super) struct Routing {
     pub(super) snapshot: Snapshot,
     pub(super) picker: Picker,
@@ -69,8 +69,8 @@
 
 pub(super) fn routing(list: &InstanceList) -> Routing {
     let items = catalogue::parse(CATALOGUE).unwrap();
-    let held = Catalogue::new(Revision::new(1).unwrap(), items).unwrap();
-    let snapshot = Snapshot::build(&held, list).unwrap();
+    let published = Catalogue::new(Revision::new(1).unwrap(), items).unwrap();
+    let snapshot = Snapshot::build(&published, list).unwrap();
     let at = instance(0);
     let position = Position {
         instance: at.id,
