--- a/crates/ctl/tests/support/fake.rs
+++ b/crates/ctl/tests/support/fake_nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes' admin addresses that answer by the book, wrongly or not at all.
+//! Fake nodes whose admin addresses answer correctly, wrongly or not at all.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -40,73 +40,74 @@
 use tokio::net::TcpSocket;
 use tokio::runtime::Runtime;
 
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 64;
+/// The most connections that wait to be accepted.
+const MAX_BACKLOG: u32 = 64;
 
-/// One fake node.
+/// A fake node: its instance, the catalogue that it holds and its behaviour.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Fake {
+pub(crate) struct FakeNode {
     instance: &'static str,
     revision: u64,
     digest: &'static str,
-    manner: Manner,
+    behaviour: Behaviour,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Manner {
-    Well,
-    /// Answers 500.
-    Sick,
+enum Behaviour {
+    /// Answers every request correctly.
+    Correct,
+    /// Answers every request with status 500.
+    Failing,
     /// Refuses connections.
-    Gone,
-    /// Takes connections and never answers.
-    Mute,
-    /// Answers something else.
+    Refusing,
+    /// Accepts connections in the kernel's backlog and never answers.
+    Unresponsive,
+    /// Answers every request with a body that isn't JSON.
     Garbled,
-    /// Holds revision 7 after so many questions.
-    Turning(u64),
+    /// Answers correctly; holds revision 7 after this many requests for versions.
+    UpgradedAfter(u64),
 }
 
-impl Fake {
-    pub(crate) const fn holding(
+impl FakeNode {
+    pub(crate) const fn with_version(
         instance: &'static str,
         revision: u64,
         digest: &'static str,
-    ) -> Fake {
-        Fake {
+    ) -> FakeNode {
+        FakeNode {
             instance,
             revision,
             digest,
-            manner: Manner::Well,
+            behaviour: Behaviour::Correct,
         }
     }
 
-    pub(crate) const fn sick(instance: &'static str) -> Fake {
-        Fake::holding(instance, 1, "").with(Manner::Sick)
+    pub(crate) const fn failing(instance: &'static str) -> FakeNode {
+        FakeNode::with_version(instance, 1, "").with_behaviour(Behaviour::Failing)
     }
 
-    pub(crate) const fn gone(instance: &'static str) -> Fake {
-        Fake::holding(instance, 1, "").with(Manner::Gone)
+    pub(crate) const fn refusing(instance: &'static str) -> FakeNode {
+        FakeNode::with_version(instance, 1, "").with_behaviour(Behaviour::Refusing)
     }
 
-    pub(crate) const fn mute(instance: &'static str) -> Fake {
-        Fake::holding(instance, 1, "").with(Manner::Mute)
+    pub(crate) const fn unresponsive(instance: &'static str) -> FakeNode {
+        FakeNode::with_version(instance, 1, "").with_behaviour(Behaviour::Unresponsive)
     }
 
-    pub(crate) const fn garbled(instance: &'static str) -> Fake {
-        Fake::holding(instance, 1, "").with(Manner::Garbled)
+    pub(crate) const fn garbled(instance: &'static str) -> FakeNode {
+        FakeNode::with_version(instance, 1, "").with_behaviour(Behaviour::Garbled)
     }
 
-    pub(crate) const fn turning_new_after(self, questions: u64) -> Fake {
-        self.with(Manner::Turning(questions))
+    pub(crate) const fn upgraded_after(self, requests: u64) -> FakeNode {
+        self.with_behaviour(Behaviour::UpgradedAfter(requests))
     }
 
-    pub(crate) fn is_mute(&self) -> bool {
-        self.manner == Manner::Mute
+    pub(crate) fn is_unresponsive(&self) -> bool {
+        self.behaviour == Behaviour::Unresponsive
     }
 
-    const fn with(self, manner: Manner) -> Fake {
-        Fake { manner, ..self }
+    const fn with_behaviour(self, behaviour: Behaviour) -> FakeNode {
+        FakeNode { behaviour, ..self }
     }
 
     fn id(&self) -> InstanceId {
@@ -118,52 +119,52 @@
             revision,
             digest: digest.to_owned(),
         };
-        let held = self.revision > 0;
+        let holds_any = self.revision > 0;
         Held {
-            catalogue: held.then(|| version(self.revision, self.digest)),
-            instances: held.then(|| version(3, "ff")),
+            catalogue: holds_any.then(|| version(self.revision, self.digest)),
+            instances: holds_any.then(|| version(3, "ff")),
         }
     }
 }
 
-/// Fakes that run until this is dropped.
+/// Fake nodes that run until this is dropped.
 #[derive(Debug)]
-pub(crate) struct Fleet {
+pub(crate) struct FakeFleet {
     addrs: Vec<SocketAddr>,
-    // Sockets that are bound and never accept. Holding them keeps the system
-    // from giving their ports to another test.
-    _held: Vec<TcpListener>,
+    // Sockets that are bound and never accept. They stay open so that the
+    // system doesn't assign their ports to another test.
+    _listening: Vec<TcpListener>,
     _bound: Vec<TcpSocket>,
     _runtime: Runtime,
 }
 
-impl Fleet {
-    pub(crate) fn start(fakes: &[Fake]) -> Fleet {
+impl FakeFleet {
+    pub(crate) fn start(fakes: &[FakeNode]) -> FakeFleet {
         let runtime = Runtime::new().unwrap();
         let mut addrs = Vec::new();
-        let mut held = Vec::new();
+        let mut listening = Vec::new();
         let mut bound = Vec::new();
         let guard = runtime.enter();
         for fake in fakes {
             let socket = TcpSocket::new_v4().unwrap();
             socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
             addrs.push(socket.local_addr().unwrap());
-            match fake.manner {
-                Manner::Gone => bound.push(socket),
-                Manner::Mute => held.push(socket.listen(BACKLOG).unwrap()),
-                _ => serve(&runtime, socket.listen(BACKLOG).unwrap(), *fake),
+            match fake.behaviour {
+                Behaviour::Refusing => bound.push(socket),
+                Behaviour::Unresponsive => listening.push(socket.listen(MAX_BACKLOG).unwrap()),
+                _ => serve(&runtime, socket.listen(MAX_BACKLOG).unwrap(), *fake),
             }
         }
         drop(guard);
-        Fleet {
+        FakeFleet {
             addrs,
-            _held: held,
+            _listening: listening,
             _bound: bound,
             _runtime: runtime,
         }
     }
 
-    /// The value of `--nodes`.
+    /// The addresses of the fake nodes, as a value of `--nodes`.
     pub(crate) fn nodes(&self) -> String {
         let addrs = self.addrs.iter().map(ToString::to_string);
         addrs.collect::<Vec<_>>().join(",")
@@ -171,29 +172,29 @@
 }
 
 #[derive(Debug)]
-struct Node {
-    fake: Fake,
-    questions: AtomicU64,
+struct NodeState {
+    fake: FakeNode,
+    version_requests: AtomicU64,
 }
 
 #[derive(Debug, Deserialize)]
-struct Asked {
+struct AdminQuery {
     service: Option<String>,
     path: Option<String>,
     content: Option<String>,
     after: Option<u64>,
 }
 
-fn serve(runtime: &Runtime, listener: TcpListener, fake: Fake) {
-    let node = Arc::new(Node {
+fn serve(runtime: &Runtime, listener: TcpListener, fake: FakeNode) {
+    let node = Arc::new(NodeState {
         fake,
-        questions: AtomicU64::new(0),
+        version_requests: AtomicU64::new(0),
     });
-    let app = match fake.manner {
-        Manner::Sick => {
+    let app = match fake.behaviour {
+        Behaviour::Failing => {
             Router::new().fallback(async || (StatusCode::INTERNAL_SERVER_ERROR, "out of order"))
         }
-        Manner::Garbled => Router::new().fallback(async || "hello"),
+        Behaviour::Garbled => Router::new().fallback(async || "hello"),
         _ => Router::new()
             .route("/status", get(status))
             .route("/versions", get(versions))
@@ -207,7 +208,7 @@
     runtime.spawn(async move { axum::serve(listener, app).await });
 }
 
-async fn status(State(node): State<Arc<Node>>) -> Json<Status> {
+async fn status(State(node): State<Arc<NodeState>>) -> Json<Status> {
     Json(Status {
         instance: node.fake.id(),
         service: ServiceName::new("workshop-desk").unwrap(),
@@ -227,25 +228,28 @@
     })
 }
 
-async fn versions(State(node): State<Arc<Node>>) -> Json<Versions> {
-    let questions = node.questions.fetch_add(1, Ordering::Relaxed);
+async fn versions(State(node): State<Arc<NodeState>>) -> Json<Versions> {
+    let earlier = node.version_requests.fetch_add(1, Ordering::Relaxed);
     let mut held = node.fake.held();
-    if matches!(node.fake.manner, Manner::Turning(after) if questions >= after) {
-        held = Fake::holding("wd-1", 7, "aa").held();
+    if matches!(node.fake.behaviour, Behaviour::UpgradedAfter(requests) if earlier >= requests) {
+        held = FakeNode::with_version("wd-1", 7, "aa").held();
     }
     Json(Versions {
         instance: node.fake.id(),
         held,
-        heard: Fake::holding("wd-1", 9, "ee").held(),
+        heard: FakeNode::with_version("wd-1", 9, "ee").held(),
         refused: None,
         refusals: 0,
         conflicts: 0,
     })
 }
 
-async fn explain(State(node): State<Arc<Node>>, Query(asked): Query<Asked>) -> Json<Explanation> {
-    let service = asked.service.unwrap();
-    let path = asked.path.as_deref().unwrap_or("-");
+async fn explain(
+    State(node): State<Arc<NodeState>>,
+    Query(query): Query<AdminQuery>,
+) -> Json<Explanation> {
+    let service = query.service.unwrap();
+    let path = query.path.as_deref().unwrap_or("-");
     Json(Explanation {
         held: node.fake.held(),
         route: None,
@@ -268,8 +272,11 @@
     })
 }
 
-async fn audit(State(node): State<Arc<Node>>, Query(asked): Query<Asked>) -> Json<AuditPage> {
-    let number = asked.after.unwrap_or(0) + 1;
+async fn audit(
+    State(node): State<Arc<NodeState>>,
+    Query(query): Query<AdminQuery>,
+) -> Json<AuditPage> {
+    let number = query.after.unwrap_or(0) + 1;
     let record = AuditRecord {
         number,
         unix_ms: 1_500,
@@ -285,7 +292,7 @@
     })
 }
 
-async fn quarantine(State(node): State<Arc<Node>>) -> Json<QuarantineInfo> {
+async fn quarantine(State(node): State<Arc<NodeState>>) -> Json<QuarantineInfo> {
     let held = QuarantinedInfo {
         content: "00000000000000aa".to_owned(),
         left_ms: 7,
@@ -296,14 +303,17 @@
     })
 }
 
-async fn release(State(node): State<Arc<Node>>, Query(asked): Query<Asked>) -> Json<ReleaseAnswer> {
+async fn release(
+    State(node): State<Arc<NodeState>>,
+    Query(query): Query<AdminQuery>,
+) -> Json<ReleaseAnswer> {
     Json(ReleaseAnswer {
         instance: node.fake.id(),
-        was_held: asked.content.as_deref() == Some("00000000000000aa"),
+        was_held: query.content.as_deref() == Some("00000000000000aa"),
     })
 }
 
-async fn drain(State(node): State<Arc<Node>>) -> Json<DrainAnswer> {
+async fn drain(State(node): State<Arc<NodeState>>) -> Json<DrainAnswer> {
     Json(DrainAnswer {
         instance: node.fake.id(),
         phase: Phase::Draining,
