--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -1,91 +1,91 @@
-//! The command line.
+//! The command line flags.
 
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Checks catalogues, asks nodes what they hold and drains them.
+    /// Validates and compares catalogues, queries nodes and drains them.
     ///
-    /// Exit codes: 0 yes or done, 1 no, 2 no full answer.
+    /// Exit codes: 0 yes or done, 1 no, 2 error or incomplete answer.
     cmd sassafrasspoolctl {
         /// Print one JSON object instead of text.
         optional --json
-        /// Admin addresses of the nodes to ask, such as 10.0.0.7:9003,10.0.0.8:9003.
+        /// Admin addresses of the nodes to query, such as 10.0.0.7:9003,10.0.0.8:9003.
         optional --nodes list: String
-        /// A file with one admin address a line; # begins a comment.
+        /// A file with one admin address per line; # begins a comment.
         optional --nodes-file file: PathBuf
-        /// Milliseconds that each node may take to answer (2000).
+        /// Timeout of each request to a node, in milliseconds (2000).
         optional --timeout-ms ms: u64
 
-        /// Check a catalogue and tell every fault with its place.
+        /// Validate a catalogue and report every fault with its place.
         cmd check {
-            /// The catalogue's file.
+            /// The catalogue file.
             required file: PathBuf
         }
 
-        /// Tell which entries were added, changed or removed.
+        /// List the entries that were added, changed or removed.
         cmd diff {
-            /// The older catalogue's file.
+            /// The older catalogue file.
             required old: PathBuf
-            /// The newer catalogue's file.
+            /// The newer catalogue file.
             required new: PathBuf
         }
 
-        /// Tell how each node is.
+        /// Show the state of each node.
         cmd status {}
 
-        /// Tell which versions each node holds and which nodes lag.
+        /// Show which versions each node holds and which nodes lag.
         cmd versions {}
 
-        /// Wait until every node has a revision in force.
+        /// Wait until a revision is in force on every node.
         cmd converged {
-            /// The revision, or a newer one.
+            /// The least revision to wait for.
             required --revision revision: u64
             /// Seconds to wait at most.
             required --within seconds: u64
-            /// Which stream: catalogue (default) or instances.
+            /// The stream: catalogue (default) or instances.
             optional --stream stream: String
         }
 
-        /// Ask about routes.
+        /// Inspect routes.
         cmd route {
-            /// Tell where requests of a service, or for a path, go and why.
+            /// Show where requests of a service, or for a path, are routed and why.
             cmd explain {
                 /// The service.
                 required service: String
                 /// The path of a request.
                 optional path: String
-                /// The host that the request names.
+                /// The host named by the request.
                 optional --host host: String
             }
         }
 
-        /// Tell the way of one request from the logs of nodes.
+        /// Trace one request through the logs of nodes.
         cmd request {
-            /// The request's id, as its caller gave it.
+            /// The request's id, as set by its caller.
             required id: String
-            /// A log to read, once for each; - is standard input.
+            /// A log to read; may be repeated; - is standard input.
             repeated --log file: PathBuf
         }
 
         /// Print the nodes' audit trails.
         cmd audit {
-            /// Leave out records up to this number.
+            /// Omit records up to and including this number.
             optional --after number: u64
         }
 
-        /// See and release requests that are kept from targets.
+        /// List and release quarantined requests.
         cmd quarantine {
-            /// Tell what each node keeps from targets, since they crash under it.
+            /// List the requests that each node withholds because they crash targets.
             cmd list {}
 
-            /// Let requests run again; the node that is told tells the others.
+            /// Release requests; the node that accepts this forwards it to the others.
             cmd release {
-                /// What they ask for, as the list names it.
+                /// The content of the requests, as printed by `list`.
                 required content: String
             }
         }
 
-        /// Begin a planned stop of a node.
+        /// Start a planned stop of a node.
         cmd drain {
             /// Its admin address, or its instance among --nodes.
             required node: String
--- a/crates/ctl/src/audit.rs
+++ b/crates/ctl/src/audit.rs
@@ -1,4 +1,4 @@
-//! `audit`: the nodes' trails of changes, in one order.
+//! `audit`: the audit trails of all nodes, merged by time.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -14,17 +14,17 @@
 use crate::nodes::Answers;
 use crate::nodes::Nodes;
 use crate::nodes::Unreachable;
-use crate::print::Finding;
+use crate::print::VerbResult;
 
-/// All records, oldest first by the nodes' clocks.
+/// The audit records of all nodes, oldest first by the nodes' clocks.
 #[derive(Debug, Serialize)]
-pub(crate) struct Trail {
+pub(crate) struct AuditTrail {
     records: Vec<NodeRecord>,
-    dropped: Vec<Dropped>,
+    dropped: Vec<DroppedRecords>,
     unreachable: Vec<Unreachable>,
 }
 
-/// One node's record.
+/// An audit record with the node that wrote it.
 #[derive(Debug, Serialize)]
 struct NodeRecord {
     node: SocketAddr,
@@ -33,29 +33,34 @@
     record: AuditRecord,
 }
 
-/// A node that no longer keeps all of its records.
+/// The number of old records that a node has discarded.
 #[derive(Debug, Serialize)]
-struct Dropped {
+struct DroppedRecords {
     node: SocketAddr,
     records: u64,
 }
 
-impl Trail {
-    /// Asks every node.
-    pub(crate) async fn ask(client: &AdminClient, nodes: &Nodes, after: Option<u64>) -> Trail {
+impl AuditTrail {
+    /// Queries every node for its records with numbers above `after`, or for
+    /// all of its records.
+    pub(crate) async fn query(
+        client: &AdminClient,
+        nodes: &Nodes,
+        after: Option<u64>,
+    ) -> AuditTrail {
         let path = match after {
             Some(after) => format!("{AUDIT_PATH}?after={after}"),
             None => AUDIT_PATH.to_owned(),
         };
-        let answers = nodes.ask(|node| {
+        let answers = nodes.query_all(|node| {
             let path = path.clone();
             async move { client.get(node, &path).await }
         });
-        Trail::of(answers.await)
+        AuditTrail::from_answers(answers.await)
     }
 
-    fn of(answers: Answers<AuditPage>) -> Trail {
-        let mut trail = Trail {
+    fn from_answers(answers: Answers<AuditPage>) -> AuditTrail {
+        let mut trail = AuditTrail {
             records: Vec::new(),
             dropped: Vec::new(),
             unreachable: answers.unreachable,
@@ -66,7 +71,7 @@
                 instance,
                 records,
                 dropped,
-            } = answer.said;
+            } = answer.body;
             trail
                 .records
                 .extend(records.into_iter().map(|record| NodeRecord {
@@ -76,16 +81,17 @@
                 }));
             if dropped > 0 {
                 let records = dropped;
-                trail.dropped.push(Dropped { node, records });
+                trail.dropped.push(DroppedRecords { node, records });
             }
         }
-        // A stable sort keeps each node's own order where its clock stood.
+        // The sort is stable: records of one node with equal timestamps keep
+        // their order.
         trail.records.sort_by_key(|found| found.record.unix_ms);
         trail
     }
 }
 
-impl Finding for Trail {
+impl VerbResult for AuditTrail {
     fn verdict(&self) -> Verdict {
         if self.unreachable.is_empty() {
             Verdict::Yes
@@ -95,13 +101,13 @@
     }
 }
 
-impl fmt::Display for Trail {
+impl fmt::Display for AuditTrail {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.records
             .iter()
             .try_for_each(|found| write!(f, "{found}"))?;
         for dropped in &self.dropped {
-            let Dropped { node, records } = dropped;
+            let DroppedRecords { node, records } = dropped;
             writeln!(f, "{node}  no longer keeps {records} older records")?;
         }
         self.unreachable
@@ -119,18 +125,22 @@
             "{seconds}.{ms:03}  {}  #{}  {}",
             self.instance, record.number, record.event
         )?;
-        part(f, "stream", record.stream.as_ref())?;
-        part(f, "version", record.version.as_ref())?;
-        part(f, "kept", record.kept.as_ref())?;
-        part(f, "from", record.from.as_ref())?;
-        part(f, "instance", record.instance.as_ref())?;
-        part(f, "phase", record.phase.as_ref())?;
-        part(f, "reason", record.reason.as_ref())?;
+        write_field(f, "stream", record.stream.as_ref())?;
+        write_field(f, "version", record.version.as_ref())?;
+        write_field(f, "kept", record.kept.as_ref())?;
+        write_field(f, "from", record.from.as_ref())?;
+        write_field(f, "instance", record.instance.as_ref())?;
+        write_field(f, "phase", record.phase.as_ref())?;
+        write_field(f, "reason", record.reason.as_ref())?;
         writeln!(f)
     }
 }
 
-fn part(f: &mut fmt::Formatter<'_>, name: &str, value: Option<&impl fmt::Display>) -> fmt::Result {
+fn write_field(
+    f: &mut fmt::Formatter<'_>,
+    name: &str,
+    value: Option<&impl fmt::Display>,
+) -> fmt::Result {
     match value {
         Some(value) => write!(f, "  {name}={value}"),
         None => Ok(()),
--- a/crates/ctl/src/catalogue.rs
+++ b/crates/ctl/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! Reading a catalogue's file as a node would judge it.
+//! Reads a catalogue file and validates it as a node does.
 
 use std::fs::File;
 use std::io;
@@ -15,48 +15,50 @@
 use sassafrasspool_core::yaml;
 use sassafrasspool_core::yaml::Tree;
 
-/// Reads a file's text, at most one byte more than a catalogue may have.
+/// Reads the text of a file, at most one byte more than the size limit of a
+/// catalogue: enough for validation to reject a larger file.
 ///
 /// # Errors
 ///
 /// Fails if the file can't be read or isn't UTF-8.
 pub(crate) fn read_text(path: &Path) -> Result<String, Error> {
-    let refused = |cause: io::Error| {
+    let read_error = |cause: io::Error| {
         Error::new(Step::Parse, format!("{} can't be read", path.display())).with_cause(cause)
     };
-    let file = File::open(path).map_err(refused)?;
+    let file = File::open(path).map_err(read_error)?;
     let bound = MAX_CATALOGUE_BYTES as u64 + 1;
     let mut text = String::new();
     file.take(bound)
         .read_to_string(&mut text)
-        .map_err(refused)?;
+        .map_err(read_error)?;
     Ok(text)
 }
 
-/// Judges a text by all that a node checks before it applies it.
+/// Validates a catalogue's text by all checks that a node makes before it
+/// applies one.
 ///
 /// # Errors
 ///
-/// Returns every fault, with its place where the text shows it.
-pub(crate) fn judge(text: &str) -> Result<Catalogue, Faults> {
-    catalogue::review(text).map_err(|faults| located(text, &faults))
+/// Returns every fault, with its place where it can be found in the text.
+pub(crate) fn validate(text: &str) -> Result<Catalogue, Faults> {
+    catalogue::review(text).map_err(|faults| add_places(text, &faults))
 }
 
-/// Gives places to faults that were found across entries.
-fn located(text: &str, faults: &Faults) -> Faults {
+/// Adds places to the faults that were found by checks across entries.
+fn add_places(text: &str, faults: &Faults) -> Faults {
     let tree = yaml::parse(text).ok();
     let mut found = Faults::new();
     for fault in faults.iter() {
-        let by_tree = || place_of(tree.as_ref()?, &fault.entry, &fault.field);
+        let by_tree = || find_place(tree.as_ref()?, &fault.entry, &fault.field);
         let place = fault.place.or_else(by_tree);
         found.add_at(place, &fault.entry, &fault.field, &*fault.reason);
     }
     found
 }
 
-/// Where the field of an entry such as `adjuster-desk.routes[2]` stands; the
-/// entry's own place if the text doesn't write the field out.
-fn place_of(tree: &Tree, entry: &str, field: &str) -> Option<Place> {
+/// The place of a field of an entry such as `adjuster-desk.routes[2]`; the
+/// place of the entry if the field is omitted in the text.
+fn find_place(tree: &Tree, entry: &str, field: &str) -> Option<Place> {
     let (service, route) = entry.split_once(".routes[")?;
     let number: usize = route.strip_suffix(']')?.parse().ok()?;
     let services = child(tree, "services")?;
@@ -68,10 +70,11 @@
     let Tree::Table(fields) = &route.tree else {
         return None;
     };
-    let written = fields.iter().find(|known| known.key == field);
-    Some(written.map_or(route.place, |known| known.value.place))
+    let found = fields.iter().find(|it| it.key == field);
+    Some(found.map_or(route.place, |it| it.value.place))
 }
 
+/// The value of a key of a table.
 fn child<'t>(tree: &'t Tree, key: &str) -> Option<&'t Tree> {
     let Tree::Table(fields) = tree else {
         return None;
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -1,4 +1,4 @@
-//! `check FILE`: whether every node would apply this catalogue.
+//! `check FILE`: whether a catalogue is valid, so that nodes would apply it.
 
 use std::fmt;
 use std::path::Path;
@@ -10,24 +10,24 @@
 
 use crate::Verdict;
 use crate::catalogue;
-use crate::print::Finding;
-use crate::report;
+use crate::fault_report;
+use crate::print::VerbResult;
 
-/// What was found in a file.
+/// The result of validating a catalogue file.
 #[derive(Debug, Serialize)]
-pub(crate) struct Checked {
+pub(crate) struct CheckResult {
     file: String,
     valid: bool,
     entries: usize,
     digest: Option<String>,
-    faults: Vec<FoundFault>,
+    faults: Vec<FaultInfo>,
     #[serde(skip)]
     rendered: String,
 }
 
-/// One fault for programs.
+/// A fault as it is written in JSON.
 #[derive(Debug, Serialize)]
-struct FoundFault {
+struct FaultInfo {
     line: Option<usize>,
     column: Option<usize>,
     entry: String,
@@ -35,43 +35,43 @@
     reason: String,
 }
 
-impl Checked {
-    /// Reads and judges a file.
+impl CheckResult {
+    /// Reads and validates a file.
     ///
     /// # Errors
     ///
     /// Fails if the file can't be read.
-    pub(crate) fn file(path: &Path) -> Result<Checked, Error> {
+    pub(crate) fn read_file(path: &Path) -> Result<CheckResult, Error> {
         let text = catalogue::read_text(path)?;
         let file = path.display().to_string();
-        match catalogue::judge(&text) {
-            Ok(held) => Ok(Checked::valid(file, &held)),
-            Err(faults) => Ok(Checked {
+        match catalogue::validate(&text) {
+            Ok(catalogue) => Ok(CheckResult::valid(file, &catalogue)),
+            Err(faults) => Ok(CheckResult {
                 file,
                 valid: false,
                 entries: 0,
                 digest: None,
-                faults: faults.iter().map(FoundFault::of).collect(),
-                rendered: report::render(path, &text, &faults)
+                faults: faults.iter().map(FaultInfo::from_fault).collect(),
+                rendered: fault_report::render(path, &text, &faults)
                     .unwrap_or_else(|_| faults.to_string()),
             }),
         }
     }
 
-    fn valid(file: String, held: &Catalogue) -> Checked {
-        Checked {
+    fn valid(file: String, catalogue: &Catalogue) -> CheckResult {
+        CheckResult {
             file,
             valid: true,
-            entries: held.len(),
-            digest: Some(held.version().digest().to_string()),
+            entries: catalogue.len(),
+            digest: Some(catalogue.version().digest().to_string()),
             faults: Vec::new(),
             rendered: String::new(),
         }
     }
 }
 
-impl Finding for Checked {
-    /// Whether a node would apply it.
+impl VerbResult for CheckResult {
+    /// Yes if a node would apply the catalogue.
     fn verdict(&self) -> Verdict {
         if self.valid {
             Verdict::Yes
@@ -81,9 +81,9 @@
     }
 }
 
-impl FoundFault {
-    fn of(fault: &Fault) -> FoundFault {
-        FoundFault {
+impl FaultInfo {
+    fn from_fault(fault: &Fault) -> FaultInfo {
+        FaultInfo {
             line: fault.place.map(|place| place.line),
             column: fault.place.map(|place| place.column),
             entry: fault.entry.clone(),
@@ -93,7 +93,7 @@
     }
 }
 
-impl fmt::Display for Checked {
+impl fmt::Display for CheckResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.rendered)?;
         match &self.digest {
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Talking to admin addresses over HTTP.
+//! An HTTP client for the admin addresses of nodes and of the platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,13 +20,14 @@
 use serde::de::DeserializeOwned;
 use tokio::time::timeout;
 
-/// The largest answer that is read, in bytes.
+/// The largest response body that is accepted, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// How much of an error's body is told, in characters.
-const MAX_TOLD_CHARS: usize = 300;
+/// How much of the body of an error response is quoted in the error, in
+/// characters.
+const MAX_ERROR_BODY_CHARS: usize = 300;
 
-/// A client of admin addresses; cloning it shares its connections.
+/// An HTTP client for admin addresses; clones share its connections.
 #[derive(Debug, Clone)]
 pub struct AdminClient {
     http: Client<HttpConnector, Full<Bytes>>,
@@ -34,28 +35,29 @@
 }
 
 impl AdminClient {
-    /// A client that gives each request at most `timeout` in all.
+    /// Creates a client whose requests each take at most `timeout` in total.
     pub fn new(timeout: Duration) -> AdminClient {
-        // A drain that was asked for twice is harmless, but the operator is
-        // told of a failure at once instead of after a silent retry.
+        // A drain that is requested twice is harmless, but a failure is
+        // reported to the operator at once instead of after a silent retry.
         let http = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .build_http();
         AdminClient { http, timeout }
     }
 
-    /// Reads JSON.
+    /// Sends a GET request and decodes the JSON response.
     ///
     /// # Errors
     ///
-    /// Fails, naming the peer, if there is no answer in time, a status other
-    /// than success, or a body that isn't what `T` asks for.
+    /// Fails, naming the peer, if no answer arrives within the timeout, the
+    /// status isn't a success, or the body can't be decoded as `T`.
     pub async fn get<T: DeserializeOwned>(&self, peer: SocketAddr, path: &str) -> Result<T> {
         let body = self.send(Method::GET, peer, path, Bytes::new()).await?;
         decode(peer, &body)
     }
 
-    /// Posts JSON and reads JSON; an empty answer is `null`.
+    /// Sends a POST request with a JSON body and decodes the JSON response; an
+    /// empty response body is decoded as `null`.
     ///
     /// # Errors
     ///
@@ -71,7 +73,7 @@
         decode(peer, if body.is_empty() { b"null" } else { &body })
     }
 
-    /// Puts a body as it is and reads JSON.
+    /// Sends a PUT request with an unchanged body and decodes the JSON response.
     ///
     /// # Errors
     ///
@@ -98,44 +100,46 @@
             .uri(format!("http://{peer}{path}"))
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(body))
-            .map_err(|cause| failed(peer, "can't be asked").with_cause(cause))?;
+            .map_err(|cause| admin_error(peer, "can't build the request").with_cause(cause))?;
         let exchange = timeout(self.timeout, self.exchange(peer, req));
         let ms = self.timeout.as_millis();
         exchange
             .await
-            .unwrap_or_else(|_| Err(failed(peer, &format!("no answer within {ms} ms"))))
+            .unwrap_or_else(|_| Err(admin_error(peer, &format!("no answer within {ms} ms"))))
     }
 
     async fn exchange(&self, peer: SocketAddr, req: Request<Full<Bytes>>) -> Result<Bytes> {
-        let answer = self.http.request(req).await;
-        let answer = answer.map_err(|cause| failed(peer, "no answer").with_cause(cause))?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES);
+        let res = self.http.request(req).await;
+        let res = res.map_err(|cause| admin_error(peer, "no answer").with_cause(cause))?;
+        let status = res.status();
+        let body = Limited::new(res.into_body(), MAX_ANSWER_BYTES);
         let body = body.collect().await;
-        let body = body.map_err(|cause| failed(peer, "broken answer").with_cause(cause))?;
+        let body =
+            body.map_err(|cause| admin_error(peer, "can't read the answer").with_cause(cause))?;
         let body = body.to_bytes();
         if status.is_success() {
             return Ok(body);
         }
-        let told: String = String::from_utf8_lossy(&body)
+        let quoted: String = String::from_utf8_lossy(&body)
             .chars()
-            .take(MAX_TOLD_CHARS)
+            .take(MAX_ERROR_BODY_CHARS)
             .collect();
-        Err(failed(peer, &format!("{status} {told}")))
+        Err(admin_error(peer, &format!("{status} {quoted}")))
     }
 }
 
 fn encode(peer: SocketAddr, body: &impl Serialize) -> Result<Bytes> {
     let body = serde_json::to_vec(body);
-    let body = body.map_err(|cause| failed(peer, "can't be encoded").with_cause(cause))?;
+    let body =
+        body.map_err(|cause| admin_error(peer, "can't encode the request").with_cause(cause))?;
     Ok(Bytes::from(body))
 }
 
 fn decode<T: DeserializeOwned>(peer: SocketAddr, body: &[u8]) -> Result<T> {
     serde_json::from_slice(body)
-        .map_err(|cause| failed(peer, "unexpected answer").with_cause(cause))
+        .map_err(|cause| admin_error(peer, "unexpected answer").with_cause(cause))
 }
 
-fn failed(peer: SocketAddr, reason: &str) -> Error {
+fn admin_error(peer: SocketAddr, reason: &str) -> Error {
     Error::new(Step::Admin, reason).at_peer(peer)
 }
--- a/crates/ctl/src/converged.rs
+++ b/crates/ctl/src/converged.rs
@@ -1,4 +1,4 @@
-//! `converged`: waiting until every node has a revision in force.
+//! `converged`: waits until a revision is in force on every node.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -18,24 +18,24 @@
 use crate::nodes::Answers;
 use crate::nodes::Nodes;
 use crate::nodes::Unreachable;
-use crate::print::Finding;
-use crate::versions::held_of;
+use crate::print::VerbResult;
+use crate::versions::version_of;
 
-/// Time between two rounds of asking.
-const ROUND: Duration = Duration::from_millis(100);
+/// Time between the end of one round of queries and the next round.
+const ROUND_PAUSE: Duration = Duration::from_millis(100);
 
-/// What is waited for.
+/// The revision to wait for.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Wanted {
-    /// Which stream is meant.
+pub(crate) struct ConvergenceGoal {
+    /// The stream of the revision.
     pub(crate) stream: Stream,
     /// The least revision.
     pub(crate) revision: u64,
-    /// How long to wait.
-    pub(crate) within: Duration,
+    /// How long to wait at most.
+    pub(crate) timeout: Duration,
 }
 
-/// How far the nodes got.
+/// How far the nodes had converged in the last round.
 #[derive(Debug, Serialize)]
 pub(crate) struct Convergence {
     stream: Stream,
@@ -48,7 +48,7 @@
     unreachable: Vec<Unreachable>,
 }
 
-/// A node that holds something older, or nothing.
+/// A node that holds an older revision, or none.
 #[derive(Debug, Serialize)]
 struct Lagging {
     node: SocketAddr,
@@ -56,29 +56,39 @@
 }
 
 impl Convergence {
-    /// Asks round by round until every node answers with the revision or a
-    /// newer one, or the time is over.
+    /// Queries the nodes in rounds until every node reports the revision or a
+    /// newer one, or until the timeout.
     ///
-    /// Every node is asked in every round: one that had the revision and then
+    /// Every round queries every node: a node that had the revision and then
     /// stopped answering hasn't converged.
-    pub(crate) async fn wait(client: &AdminClient, nodes: &Nodes, wanted: Wanted) -> Convergence {
+    pub(crate) async fn wait(
+        client: &AdminClient,
+        nodes: &Nodes,
+        goal: ConvergenceGoal,
+    ) -> Convergence {
         let began = Instant::now();
         loop {
-            let answers = nodes.ask(|node| client.get(node, VERSIONS_PATH)).await;
-            let found = Convergence::of(&answers, wanted, began.elapsed());
-            if found.converged || began.elapsed() + ROUND > wanted.within {
+            let answers = nodes
+                .query_all(|node| client.get(node, VERSIONS_PATH))
+                .await;
+            let found = Convergence::from_answers(&answers, goal, began.elapsed());
+            if found.converged || began.elapsed() + ROUND_PAUSE > goal.timeout {
                 return found;
             }
-            sleep(ROUND).await;
+            sleep(ROUND_PAUSE).await;
         }
     }
 
-    fn of(answers: &Answers<Versions>, wanted: Wanted, waited: Duration) -> Convergence {
+    fn from_answers(
+        answers: &Answers<Versions>,
+        goal: ConvergenceGoal,
+        waited: Duration,
+    ) -> Convergence {
         let mut lagging = Vec::new();
         let mut reached = BTreeSet::new();
         for answer in &answers.answered {
-            match held_of(&answer.said.held, wanted.stream) {
-                Some(held) if held.revision >= wanted.revision => {
+            match version_of(&answer.body.held, goal.stream) {
+                Some(held) if held.revision >= goal.revision => {
                     reached.insert(held.clone());
                 }
                 held => lagging.push(Lagging {
@@ -87,11 +97,11 @@
                 }),
             }
         }
-        let conflicting = conflicts(&reached);
+        let conflicting = conflicting_versions(&reached);
         let complete = lagging.is_empty() && answers.unreachable.is_empty();
         Convergence {
-            stream: wanted.stream,
-            revision: wanted.revision,
+            stream: goal.stream,
+            revision: goal.revision,
             converged: complete && conflicting.is_empty(),
             waited_ms: waited.as_millis(),
             nodes: answers.answered.len() + answers.unreachable.len(),
@@ -102,17 +112,17 @@
     }
 }
 
-/// Versions of one revision with different contents.
-fn conflicts(reached: &BTreeSet<VersionInfo>) -> Vec<String> {
-    let twice = |version: &&VersionInfo| {
+/// The versions that share their revision with a version of other content.
+fn conflicting_versions(reached: &BTreeSet<VersionInfo>) -> Vec<String> {
+    let conflicts = |version: &&VersionInfo| {
         let same = |other: &&VersionInfo| other.revision == version.revision;
         reached.iter().filter(same).count() > 1
     };
-    let found = reached.iter().filter(twice);
+    let found = reached.iter().filter(conflicts);
     found.map(ToString::to_string).collect()
 }
 
-impl Finding for Convergence {
+impl VerbResult for Convergence {
     fn verdict(&self) -> Verdict {
         if !self.unreachable.is_empty() {
             return Verdict::Unanswered;
@@ -134,11 +144,11 @@
             waited_ms,
             ..
         } = self;
-        let short = self.lagging.len() + self.unreachable.len();
-        let there = nodes - short;
+        let missing = self.lagging.len() + self.unreachable.len();
+        let converged = nodes - missing;
         writeln!(
             f,
-            "{there} of {nodes} nodes have {stream} {revision} or newer in force after {waited_ms} ms"
+            "{converged} of {nodes} nodes have {stream} {revision} or newer in force after {waited_ms} ms"
         )?;
         for lagging in &self.lagging {
             let held = &lagging.held;
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -1,4 +1,4 @@
-//! `diff OLD NEW`: what a new catalogue changes, by entry and field.
+//! `diff OLD NEW`: the differences of two catalogues, by entry and field.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -10,7 +10,7 @@
 
 use self::fields::fields;
 use crate::Verdict;
-use crate::print::Finding;
+use crate::print::VerbResult;
 
 mod fields;
 #[cfg(test)]
@@ -32,7 +32,7 @@
     fields: Vec<FieldChange>,
 }
 
-/// What became of an entry.
+/// How an entry changed.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum Change {
@@ -41,7 +41,7 @@
     Removed,
 }
 
-/// One field that differs; a side is missing if the field isn't there.
+/// One field that differs; `None` on the side that doesn't have the field.
 #[derive(Debug, PartialEq, Serialize)]
 struct FieldChange {
     field: String,
@@ -69,7 +69,7 @@
     }
 }
 
-impl Finding for Difference {
+impl VerbResult for Difference {
     fn verdict(&self) -> Verdict {
         Verdict::Yes
     }
--- a/crates/ctl/src/diff/fields.rs
+++ b/crates/ctl/src/diff/fields.rs
@@ -1,6 +1,6 @@
-//! The fields of an entry under the names that the catalogue's text gives
-//! them. Routes go by their path, so that moving one in the list isn't a
-//! change.
+//! The fields of an entry by their names in the catalogue's text. Routes are
+//! identified by host and path, so that a route that only moves within the
+//! list isn't a change.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use sassafrasspool_core::Route;
 use sassafrasspool_core::ServiceEntry;
 
-/// Every field with its value.
+/// Returns every field of an entry with its value.
 pub(super) fn fields(item: &CatalogueItem) -> BTreeMap<String, String> {
     let mut found = BTreeMap::new();
     match item {
--- a/crates/ctl/src/diff/tests.rs
+++ b/crates/ctl/src/diff/tests.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 
 use super::Difference;
-use crate::catalogue::judge;
+use crate::catalogue::validate;
 
 const BASE: &str = "
 kinds: {review: {weight: 2}}
@@ -17,15 +17,15 @@
 struct Case {
     from: &'static str,
     to: &'static str,
-    told: &'static [&'static str],
+    expected: &'static [&'static str],
 }
 
 #[rstest]
-#[case(Case { from: "2", to: "2", told: &["no difference"] })]
-#[case(Case { from: "weight: 2", to: "weight: 3", told: &["~ kind review", "    weight: 2 -> 3"] })]
-#[case(Case { from: "ms: 900", to: "ms: 800", told: &["~ service desk", "    limits.deadline_ms: 900 -> 800"] })]
-#[case(Case { from: "kinds: {", to: "kinds: {sign-off: {weight: 9}, ", told: &["+ kind sign-off", "    weight: 9"] })]
-#[case(Case { from: "path: /desk,", to: "path: /table,", told: &[
+#[case(Case { from: "2", to: "2", expected: &["no difference"] })]
+#[case(Case { from: "weight: 2", to: "weight: 3", expected: &["~ kind review", "    weight: 2 -> 3"] })]
+#[case(Case { from: "ms: 900", to: "ms: 800", expected: &["~ service desk", "    limits.deadline_ms: 900 -> 800"] })]
+#[case(Case { from: "kinds: {", to: "kinds: {sign-off: {weight: 9}, ", expected: &["+ kind sign-off", "    weight: 9"] })]
+#[case(Case { from: "path: /desk,", to: "path: /table,", expected: &[
     "~ service desk",
     "    routes[/desk].class: was standard",
     "    routes[/desk].idempotent: was false",
@@ -36,24 +36,28 @@
     "    routes[/table].kind: review",
     "    routes[/table].service: desk",
 ] })]
-fn a_change_is_told_by_entry_and_field(#[case] case: Case) {
-    let old = judge(BASE).unwrap();
-    let new = judge(&BASE.replacen(case.from, case.to, 1)).unwrap();
-    let told = Difference::between(&old, &new).to_string();
-    let lines: Vec<&str> = told.lines().collect();
-    assert!(lines[0].starts_with(case.told[0]), "{told}");
-    assert_eq!(&lines[..case.told.len()][1..], &case.told[1..], "{told}");
-    let ends = lines.last().unwrap();
-    assert!(ends.contains("digest"), "{told}");
+fn difference_lists_changed_fields_by_entry(#[case] case: Case) {
+    let old = validate(BASE).unwrap();
+    let new = validate(&BASE.replacen(case.from, case.to, 1)).unwrap();
+    let text = Difference::between(&old, &new).to_string();
+    let lines: Vec<&str> = text.lines().collect();
+    assert!(lines[0].starts_with(case.expected[0]), "{text}");
+    assert_eq!(
+        &lines[..case.expected.len()][1..],
+        &case.expected[1..],
+        "{text}"
+    );
+    let last = lines.last().unwrap();
+    assert!(last.contains("digest"), "{text}");
 }
 
 #[test]
-fn an_entry_that_goes_is_told_with_what_it_held() {
-    let new = judge(BASE).unwrap();
-    let old = judge(&BASE.replacen("{review", "{spare: {weight: 7}, review", 1)).unwrap();
-    let told = Difference::between(&old, &new).to_string();
+fn removed_entry_is_listed_with_its_old_fields() {
+    let new = validate(BASE).unwrap();
+    let old = validate(&BASE.replacen("{review", "{spare: {weight: 7}, review", 1)).unwrap();
+    let text = Difference::between(&old, &new).to_string();
     assert!(
-        told.starts_with("- kind spare\n    weight: was 7\n"),
-        "{told}"
+        text.starts_with("- kind spare\n    weight: was 7\n"),
+        "{text}"
     );
 }
--- a/crates/ctl/src/drain.rs
+++ b/crates/ctl/src/drain.rs
@@ -1,4 +1,4 @@
-//! `drain NODE`: beginning a planned stop.
+//! `drain NODE`: starts a planned stop of a node.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,73 +16,77 @@
 use crate::AdminClient;
 use crate::Verdict;
 use crate::nodes::Nodes;
-use crate::print::Finding;
+use crate::print::VerbResult;
 
-/// What the node answered.
+/// The node's answer to the drain request.
 #[derive(Debug, Serialize)]
-pub(crate) struct Draining {
+pub(crate) struct DrainResult {
     node: SocketAddr,
     #[serde(flatten)]
-    said: DrainAnswer,
+    answer: DrainAnswer,
 }
 
-impl Draining {
-    /// Asks a node to drain.
+impl DrainResult {
+    /// Sends a drain request to a node.
     ///
     /// # Errors
     ///
-    /// Fails if the node can't be asked.
-    pub(crate) async fn begin(client: &AdminClient, node: SocketAddr) -> Result<Draining> {
-        let said = client.post(node, DRAIN_PATH, &()).await?;
-        Ok(Draining { node, said })
+    /// Fails if the node can't be reached or doesn't accept the request.
+    pub(crate) async fn begin(client: &AdminClient, node: SocketAddr) -> Result<DrainResult> {
+        let answer = client.post(node, DRAIN_PATH, &()).await?;
+        Ok(DrainResult { node, answer })
     }
 }
 
-/// The one node beside an instance.
+/// Finds the one node of an instance.
 ///
 /// # Errors
 ///
-/// Fails, naming who couldn't be asked, unless exactly one node answers that
-/// it runs beside that instance.
-pub(crate) async fn find(
+/// Fails unless exactly one node reports that instance as its own; the error
+/// lists the unreachable nodes.
+pub(crate) async fn find_node_of(
     client: &AdminClient,
     nodes: &Nodes,
     instance: &str,
 ) -> Result<SocketAddr> {
     let instance = InstanceId::new(instance)?;
     let answers = nodes
-        .ask(|node| client.get::<Status>(node, STATUS_PATH))
+        .query_all(|node| client.get::<Status>(node, STATUS_PATH))
         .await;
-    let beside = answers
+    let matching = answers
         .answered
         .iter()
-        .filter(|answer| answer.said.instance == instance);
-    let beside: Vec<SocketAddr> = beside.map(|answer| answer.node).collect();
-    if let [node] = beside[..] {
+        .filter(|answer| answer.body.instance == instance);
+    let matching: Vec<SocketAddr> = matching.map(|answer| answer.node).collect();
+    if let [node] = matching[..] {
         return Ok(node);
     }
-    let silent: Vec<String> = answers
+    let unreachable: Vec<String> = answers
         .unreachable
         .iter()
         .map(ToString::to_string)
         .collect();
-    let reason = format!("{} nodes run beside it\n{}", beside.len(), silent.concat());
+    let reason = format!(
+        "{} nodes report this instance as their own\n{}",
+        matching.len(),
+        unreachable.concat()
+    );
     Err(Error::new(Step::Admin, reason.trim_end()).at_peer(instance))
 }
 
-impl Finding for Draining {
+impl VerbResult for DrainResult {
     fn verdict(&self) -> Verdict {
         Verdict::Yes
     }
 }
 
-impl fmt::Display for Draining {
+impl fmt::Display for DrainResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let said = &self.said;
+        let answer = &self.answer;
         writeln!(
             f,
             "{}  {}  {}, {} in flight",
-            self.node, said.instance, said.phase, said.in_flight
+            self.node, answer.instance, answer.phase, answer.in_flight
         )
     }
 }
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -1,4 +1,4 @@
-//! `route explain`: where requests go, as each node sees it.
+//! `route explain`: how each node routes requests, and why.
 
 use std::fmt;
 
@@ -14,47 +14,49 @@
 use crate::Verdict;
 use crate::nodes::Answers;
 use crate::nodes::Nodes;
-use crate::print::Finding;
+use crate::print::VerbResult;
 
-/// Every node's explanation.
+/// The explanations of all nodes.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 pub(crate) struct Explanations(Answers<Explanation>);
 
-/// What is to be explained.
+/// The requests whose routing is to be explained.
 #[derive(Debug)]
-pub(crate) struct Asked<'a> {
-    /// The service.
+pub(crate) struct ExplainParams<'a> {
+    /// The service that the requests ask for.
     pub(crate) service: ServiceName,
-    /// The host that a request names.
+    /// The host named by a request.
     pub(crate) host: Option<&'a str>,
     /// The path of a request.
     pub(crate) path: Option<&'a str>,
 }
 
 impl Explanations {
-    /// Asks every node.
-    pub(crate) async fn ask(
+    /// Queries every node.
+    pub(crate) async fn query(
         client: &AdminClient,
         nodes: &Nodes,
-        asked: &Asked<'_>,
+        params: &ExplainParams<'_>,
     ) -> Explanations {
-        let query = query(asked);
-        let answers = nodes.ask(|node| {
-            let query = query.clone();
-            async move { client.get(node, &query).await }
+        let path = explain_path(params);
+        let answers = nodes.query_all(|node| {
+            let path = path.clone();
+            async move { client.get(node, &path).await }
         });
         Explanations(answers.await)
     }
 }
 
-fn query(asked: &Asked<'_>) -> String {
-    // Begun as a whole, it would count as a query that has a part already.
-    let begun = format!("{EXPLAIN_PATH}?");
-    let begins = begun.len();
-    let mut query = Serializer::for_suffix(begun, begins);
-    query.append_pair("service", asked.service.as_str());
-    for (name, value) in [("host", asked.host), ("path", asked.path)] {
+/// The path of the admin address, with `params` as its query.
+fn explain_path(params: &ExplainParams<'_>) -> String {
+    // `Serializer::new` would take the text before the query for a first
+    // parameter and begin the query with `&`.
+    let prefix = format!("{EXPLAIN_PATH}?");
+    let query_start = prefix.len();
+    let mut query = Serializer::for_suffix(prefix, query_start);
+    query.append_pair("service", params.service.as_str());
+    for (name, value) in [("host", params.host), ("path", params.path)] {
         if let Some(value) = value {
             query.append_pair(name, value);
         }
@@ -62,7 +64,7 @@
     query.finish()
 }
 
-impl Finding for Explanations {
+impl VerbResult for Explanations {
     fn verdict(&self) -> Verdict {
         self.0.verdict(Verdict::Yes)
     }
@@ -71,8 +73,8 @@
 impl fmt::Display for Explanations {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for answer in &self.0.answered {
-            writeln!(f, "{}  {}", answer.node, answer.said.reason)?;
-            if let Some(route) = &answer.said.route {
+            writeln!(f, "{}  {}", answer.node, answer.body.reason)?;
+            if let Some(route) = &answer.body.route {
                 writeln!(
                     f,
                     "    route {} -> {}  kind {} (weight {})  {}  {}",
@@ -89,30 +91,30 @@
                 )?;
             }
             let endpoints = answer
-                .said
+                .body
                 .service
                 .iter()
                 .flat_map(|found| &found.endpoints);
             endpoints
                 .into_iter()
-                .try_for_each(|found| endpoint(f, found))?;
+                .try_for_each(|found| write_endpoint(f, found))?;
         }
         self.0.fmt_unreachable(f)
     }
 }
 
-fn endpoint(f: &mut fmt::Formatter<'_>, found: &EndpointInfo) -> fmt::Result {
-    let phase = found.phase;
+fn write_endpoint(f: &mut fmt::Formatter<'_>, endpoint: &EndpointInfo) -> fmt::Result {
+    let phase = endpoint.phase;
     let phase = phase.map_or("not heard".to_owned(), |phase| phase.to_string());
-    let listed = match found.listed {
-        InstanceState::Live if found.evacuated => "live, evacuated",
+    let listed = match endpoint.listed {
+        InstanceState::Live if endpoint.evacuated => "live, evacuated",
         InstanceState::Live => "live",
         InstanceState::Leaving => "leaving",
     };
     writeln!(
         f,
         "    {}  {}  {}  slots {}  listed {listed}  phase {phase}",
-        found.instance, found.domain, found.traffic, found.slots,
+        endpoint.instance, endpoint.domain, endpoint.traffic, endpoint.slots,
     )
 }
 
--- a/crates/ctl/src/explain/tests.rs
+++ b/crates/ctl/src/explain/tests.rs
@@ -1,20 +1,21 @@
-//! What nodes are asked.
+//! The query sent to nodes.
 
 use sassafrasspool_core::ServiceName;
 
-use super::Asked;
-use super::query;
+use super::ExplainParams;
+use super::explain_path;
 
-// The address began with an empty parameter, which a stricter server refuses.
+// Guards against a query that begins with an empty parameter, which a strict
+// server rejects.
 #[test]
-fn the_address_has_each_parameter_and_no_empty_one() {
-    let asked = Asked {
+fn explain_path_has_each_parameter_and_no_empty_one() {
+    let params = ExplainParams {
         service: ServiceName::new("desk").expect("a name"),
         host: Some("desk.example"),
         path: Some("/desk/files"),
     };
-    let address = query(&asked);
-    let (_, parameters) = address.split_once('?').expect("parameters");
+    let path = explain_path(&params);
+    let (_, parameters) = path.split_once('?').expect("parameters");
     assert_eq!(
         parameters,
         "service=desk&host=desk.example&path=%2Fdesk%2Ffiles"
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/fault_report.rs
@@ -1,4 +1,5 @@
-//! Faults for people: each with the lines of the text in which it stands.
+//! Renders faults as text, each with the lines of the catalogue that it
+//! concerns.
 
 use std::error;
 use std::fmt;
@@ -14,10 +15,10 @@
 use sassafrasspool_core::Faults;
 use sassafrasspool_core::Place;
 
-/// One fault with its source.
+/// A fault with the text in which it was found.
 #[derive(Debug, Diagnostic)]
 struct FaultReport {
-    told: String,
+    message: String,
     #[source_code]
     source: NamedSource<Arc<str>>,
     #[label("here")]
@@ -26,20 +27,20 @@
 
 impl fmt::Display for FaultReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.told)
+        f.write_str(&self.message)
     }
 }
 
 impl error::Error for FaultReport {}
 
-/// Renders every fault, one after the other.
+/// Renders all faults in order.
 pub(crate) fn render(path: &Path, text: &str, faults: &Faults) -> Result<String, fmt::Error> {
     let source = NamedSource::new(path.display().to_string(), Arc::from(text));
     let handler = GraphicalReportHandler::new();
     let mut rendered = String::new();
     for fault in faults.iter() {
         let report = FaultReport {
-            told: describe(fault),
+            message: describe(fault),
             source: source.clone(),
             at: fault.place.map(|place| span(text, place)),
         };
@@ -48,16 +49,16 @@
     Ok(rendered)
 }
 
-/// The fault without its place, which the snippet shows.
+/// Describes the fault without its place, which the snippet shows.
 fn describe(fault: &Fault) -> String {
-    let bare = Fault {
+    let without_place = Fault {
         place: None,
         ..fault.clone()
     };
-    bare.to_string()
+    without_place.to_string()
 }
 
-/// The word that begins at `place`.
+/// The span of the word that begins at `place`.
 fn span(text: &str, place: Place) -> SourceSpan {
     let offset = SourceOffset::from_location(text, place.line, place.column);
     let rest = text.get(offset.offset()..).unwrap_or_default();
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,8 +1,9 @@
-//! The operators' client: checks and compares catalogues, and asks nodes what
-//! they hold.
+//! The operators' client: validates and compares catalogues, queries nodes over
+//! their admin addresses, releases quarantined requests and drains nodes.
 //!
-//! Every verb ends with a [`Verdict`], so that a script can tell "no" from
-//! "couldn't be asked". A verb never leaves out a node silently.
+//! Every verb ends with a [`Verdict`], so that a script can distinguish "no"
+//! from an error or an unreachable node. Each verb that queries all nodes lists
+//! those that didn't answer.
 
 pub use self::client::AdminClient;
 pub use self::run::run;
@@ -17,12 +18,12 @@
 mod diff;
 mod drain;
 mod explain;
+mod fault_report;
 mod nodes;
 mod print;
 mod quarantine;
-mod report;
+mod request_trace;
 mod run;
 mod status;
 mod verdict;
 mod versions;
-mod way;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' client.
+//! The `sassafrasspoolctl` program: the operators' client.
 
 use std::env;
 use std::io;
--- a/crates/ctl/src/nodes.rs
+++ b/crates/ctl/src/nodes.rs
@@ -1,5 +1,5 @@
-//! Which nodes are asked, and what came of it: every node gives an answer or
-//! is listed as unreachable.
+//! The nodes to query, and concurrent queries of all of them: each node is
+//! listed with its answer or as unreachable.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -19,39 +19,41 @@
 #[cfg(test)]
 mod tests;
 
-/// Nodes that are asked at the same time.
-const PARALLEL: usize = 64;
+/// The most nodes that are queried at the same time.
+const MAX_CONCURRENT_QUERIES: usize = 64;
 
-/// The admin addresses of the nodes to ask, each once, in the order given.
+/// The admin addresses of the nodes to query, without duplicates, in the order
+/// given.
 ///
 /// # Invariants
 ///
-/// At least one.
+/// Contains at least one address.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Nodes(Vec<SocketAddr>);
 
 impl Nodes {
-    /// Reads the list of `--nodes` or the file of `--nodes-file`, or both.
+    /// Reads the addresses from the value of `--nodes`, from the file of
+    /// `--nodes-file`, or from both.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read, something isn't an address or there
-    /// is none.
-    pub(crate) fn of(list: Option<&str>, file: Option<&Path>) -> Result<Nodes> {
+    /// Fails if the file can't be read, a part isn't an address or no address
+    /// is given.
+    pub(crate) fn from_flags(list: Option<&str>, file: Option<&Path>) -> Result<Nodes> {
         let mut found = Vec::new();
         for part in list.unwrap_or_default().split(',') {
-            add(&mut found, part)?;
+            add_address(&mut found, part)?;
         }
         if let Some(file) = file {
-            for line in read(file)?.lines() {
+            for line in read_file(file)?.lines() {
                 let part = line.split('#').next().unwrap_or_default();
-                add(&mut found, part)?;
+                add_address(&mut found, part)?;
             }
         }
         if found.is_empty() {
-            return Err(refused("name nodes by --nodes or --nodes-file"));
+            return Err(invalid("name nodes by --nodes or --nodes-file"));
         }
-        // INVARIANT: An empty list was refused above.
+        // INVARIANT: An empty list was rejected above.
         Ok(Nodes(found))
     }
 
@@ -60,37 +62,38 @@
         self.0.iter().copied()
     }
 
-    /// Asks every node, some at a time; answers come in the order of nodes.
-    pub(crate) async fn ask<T, F>(&self, ask: impl Fn(SocketAddr) -> F) -> Answers<T>
+    /// Queries every node, at most [`MAX_CONCURRENT_QUERIES`] at a time, and
+    /// returns the answers in the order of the nodes.
+    pub(crate) async fn query_all<T, F>(&self, query: impl Fn(SocketAddr) -> F) -> Answers<T>
     where
         F: Future<Output = Result<T>>,
     {
-        self.asking(ask).collect().await
+        self.answers(query).collect().await
     }
 
-    fn asking<T, F>(
+    fn answers<T, F>(
         &self,
-        ask: impl Fn(SocketAddr) -> F,
+        query: impl Fn(SocketAddr) -> F,
     ) -> impl Stream<Item = (SocketAddr, Result<T>)>
     where
         F: Future<Output = Result<T>>,
     {
-        let asked = stream::iter(self.0.clone()).map(move |node| {
-            let answer = ask(node);
+        let queries = stream::iter(self.0.clone()).map(move |node| {
+            let answer = query(node);
             async move { (node, answer.await) }
         });
-        asked.buffered(PARALLEL)
+        queries.buffered(MAX_CONCURRENT_QUERIES)
     }
 }
 
-fn add(found: &mut Vec<SocketAddr>, part: &str) -> Result<()> {
+fn add_address(found: &mut Vec<SocketAddr>, part: &str) -> Result<()> {
     let part = part.trim();
     if part.is_empty() {
         return Ok(());
     }
     let node = part.parse().map_err(|cause| {
-        let told = format!("{part:?} isn't an address such as 10.0.0.7:9003");
-        refused(&told).with_cause(cause)
+        let reason = format!("{part:?} isn't an address such as 10.0.0.7:9003");
+        invalid(&reason).with_cause(cause)
     })?;
     if !found.contains(&node) {
         found.push(node);
@@ -98,11 +101,11 @@
     Ok(())
 }
 
-fn read(file: &Path) -> Result<String> {
-    let told = || refused(&format!("{} can't be read", file.display()));
-    fs::read_to_string(file).map_err(|cause| told().with_cause(cause))
+fn read_file(file: &Path) -> Result<String> {
+    let error = || invalid(&format!("{} can't be read", file.display()));
+    fs::read_to_string(file).map_err(|cause| error().with_cause(cause))
 }
 
-fn refused(reason: &str) -> Error {
+fn invalid(reason: &str) -> Error {
     Error::new(Step::Check, reason)
 }
--- a/crates/ctl/src/nodes/answers.rs
+++ b/crates/ctl/src/nodes/answers.rs
@@ -1,4 +1,4 @@
-//! What the nodes answered.
+//! The answers of the nodes that were queried.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 
 use crate::Verdict;
 
-/// The answers of all nodes that were asked.
+/// The answers of all nodes that were queried.
 #[derive(Debug, Serialize)]
 pub(crate) struct Answers<T> {
-    /// What was answered, by node, in the order in which they were named.
+    /// The answers, in the order in which the nodes were given.
     pub(crate) answered: Vec<Answer<T>>,
-    /// Nodes without a usable answer, and why.
+    /// The nodes without a usable answer, each with the error.
     pub(crate) unreachable: Vec<Unreachable>,
 }
 
@@ -22,21 +22,23 @@
 pub(crate) struct Answer<T> {
     /// The node's admin address.
     pub(crate) node: SocketAddr,
-    /// What it said.
-    pub(crate) said: T,
+    /// The decoded body of the answer.
+    #[serde(rename = "said")]
+    pub(crate) body: T,
 }
 
-/// A node that gave no answer.
+/// A node without a usable answer.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(crate) struct Unreachable {
     /// The node's admin address.
     pub(crate) node: SocketAddr,
-    /// The step, the peer and the reason.
+    /// The error: step, peer and reason.
     pub(crate) error: String,
 }
 
 impl<T> Answers<T> {
-    /// `verdict` if every node answered.
+    /// Returns `verdict` if every node answered, [`Verdict::Unanswered`]
+    /// otherwise.
     pub(crate) fn verdict(&self, verdict: Verdict) -> Verdict {
         if self.unreachable.is_empty() {
             verdict
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Lists the nodes without an answer.
+    /// Writes the nodes without an answer, one per line.
     pub(crate) fn fmt_unreachable(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.unreachable
             .iter()
@@ -63,10 +65,10 @@
 }
 
 impl<T> Extend<(SocketAddr, Result<T>)> for Answers<T> {
-    fn extend<I: IntoIterator<Item = (SocketAddr, Result<T>)>>(&mut self, asked: I) {
-        for (node, answer) in asked {
+    fn extend<I: IntoIterator<Item = (SocketAddr, Result<T>)>>(&mut self, queried: I) {
+        for (node, answer) in queried {
             match answer {
-                Ok(said) => self.answered.push(Answer { node, said }),
+                Ok(body) => self.answered.push(Answer { node, body }),
                 Err(err) => self.unreachable.push(Unreachable {
                     node,
                     error: err.to_string(),
--- a/crates/ctl/src/print.rs
+++ b/crates/ctl/src/print.rs
@@ -1,4 +1,4 @@
-//! Printing what a verb found, for people or for programs.
+//! Prints the result of a verb as text or as JSON.
 
 use std::fmt;
 use std::io;
@@ -8,19 +8,23 @@
 
 use crate::Verdict;
 
-/// What a verb found.
-pub(crate) trait Finding: Serialize + fmt::Display {
-    /// What the exit code tells of it.
+/// The result of a verb, printable as text and as JSON.
+pub(crate) trait VerbResult: Serialize + fmt::Display {
+    /// The verdict that decides the exit code.
     fn verdict(&self) -> Verdict;
 }
 
-/// Writes `found` as one JSON object on one line, or as text.
-pub(crate) fn print(out: &mut dyn Write, json: bool, found: &impl Finding) -> io::Result<Verdict> {
+/// Writes `result` as one JSON object on one line, or as text.
+pub(crate) fn print(
+    out: &mut dyn Write,
+    json: bool,
+    result: &impl VerbResult,
+) -> io::Result<Verdict> {
     if json {
-        serde_json::to_writer(&mut *out, found)?;
+        serde_json::to_writer(&mut *out, result)?;
         writeln!(out)?;
     } else {
-        write!(out, "{found}")?;
+        write!(out, "{result}")?;
     }
-    Ok(found.verdict())
+    Ok(result.verdict())
 }
--- a/crates/ctl/src/quarantine.rs
+++ b/crates/ctl/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! `quarantine`: requests that are kept from targets.
+//! `quarantine`: lists and releases requests that nodes withhold because they
+//! crash targets.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,52 +18,53 @@
 use crate::Verdict;
 use crate::nodes::Answers;
 use crate::nodes::Nodes;
-use crate::print::Finding;
+use crate::print::VerbResult;
 
-/// What every node keeps from targets.
+/// The quarantined requests of all nodes.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 pub(crate) struct Quarantines(Answers<QuarantineInfo>);
 
-/// A release that a node has taken.
+/// A release that a node has accepted.
 #[derive(Debug, Serialize)]
-pub(crate) struct Released {
+pub(crate) struct ReleaseResult {
     node: SocketAddr,
     content: String,
     #[serde(flatten)]
-    said: ReleaseAnswer,
+    answer: ReleaseAnswer,
 }
 
 impl Quarantines {
-    /// Asks every node.
-    pub(crate) async fn ask(client: &AdminClient, nodes: &Nodes) -> Quarantines {
-        let answers = nodes.ask(|node| client.get(node, QUARANTINE_PATH));
+    /// Queries every node.
+    pub(crate) async fn query(client: &AdminClient, nodes: &Nodes) -> Quarantines {
+        let answers = nodes.query_all(|node| client.get(node, QUARANTINE_PATH));
         Quarantines(answers.await)
     }
 }
 
-impl Released {
-    /// Tells the first node that answers.
+impl ReleaseResult {
+    /// Tries the nodes in order until one accepts the release.
     ///
     /// # Errors
     ///
-    /// Fails if `content` is none, or with what each node said if none took the order.
-    pub(crate) async fn order(
+    /// Fails if `content` isn't a request's content, or with the error of each
+    /// node if none accepts the release.
+    pub(crate) async fn request(
         client: &AdminClient,
         nodes: &Nodes,
         content: &str,
-    ) -> Result<Released> {
+    ) -> Result<ReleaseResult> {
         let content = Content::parse(content)?.to_string();
-        // Its text needs no escape in a query.
+        // The text of a content needs no escaping in a query.
         let path = format!("{RELEASE_PATH}?content={content}");
         let mut failures = String::new();
         for node in nodes.iter() {
             match client.post(node, &path, &()).await {
-                Ok(said) => {
-                    return Ok(Released {
+                Ok(answer) => {
+                    return Ok(ReleaseResult {
                         node,
                         content,
-                        said,
+                        answer,
                     });
                 }
                 Err(err) => failures.push_str(&format!("\n{err}")),
@@ -70,18 +72,18 @@
         }
         Err(Error::new(
             Step::Admin,
-            format!("no node took the order{failures}"),
+            format!("no node accepted the release{failures}"),
         ))
     }
 }
 
-impl Finding for Quarantines {
+impl VerbResult for Quarantines {
     fn verdict(&self) -> Verdict {
         self.0.verdict(Verdict::Yes)
     }
 }
 
-impl Finding for Released {
+impl VerbResult for ReleaseResult {
     fn verdict(&self) -> Verdict {
         Verdict::Yes
     }
@@ -90,16 +92,16 @@
 impl fmt::Display for Quarantines {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for answer in &self.0.answered {
-            let said = &answer.said;
-            if said.held.is_empty() {
-                writeln!(f, "{}  {}  nothing", answer.node, said.instance)?;
+            let info = &answer.body;
+            if info.held.is_empty() {
+                writeln!(f, "{}  {}  nothing", answer.node, info.instance)?;
             }
-            for held in &said.held {
+            for held in &info.held {
                 let (content, left_ms) = (&held.content, held.left_ms);
                 writeln!(
                     f,
                     "{}  {}  {content}  for {left_ms} ms",
-                    answer.node, said.instance
+                    answer.node, info.instance
                 )?;
             }
         }
@@ -107,13 +109,13 @@
     }
 }
 
-impl fmt::Display for Released {
+impl fmt::Display for ReleaseResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let was = match self.said.was_held {
+        let outcome = match self.answer.was_held {
             true => "released",
             false => "was not in quarantine there",
         };
-        let (node, instance) = (self.node, &self.said.instance);
-        writeln!(f, "{node}  {instance}  {}  {was}", self.content)
+        let (node, instance) = (self.node, &self.answer.instance);
+        writeln!(f, "{node}  {instance}  {}  {outcome}", self.content)
     }
 }
--- a/crates/ctl/src/way.rs
+++ b/crates/ctl/src/request_trace.rs
@@ -1,4 +1,4 @@
-//! `request ID`: the way of one request, from the logs of several nodes.
+//! `request ID`: a trace of one request, merged from the logs of several nodes.
 
 use std::fmt;
 use std::fs::File;
@@ -19,61 +19,65 @@
 use serde::Serialize;
 
 use crate::Verdict;
-use crate::print::Finding;
+use crate::print::VerbResult;
 
-/// Everything that logs say of one request.
+/// The log lines of one request.
 #[derive(Debug, Serialize)]
-pub(crate) struct Way {
+pub(crate) struct RequestTrace {
     request: String,
-    /// Lines of the node that took it, in the order of its tries.
-    first: Vec<RequestLine<'static>>,
-    /// Lines of nodes beside targets.
-    beside: Vec<RequestLine<'static>>,
-    /// Lines that the logs say were left out.
-    left_out: u64,
+    /// Lines of the caller's node, in the order of the attempts.
+    #[serde(rename = "first")]
+    at_caller: Vec<RequestLine<'static>>,
+    /// Lines of the targets' nodes.
+    #[serde(rename = "beside")]
+    at_target: Vec<RequestLine<'static>>,
+    /// Lines that the logs report as dropped.
+    #[serde(rename = "left_out")]
+    dropped_lines: u64,
     logs: usize,
 }
 
-/// What a log says of lines that it lacks.
+/// The numbers of lines that a node dropped instead of logging them.
 #[derive(Debug, Deserialize)]
-struct LeftOut {
+struct DroppedLines {
     states: u64,
     failures: u64,
     successes: u64,
 }
 
-impl Way {
-    /// Reads logs, of which `-` is standard input.
+impl RequestTrace {
+    /// Reads the lines of a request from logs; `-` is standard input.
     ///
     /// # Errors
     ///
     /// Fails, naming the file, if one can't be read.
-    pub(crate) fn read(id: &str, logs: &[PathBuf]) -> Result<Way> {
+    pub(crate) fn read(id: &str, logs: &[PathBuf]) -> Result<RequestTrace> {
         if logs.is_empty() {
             return Err(Error::new(
                 Step::Check,
-                "name a log with --log, or - for standard input",
+                "give a log with --log, or - for standard input",
             ));
         }
-        let mut way = Way {
+        let mut trace = RequestTrace {
             request: id.to_owned(),
-            first: Vec::new(),
-            beside: Vec::new(),
-            left_out: 0,
+            at_caller: Vec::new(),
+            at_target: Vec::new(),
+            dropped_lines: 0,
             logs: logs.len(),
         };
         for log in logs {
-            way.read_log(log).map_err(|cause| {
+            trace.read_log(log).map_err(|cause| {
                 let reason = format!("{} can't be read", log.display());
                 Error::new(Step::Parse, reason).with_cause(cause)
             })?;
         }
-        // Clocks of instances differ, so that only lines of one node are put in
-        // order by time.
-        way.first
+        // Lines of different nodes aren't merged by time, since the clocks of
+        // instances differ.
+        trace
+            .at_caller
             .sort_by_key(|line| (line.event == ENDED, line.try_number, line.unix_ms));
-        way.beside.sort_by_key(|line| line.unix_ms);
-        Ok(way)
+        trace.at_target.sort_by_key(|line| line.unix_ms);
+        Ok(trace)
     }
 
     fn read_log(&mut self, log: &Path) -> io::Result<()> {
@@ -85,17 +89,17 @@
 
     fn read_lines(&mut self, log: impl BufRead) -> io::Result<()> {
         for line in log.lines() {
-            self.take(&line?);
+            self.add_line(&line?);
         }
         Ok(())
     }
 
-    /// Takes a line in, if it concerns the request. Others, and lines that some
-    /// other program wrote between them, are passed over.
-    fn take(&mut self, text: &str) {
+    /// Adds a line if it concerns the request. Other lines, such as those that
+    /// another program wrote into the same log, are skipped.
+    fn add_line(&mut self, text: &str) {
         if text.contains("\"lines-left-out\"") {
-            if let Ok(left_out) = serde_json::from_str::<LeftOut>(text) {
-                self.left_out += left_out.states + left_out.failures + left_out.successes;
+            if let Ok(dropped) = serde_json::from_str::<DroppedLines>(text) {
+                self.dropped_lines += dropped.states + dropped.failures + dropped.successes;
             }
             return;
         }
@@ -109,67 +113,69 @@
             return;
         }
         match &*line.event {
-            BESIDE => self.beside.push(line),
-            TRIED | ENDED => self.first.push(line),
+            BESIDE => self.at_target.push(line),
+            TRIED | ENDED => self.at_caller.push(line),
             _ => {}
         }
     }
 
-    /// What a try's instance says of it.
-    fn beside_of<'a>(
+    /// The lines of the node that an attempt was sent to.
+    fn target_lines<'a>(
         &'a self,
         line: &'a RequestLine<'_>,
     ) -> impl Iterator<Item = &'a RequestLine<'static>> {
-        let at = |it: &&RequestLine<'_>| Some(&it.node) == line.instance.as_ref();
-        self.beside.iter().filter(at)
+        let at_instance = |it: &&RequestLine<'_>| Some(&it.node) == line.instance.as_ref();
+        self.at_target.iter().filter(at_instance)
     }
 
-    fn missing(&self, line: &RequestLine<'_>) -> Option<String> {
+    /// Explains why an attempt has no line of its target's node; `None` if it
+    /// has one, names no instance, or failed to connect.
+    fn explain_missing(&self, line: &RequestLine<'_>) -> Option<String> {
         let instance = line.instance.as_ref()?;
-        if line.reason.as_deref() == Some("connect") || self.beside_of(line).next().is_some() {
+        if line.reason.as_deref() == Some("connect") || self.target_lines(line).next().is_some() {
             return None;
         }
         Some(format!(
             "no line of {instance}: its log isn't among the {} that were read, the line was left \
              out ({} were), or the request never came there",
-            self.logs, self.left_out
+            self.logs, self.dropped_lines
         ))
     }
 }
 
-impl Finding for Way {
+impl VerbResult for RequestTrace {
     fn verdict(&self) -> Verdict {
-        match self.first.is_empty() && self.beside.is_empty() {
+        match self.at_caller.is_empty() && self.at_target.is_empty() {
             true => Verdict::No,
             false => Verdict::Yes,
         }
     }
 }
 
-impl fmt::Display for Way {
+impl fmt::Display for RequestTrace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.verdict() == Verdict::No {
-            let (logs, left_out) = (self.logs, self.left_out);
+            let (logs, dropped) = (self.logs, self.dropped_lines);
             return writeln!(
                 f,
-                "no line of {} in {logs} logs; {left_out} lines were left out",
+                "no line of {} in {logs} logs; {dropped} lines were left out",
                 self.request
             );
         }
         writeln!(f, "request {}", self.request)?;
-        for line in &self.first {
+        for line in &self.at_caller {
             write_line(f, line)?;
-            for beside in self.beside_of(line) {
-                write_line(f, beside)?;
+            for target_line in self.target_lines(line) {
+                write_line(f, target_line)?;
             }
-            if let Some(missing) = self.missing(line) {
+            if let Some(missing) = self.explain_missing(line) {
                 writeln!(f, "    {missing}")?;
             }
         }
-        if self.first.is_empty() {
+        if self.at_caller.is_empty() {
             writeln!(f, "  no line of the node that took it from its caller")?;
-            for beside in &self.beside {
-                write_line(f, beside)?;
+            for line in &self.at_target {
+                write_line(f, line)?;
             }
         }
         Ok(())
@@ -195,11 +201,11 @@
     write!(
         f,
         " after {} ms, {} ms left",
-        ms(line.took_us),
-        ms(line.left_us)
+        format_ms(line.took_us),
+        format_ms(line.left_us)
     )?;
-    if let Some(aim) = line.aim_left_us {
-        write!(f, ", {} ms in time", ms(aim))?;
+    if let Some(soft_left_us) = line.aim_left_us {
+        write!(f, ", {} ms in time", format_ms(soft_left_us))?;
     }
     if let Some([running, slots, waiting]) = line.load {
         write!(f, "; {running} of {slots} slots, {waiting} waiting")?;
@@ -214,8 +220,8 @@
             write!(f, " proved {age} ms ago")?;
         }
     }
-    if let (Some(heard), Some(age)) = (line.heard, line.heard_ms) {
-        write!(f, "; behind: heard of catalogue {heard} {age} ms ago")?;
+    if let (Some(advertised), Some(age)) = (line.heard, line.heard_ms) {
+        write!(f, "; behind: heard of catalogue {advertised} {age} ms ago")?;
     }
     if let Some(contact) = line.contact_ms {
         write!(f, ", source heard {contact} ms ago")?;
@@ -223,6 +229,7 @@
     writeln!(f)
 }
 
-fn ms(us: u64) -> String {
+/// Microseconds as milliseconds with one decimal place.
+fn format_ms(us: u64) -> String {
     format!("{}.{}", us / 1_000, us % 1_000 / 100)
 }
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,4 +1,4 @@
-//! `status`: how each node is.
+//! `status`: the state of each node.
 
 use std::fmt;
 
@@ -11,22 +11,22 @@
 use crate::Verdict;
 use crate::nodes::Answers;
 use crate::nodes::Nodes;
-use crate::print::Finding;
+use crate::print::VerbResult;
 
-/// The state of every node.
+/// The states of all nodes.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 pub(crate) struct Statuses(Answers<Status>);
 
 impl Statuses {
-    /// Asks every node.
-    pub(crate) async fn ask(client: &AdminClient, nodes: &Nodes) -> Statuses {
-        let answers = nodes.ask(|node| client.get(node, STATUS_PATH));
+    /// Queries every node.
+    pub(crate) async fn query(client: &AdminClient, nodes: &Nodes) -> Statuses {
+        let answers = nodes.query_all(|node| client.get(node, STATUS_PATH));
         Statuses(answers.await)
     }
 }
 
-impl Finding for Statuses {
+impl VerbResult for Statuses {
     fn verdict(&self) -> Verdict {
         self.0.verdict(Verdict::Yes)
     }
@@ -48,22 +48,23 @@
             "source-age-ms",
         )?;
         for answer in &self.0.answered {
-            let said = &answer.said;
+            let status = &answer.body;
             writeln!(
                 f,
                 "{:<21} {:<20} {:<14} {:<9} {:>9} {:>9} {:>9} {:>5} {:>13}",
                 answer.node.to_string(),
-                said.instance.as_str(),
-                said.domain.as_str(),
-                said.phase.to_string(),
-                revision(said.held.catalogue.as_ref()),
-                revision(said.held.instances.as_ref()),
-                said.in_flight,
-                said.peers,
-                said.source_age_ms
+                status.instance.as_str(),
+                status.domain.as_str(),
+                status.phase.to_string(),
+                revision(status.held.catalogue.as_ref()),
+                revision(status.held.instances.as_ref()),
+                status.in_flight,
+                status.peers,
+                status
+                    .source_age_ms
                     .map_or("-".to_owned(), |ms| ms.to_string()),
             )?;
-            for evacuation in &said.evacuations {
+            for evacuation in &status.evacuations {
                 let since = evacuation.since_revision;
                 let since = since.map(|revision| format!(" since revision {revision}"));
                 let since = since.unwrap_or_default();
--- a/crates/ctl/src/verdict.rs
+++ b/crates/ctl/src/verdict.rs
@@ -1,14 +1,14 @@
-//! How a verb ended.
+//! The verdict of a verb, which decides the exit code.
 
-/// What the exit code tells.
+/// The verdict of a verb, returned as the exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// The verb did what was asked, or the answer is yes.
+    /// The verb succeeded, or the answer is yes.
     Yes,
     /// The answer is no: a catalogue has faults, or nodes lag behind.
     No,
-    /// There is no full answer: bad arguments, an unreadable file or a node
-    /// that didn't answer.
+    /// There is no complete answer because of bad arguments, an unreadable file
+    /// or a node that didn't answer.
     Unanswered,
 }
 
--- a/crates/ctl/src/versions.rs
+++ b/crates/ctl/src/versions.rs
@@ -1,4 +1,4 @@
-//! `versions`: which nodes hold what, and who lags.
+//! `versions`: the versions that each node holds, and the nodes that lag.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -16,40 +16,41 @@
 use crate::nodes::Answers;
 use crate::nodes::Nodes;
 use crate::nodes::Unreachable;
-use crate::print::Finding;
+use crate::print::VerbResult;
 
-/// What every node holds beside the newest that any of them holds.
+/// The versions that all nodes hold, and the newest of them in each stream.
 #[derive(Debug, Serialize)]
-pub(crate) struct HeldVersions {
+pub(crate) struct FleetVersions {
     newest: Held,
     nodes: Vec<NodeVersions>,
     unreachable: Vec<Unreachable>,
 }
 
-/// What one node holds.
+/// The versions that one node holds, and the newest advertised to it.
 #[derive(Debug, Serialize)]
 struct NodeVersions {
     node: SocketAddr,
     instance: InstanceId,
     held: Held,
-    heard: Held,
+    #[serde(rename = "heard")]
+    advertised: Held,
     refused: Option<VersionInfo>,
     refusals: u64,
     conflicts: u64,
     lags: Vec<Stream>,
 }
 
-impl HeldVersions {
-    /// Asks every node.
-    pub(crate) async fn ask(client: &AdminClient, nodes: &Nodes) -> HeldVersions {
-        let answers = nodes.ask(|node| client.get(node, VERSIONS_PATH));
-        HeldVersions::of(answers.await)
+impl FleetVersions {
+    /// Queries every node.
+    pub(crate) async fn query(client: &AdminClient, nodes: &Nodes) -> FleetVersions {
+        let answers = nodes.query_all(|node| client.get(node, VERSIONS_PATH));
+        FleetVersions::from_answers(answers.await)
     }
 
-    fn of(answers: Answers<Versions>) -> HeldVersions {
+    fn from_answers(answers: Answers<Versions>) -> FleetVersions {
         let newest = |stream| {
             let held = answers.answered.iter();
-            let held = held.filter_map(|answer| held_of(&answer.said.held, stream));
+            let held = held.filter_map(|answer| version_of(&answer.body.held, stream));
             held.max().cloned()
         };
         let newest = Held {
@@ -57,8 +58,8 @@
             instances: newest(Stream::Instances),
         };
         let nodes = answers.answered.into_iter();
-        let nodes = nodes.map(|answer| NodeVersions::of(answer.node, answer.said, &newest));
-        HeldVersions {
+        let nodes = nodes.map(|answer| NodeVersions::compare(answer.node, answer.body, &newest));
+        FleetVersions {
             nodes: nodes.collect(),
             newest,
             unreachable: answers.unreachable,
@@ -67,30 +68,32 @@
 }
 
 impl NodeVersions {
-    fn of(node: SocketAddr, said: Versions, newest: &Held) -> NodeVersions {
-        let lags = |stream: &Stream| held_of(&said.held, *stream) != held_of(newest, *stream);
+    /// Compares the versions of one node with the newest.
+    fn compare(node: SocketAddr, versions: Versions, newest: &Held) -> NodeVersions {
+        let lags =
+            |stream: &Stream| version_of(&versions.held, *stream) != version_of(newest, *stream);
         NodeVersions {
             node,
             lags: Stream::ALL.into_iter().filter(lags).collect(),
-            instance: said.instance,
-            held: said.held,
-            heard: said.heard,
-            refused: said.refused,
-            refusals: said.refusals,
-            conflicts: said.conflicts,
+            instance: versions.instance,
+            held: versions.held,
+            advertised: versions.heard,
+            refused: versions.refused,
+            refusals: versions.refusals,
+            conflicts: versions.conflicts,
         }
     }
 }
 
-/// The version of one stream.
-pub(crate) fn held_of(held: &Held, stream: Stream) -> Option<&VersionInfo> {
+/// Returns the version of one stream.
+pub(crate) fn version_of(held: &Held, stream: Stream) -> Option<&VersionInfo> {
     match stream {
         Stream::Catalogue => held.catalogue.as_ref(),
         Stream::Instances => held.instances.as_ref(),
     }
 }
 
-impl Finding for HeldVersions {
+impl VerbResult for FleetVersions {
     fn verdict(&self) -> Verdict {
         if self.unreachable.is_empty() {
             Verdict::Yes
@@ -100,13 +103,13 @@
     }
 }
 
-impl fmt::Display for HeldVersions {
+impl fmt::Display for FleetVersions {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for stream in Stream::ALL {
             writeln!(
                 f,
                 "newest {stream}: {}",
-                version_text(held_of(&self.newest, stream))
+                version_text(version_of(&self.newest, stream))
             )?;
         }
         for node in &self.nodes {
@@ -125,12 +128,12 @@
             write!(
                 f,
                 "  {stream} {}",
-                version_text(held_of(&self.held, stream))
+                version_text(version_of(&self.held, stream))
             )?;
         }
         for stream in &self.lags {
-            let heard = version_text(held_of(&self.heard, *stream));
-            write!(f, "  LAGS {stream} (heard of {heard})")?;
+            let advertised = version_text(version_of(&self.advertised, *stream));
+            write!(f, "  LAGS {stream} (heard of {advertised})")?;
         }
         if let Some(refused) = &self.refused {
             write!(f, "  refused {refused}")?;
--- a/crates/ctl/tests/nodes.rs
+++ b/crates/ctl/tests/nodes.rs
@@ -123,7 +123,7 @@
 #[case(FailedVerb { args: &["converged", "--nodes", "127.0.0.1:1", "--revision", "1", "--within", "1", "--stream", "x"], error: "--stream must be" })]
 #[case(FailedVerb { args: &["route", "explain", "Desk!", "--nodes", "127.0.0.1:1"], error: "check: service name" })]
 #[case(FailedVerb { args: &["quarantine", "release", "aa", "--nodes", "127.0.0.1:1"], error: "is no request's content" })]
-#[case(FailedVerb { args: &["quarantine", "release", "00000000000000aa", "--nodes", "127.0.0.1:1"], error: "no node took the order" })]
+#[case(FailedVerb { args: &["quarantine", "release", "00000000000000aa", "--nodes", "127.0.0.1:1"], error: "no node accepted the release" })]
 #[case(FailedVerb { args: &["drain", "wd-1"], error: "name nodes by" })]
 #[case(FailedVerb { args: &["drain", "127.0.0.1:1"], error: "admin with 127.0.0.1:1: no answer" })]
 fn failed_verb_reports_step_and_peer(#[case] case: FailedVerb) {
@@ -140,7 +140,7 @@
     assert_eq!(run.verdict, Verdict::Unanswered);
     assert!(
         run.err
-            .contains("admin with wd-99: 0 nodes run beside it"),
+            .contains("admin with wd-99: 0 nodes report this instance as their own"),
         "{}",
         run.err
     );
