--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -1,12 +1,10 @@
-//! What a node's admin address answers, as JSON; the operators' client reads
+//! The JSON types and paths of a node's admin address. The operators' client decodes
 //! the same types.
 
 pub use self::audit::AuditPage;
 pub use self::audit::AuditRecord;
 pub use self::drain::DrainAnswer;
 pub use self::explain::Explanation;
-pub use self::held::Held;
-pub use self::held::VersionInfo;
 pub use self::quarantine::QuarantineInfo;
 pub use self::quarantine::QuarantinedInfo;
 pub use self::quarantine::ReleaseAnswer;
@@ -17,16 +15,18 @@
 pub use self::stats::ControlStats;
 pub use self::status::EvacuationInfo;
 pub use self::status::Status;
+pub use self::stream_versions::Held;
+pub use self::stream_versions::VersionInfo;
 pub use self::versions::Versions;
 
 mod audit;
 mod drain;
 mod explain;
-mod held;
 mod quarantine;
 mod snapshot;
 mod stats;
 mod status;
+mod stream_versions;
 mod versions;
 
 /// `GET`: [`Status`].
@@ -35,7 +35,7 @@
 pub const VERSIONS_PATH: &str = "/versions";
 /// `GET` with `service` or `path` or both: [`Explanation`].
 pub const EXPLAIN_PATH: &str = "/routes/explain";
-/// `GET`, with `after` to leave out what is known: [`AuditPage`].
+/// `GET`, optionally with `after`, the number of the last record already read: [`AuditPage`].
 pub const AUDIT_PATH: &str = "/audit";
 /// `GET`: the metrics as text.
 pub const METRICS_PATH: &str = "/metrics";
@@ -43,7 +43,7 @@
 pub const SNAPSHOT_PATH: &str = "/snapshot";
 /// `GET`: [`QuarantineInfo`].
 pub const QUARANTINE_PATH: &str = "/quarantine";
-/// `POST` with `content`: lets requests run again; [`ReleaseAnswer`].
+/// `POST` with `content`: ends the quarantine of these requests; [`ReleaseAnswer`].
 pub const RELEASE_PATH: &str = "/quarantine/release";
-/// `POST`: begins to drain; [`DrainAnswer`].
+/// `POST`: starts draining; [`DrainAnswer`].
 pub const DRAIN_PATH: &str = "/drain";
--- a/crates/wire/src/admin/audit.rs
+++ b/crates/wire/src/admin/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail.
+//! Records of a node's audit trail.
 
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::Phase;
@@ -8,45 +8,45 @@
 
 use super::VersionInfo;
 
-/// One change of state.
+/// One recorded change of a node's state.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// Counts the node's records from 1.
+    /// Sequence number of the record on this node, from 1.
     pub number: u64,
-    /// When it was written, in milliseconds since 1970 by the node's clock.
+    /// Time of the record in milliseconds since 1970, by the node's clock.
     pub unix_ms: u64,
-    /// What happened, such as `applied` or `refused`.
+    /// The kind of the event, such as `applied` or `refused`.
     pub event: String,
     /// The stream concerned.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stream: Option<Stream>,
-    /// The version that was offered or came into force.
+    /// The version that was received or put in force.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<VersionInfo>,
-    /// The version that was kept instead.
+    /// The version that stayed in force instead.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kept: Option<VersionInfo>,
-    /// Who gave it: `source` or `peer` with its instance.
+    /// Where the version came from: `source`, or `peer` with its instance.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub from: Option<String>,
     /// The instance concerned.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub instance: Option<InstanceId>,
-    /// The phase that the instance is in now.
+    /// The phase of the instance after the event.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub phase: Option<Phase>,
-    /// Why, or what else there is to say.
+    /// The reason, or other details of the event.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
 }
 
-/// Some records, oldest first.
+/// A page of records, oldest first.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AuditPage {
-    /// The instance beside which the node runs.
+    /// The node's instance.
     pub instance: InstanceId,
-    /// The records that were asked for and are still kept.
+    /// The requested records that are still stored.
     pub records: Vec<AuditRecord>,
-    /// Records that were dropped since the trail is bounded.
+    /// Records that were dropped because the trail is bounded.
     pub dropped: u64,
 }
--- a/crates/wire/src/admin/drain.rs
+++ b/crates/wire/src/admin/drain.rs
@@ -1,17 +1,17 @@
-//! The answer to a request to drain.
+//! The answer to a drain request.
 
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::Phase;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How far a drain is.
+/// Progress of a drain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DrainAnswer {
-    /// The instance beside which the node runs.
+    /// The node's instance.
     pub instance: InstanceId,
-    /// The phase of its endpoint now.
+    /// The current phase of its endpoint.
     pub phase: Phase,
-    /// Requests that it still works on.
+    /// Requests in flight on the node.
     pub in_flight: u64,
 }
--- a/crates/wire/src/admin/explain.rs
+++ b/crates/wire/src/admin/explain.rs
@@ -1,4 +1,4 @@
-//! Why a request goes where it goes.
+//! Explanation of how a request is routed.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,15 +7,15 @@
 use super::RouteInfo;
 use super::ServiceInfo;
 
-/// Which route takes a path, and which endpoints its service has.
+/// The route that matches a path, and the endpoints of its service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The versions that the answer is from.
+    /// The versions in force that the answer is based on.
     pub held: Held,
-    /// The route that takes the path, if a path was asked for and has one.
+    /// The route that matches the path, if the query has a path and a route matches.
     pub route: Option<RouteInfo>,
-    /// The service that the route leads to, or that was asked for.
+    /// The service of the route, or the service named in the query.
     pub service: Option<ServiceInfo>,
-    /// The answer in a sentence.
+    /// The explanation as one sentence.
     pub reason: String,
 }
--- a/crates/wire/src/admin/quarantine.rs
+++ b/crates/wire/src/admin/quarantine.rs
@@ -1,32 +1,33 @@
-//! Requests that no target is to run, since targets crash under them.
+//! Quarantine: requests that are not sent to targets because they make targets crash.
 
 use sassafrasspool_core::InstanceId;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a node keeps from targets.
+/// The quarantined requests of a node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QuarantineInfo {
-    /// The instance beside which the node runs.
+    /// The node's instance.
     pub instance: InstanceId,
-    /// What is in quarantine.
+    /// The contents in quarantine.
     pub held: Vec<QuarantinedInfo>,
 }
 
-/// Requests of one content.
+/// Requests with one content.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QuarantinedInfo {
-    /// What they ask for, as lines of requests and the audit trail name it.
+    /// The hash of their content, as in the request log and the audit trail.
     pub content: String,
-    /// Milliseconds for which they are in quarantine.
+    /// Milliseconds until the quarantine ends.
     pub left_ms: u64,
 }
 
-/// An order to let requests run again that a node has taken; it tells the others.
+/// The answer to a release of quarantined requests; the node announces the release to
+/// the other nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReleaseAnswer {
-    /// The instance beside which the node runs.
+    /// The node's instance.
     pub instance: InstanceId,
-    /// Whether the node held them in quarantine.
+    /// Whether the requests were in quarantine on this node.
     pub was_held: bool,
 }
--- a/crates/wire/src/admin/snapshot.rs
+++ b/crates/wire/src/admin/snapshot.rs
@@ -1,4 +1,4 @@
-//! What is in force on a node.
+//! The snapshot in force on a node.
 
 use std::net::SocketAddr;
 
@@ -22,54 +22,53 @@
 /// All services and routes of a snapshot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotInfo {
-    /// The versions that it was built from.
+    /// The versions that the snapshot was built from.
     pub held: Held,
-    /// Its services.
+    /// All services.
     pub services: Vec<ServiceInfo>,
-    /// Its routes, in the order of their paths.
+    /// All routes, ordered by path.
     pub routes: Vec<RouteInfo>,
 }
 
 /// A service with its endpoints.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceInfo {
-    /// Its name.
+    /// The name of the service.
     pub name: ServiceName,
-    /// Who answers for it.
+    /// The owner in charge of its entry.
     pub owner: OwnerName,
-    /// The class of its requests where a route names none.
+    /// The class of its requests, unless the route names another.
     pub class: Class,
-    /// Its endpoints, by instance.
+    /// Its endpoints, ordered by instance.
     pub endpoints: Vec<EndpointInfo>,
 }
 
-/// A route with the service that it leads to.
+/// A route and its service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouteInfo {
-    /// The host that its requests name; any host if absent.
+    /// The host that it matches; any host if absent.
     pub host: Option<HostName>,
-    /// The paths that it takes.
+    /// The paths that it matches.
     pub path: RoutePath,
-    /// Where it leads; the first service of a split.
+    /// The service that it routes to; the first service of a split.
     pub service: ServiceName,
-    /// How its requests are divided; empty if all go to `service`.
+    /// The shares of a split; empty if all requests go to `service`.
     pub split: Vec<Share>,
     /// The kind of its requests.
     pub kind: KindName,
-    /// How much one of them counts.
+    /// The weight of one request of that kind.
     pub weight: u32,
-    /// Their class.
+    /// The class of its requests.
     pub class: Class,
-    /// Whether one may run twice without harm.
+    /// Whether a request may run twice without harm.
     pub idempotent: bool,
-    /// The regions in which they may be served; all if there are none.
+    /// The regions in which its requests may be served; all regions if empty.
     pub homes: Vec<RegionName>,
-    /// The longest that a caller is kept waiting, in milliseconds, if the route
-    /// says so itself.
+    /// The longest wait of a caller in milliseconds, if the route sets one.
     pub timeout_ms: Option<u64>,
 }
 
-/// An endpoint as this node sees it.
+/// The state of an endpoint as received by this node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointInfo {
     /// The instance.
@@ -81,12 +80,12 @@
     /// Whether operators have evacuated that failure domain.
     #[serde(default)]
     pub evacuated: bool,
-    /// Where its node takes requests.
+    /// The address at which its node accepts requests.
     pub traffic: SocketAddr,
-    /// Requests that its target runs at once.
+    /// Requests that its target runs concurrently.
     pub slots: u32,
-    /// What the platform's list says of it.
+    /// Its state in the platform's instance list.
     pub listed: InstanceState,
-    /// What its own node last said, if that was heard.
+    /// The phase last announced by its node, if one was received.
     pub phase: Option<Phase>,
 }
--- a/crates/wire/src/admin/status.rs
+++ b/crates/wire/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! A node's state in short.
+//! Summary of a node's state.
 
 use sassafrasspool_core::DomainName;
 use sassafrasspool_core::InstanceId;
@@ -16,42 +16,42 @@
 pub struct EvacuationInfo {
     /// The failure domain.
     pub domain: DomainName,
-    /// The platform's revision at which it was ordered, where the platform tells.
+    /// The platform's revision of the evacuation, if the platform reports it.
     pub since_revision: Option<u64>,
 }
 
-/// How a node is.
+/// Summary of a node's state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The instance beside which it runs.
+    /// The node's instance.
     pub instance: InstanceId,
-    /// The service of that instance.
+    /// The service of the instance.
     pub service: ServiceName,
-    /// The region.
+    /// The region of the instance.
     pub region: RegionName,
-    /// The failure domain.
+    /// The failure domain of the instance.
     pub domain: DomainName,
-    /// Which start of the node this is.
+    /// The incarnation of the node; each start has another.
     pub incarnation: u64,
-    /// The phase of its endpoint.
+    /// The phase of the node's endpoint.
     pub phase: Phase,
-    /// Whether it compared its first snapshot with others.
+    /// Whether the node has compared its first snapshot with other nodes.
     pub joined: bool,
-    /// Whether it reads the platform for its failure domain.
+    /// Whether the node is a reader of the platform for its failure domain.
     pub reading: bool,
-    /// What is in force.
+    /// The versions in force.
     pub held: Held,
-    /// The failure domains that it sends nothing to, since operators have evacuated them.
+    /// The evacuated failure domains, to which the node routes no requests.
     #[serde(default)]
     pub evacuations: Vec<EvacuationInfo>,
-    /// Requests that it works on.
+    /// Requests in flight.
     pub in_flight: u64,
-    /// Nodes that it may talk to.
+    /// Nodes that it may exchange messages with.
     pub peers: u64,
-    /// Milliseconds since the newest proof that a node reached the platform.
+    /// Milliseconds since the newest proof that a node was in contact with the platform.
     pub source_age_ms: Option<u64>,
     /// Milliseconds since the node's start.
     pub uptime_ms: u64,
-    /// What its control traffic came to.
+    /// Statistics of its control traffic.
     pub control: ControlStats,
 }
--- a/crates/wire/src/admin/held.rs
+++ b/crates/wire/src/admin/stream_versions.rs
@@ -1,4 +1,4 @@
-//! Versions as operators read them.
+//! Versions of the streams in the form that operators read.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A version, with its digest in hexadecimal digits.
+/// A version, with its digest in hexadecimal.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct VersionInfo {
     /// The platform's revision.
@@ -30,7 +30,7 @@
     }
 }
 
-/// A version of each stream, where there is one.
+/// One version of each stream, if there is one.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// The catalogue's version.
--- a/crates/wire/src/admin/versions.rs
+++ b/crates/wire/src/admin/versions.rs
@@ -1,4 +1,4 @@
-//! Which versions a node knows of.
+//! Versions that a node has in force, and versions advertised to it.
 
 use sassafrasspool_core::InstanceId;
 use serde::Deserialize;
@@ -7,19 +7,19 @@
 use super::Held;
 use super::VersionInfo;
 
-/// What a node holds and what it heard of.
+/// Versions in force on a node, advertised to it and refused by it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Versions {
-    /// The instance beside which the node runs.
+    /// The node's instance.
     pub instance: InstanceId,
-    /// What is in force.
+    /// The versions in force.
     pub held: Held,
-    /// The newest that it heard of.
+    /// The newest advertised versions.
     pub heard: Held,
-    /// The last catalogue that it refused.
+    /// The last refused version of the catalogue.
     pub refused: Option<VersionInfo>,
     /// Versions refused since the node's start.
     pub refusals: u64,
-    /// Revisions that came with two contents since the node's start.
+    /// Revisions received with two different contents since the node's start.
     pub conflicts: u64,
 }
--- a/crates/wire/src/header.rs
+++ b/crates/wire/src/header.rs
@@ -1,68 +1,70 @@
-//! Names of the headers that mean something to nodes.
+//! Names of the headers that nodes interpret.
 
 use http::HeaderMap;
 use http::HeaderName;
 use sassafrasspool_core::Outcome;
 
-/// From callers: names a request that may be repeated, so that it runs once.
+/// From callers: the request key of a request that may be repeated. Requests with the
+/// same key run once.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// From callers: the caller's name for the request.
+/// From callers: the id of the request.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// From callers: how long the caller waits, in milliseconds.
+/// From callers: the caller timeout in milliseconds.
 pub const REQUEST_TIMEOUT_MS: HeaderName = HeaderName::from_static("x-request-timeout-ms");
 
-/// From callers: 1 on a first attempt; absent if it may be a repeat.
+/// From callers: 1 on a first attempt; absent if the request may be a repeat.
 pub const REQUEST_ATTEMPT: HeaderName = HeaderName::from_static("x-request-attempt");
 
-/// `not-run` or `unknown`, on answers that no target gave.
+/// To callers and between nodes: `not-run` or `unknown`, on answers that no target sent.
 pub const OUTCOME: HeaderName = HeaderName::from_static("x-sassafrasspool-outcome");
 
 /// Between nodes: milliseconds until the deadline.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-sassafrasspool-deadline-ms");
 
-/// Between nodes: how many nodes the call has passed.
+/// Between nodes: the number of nodes that the call has passed.
 pub const HOP: HeaderName = HeaderName::from_static("x-sassafrasspool-hop");
 
-/// Between nodes: in flight, slots and queued beside the target.
+/// Between nodes: the load of the target as requests in flight, slots and queued requests.
 pub const LOAD: HeaderName = HeaderName::from_static("x-sassafrasspool-load");
 
-/// Between nodes: for how many milliseconds more the target counts as cold; absent if it
-/// is warm.
+/// Between nodes: milliseconds until the target counts as warm; absent if it is warm
+/// already.
 pub const COLD_MS: HeaderName = HeaderName::from_static("x-sassafrasspool-cold-ms");
 
 /// Between nodes: the service that the request is for.
 pub const SERVICE: HeaderName = HeaderName::from_static("x-sassafrasspool-service");
 
-/// Between nodes: how urgent the request is, by the route of the first hop.
+/// Between nodes: the class of the request, by the route of the first hop.
 pub const CLASS: HeaderName = HeaderName::from_static("x-sassafrasspool-class");
 
 /// Between nodes: the kind of the request, by the route of the first hop.
 pub const KIND: HeaderName = HeaderName::from_static("x-sassafrasspool-kind");
 
-/// Between nodes: milliseconds within which the answer is worth most; 0 if that
-/// time has passed.
+/// Between nodes: milliseconds until the soft deadline, until which the answer is worth
+/// most; 0 if it has passed.
 pub const AIM_MS: HeaderName = HeaderName::from_static("x-sassafrasspool-aim-ms");
 
-/// Between nodes: 1 if nobody else is asked for room after this, so that a late
-/// place in the queue is better than none.
+/// Between nodes: 1 if the caller's node tries no other instance after this one, so that
+/// a late place in the queue is better than none.
 pub const SETTLES: HeaderName = HeaderName::from_static("x-sassafrasspool-settles");
 
-/// Between nodes: 1 if this only asks whether there would be room for a request
-/// with these headers, whose body is too long to be sent in vain.
+/// Between nodes: 1 on a capacity check, which only asks whether a request with these
+/// headers would be admitted. Its body is too long to be sent to a node that then
+/// rejects it.
 pub const ROOM: HeaderName = HeaderName::from_static("x-sassafrasspool-room");
 
-/// Between nodes: the life of the target that the request is meant for.
+/// Between nodes: the generation of the target that the request is addressed to.
 pub const LIFE: HeaderName = HeaderName::from_static("x-sassafrasspool-life");
 
-/// Between nodes: the service beside whose target the request began.
+/// Between nodes: the service of the instance at which the request originated.
 pub const ORIGIN: HeaderName = HeaderName::from_static("x-sassafrasspool-origin");
 
-/// Between nodes: what the request asks for, as a hash.
+/// Between nodes: the hash of the request's content.
 pub const CONTENT: HeaderName = HeaderName::from_static("x-sassafrasspool-content");
 
-/// Between nodes: 1 if this is the first attempt with its key.
+/// Between nodes: 1 on the first attempt with a request key.
 pub const FIRST: HeaderName = HeaderName::from_static("x-sassafrasspool-first");
 
 /// Between nodes: the step at which a request was refused or lost.
@@ -71,13 +73,13 @@
 /// Between nodes: why a request was refused or lost.
 pub const REASON: HeaderName = HeaderName::from_static("x-sassafrasspool-reason");
 
-/// What all headers begin with that only nodes may set.
+/// The prefix of the headers that only nodes may set.
 pub const OWN_PREFIX: &str = "x-sassafrasspool-";
 
-/// What an answer says of a request that no target answered, if it says so;
-/// whatever isn't a clear `not-run` is unknown.
+/// The outcome in an answer's [`OUTCOME`] header, if it has one. A value that isn't
+/// valid counts as unknown.
 pub fn outcome(headers: &HeaderMap) -> Option<Outcome> {
-    let told = headers.get(OUTCOME)?.to_str().ok();
-    let told = told.and_then(Outcome::from_name);
-    Some(told.unwrap_or(Outcome::Unknown))
+    let name = headers.get(OUTCOME)?.to_str().ok();
+    let outcome = name.and_then(Outcome::from_name);
+    Some(outcome.unwrap_or(Outcome::Unknown))
 }
--- a/crates/wire/src/log.rs
+++ b/crates/wire/src/log.rs
@@ -1,15 +1,15 @@
-//! The lines of the log that tell what is decided about requests.
+//! Lines of the request log, which record the decisions about requests.
 
 use std::borrow::Cow;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One decision about a request, or what came of it.
+/// One decision about a request, or its result.
+///
+/// A request has lines on the caller's node and on the node of each target that it
+/// reached; `request` joins them. Fields that don't apply to the event are absent.
 ///
-/// The same request has lines on the node that took it from its caller and on
-/// the node beside each target that it came to; `request` joins them. Absent
-/// fields don't concern the event.
 /// # Example
 ///
 /// ```
@@ -23,79 +23,79 @@
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RequestLine<'a> {
-    /// Milliseconds since the Unix epoch by this instance's clock, which may be
+    /// Milliseconds since the Unix epoch, by the clock of this instance, which may be
     /// seconds off.
     pub unix_ms: u64,
-    /// The instance whose node writes this.
+    /// The instance of the node that writes the line.
     pub node: Cow<'a, str>,
-    /// What was decided: [`TRIED`], [`ENDED`] or [`BESIDE`].
+    /// The event: [`TRIED`], [`ENDED`] or [`BESIDE`].
     pub event: Cow<'a, str>,
-    /// The request's id, as its caller gave it.
+    /// The request's id, as sent by its caller.
     pub request: Cow<'a, str>,
-    /// What it asks for, as a hash: the same for all that ask for the same.
+    /// The hash of its content, which is equal for requests with equal content.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<Cow<'a, str>>,
-    /// The kind by its route.
+    /// The kind of its route.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<Cow<'a, str>>,
-    /// The class by its route.
+    /// The class of its route.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<Cow<'a, str>>,
-    /// The instance that was chosen.
+    /// The chosen instance.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub instance: Option<Cow<'a, str>>,
-    /// The life of its target.
+    /// The generation of the instance's target.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub life: Option<Cow<'a, str>>,
-    /// Which try this was, from 1.
+    /// The number of the attempt, from 1.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub try_number: Option<u32>,
-    /// Load over slots of the instance as it was chosen, in percent.
+    /// Load of the instance in percent of its slots, at the time it was chosen.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load_percent: Option<u32>,
     /// `answered`, `not-run` or `unknown`.
     pub outcome: Cow<'a, str>,
-    /// The step at which it was refused or lost.
+    /// The step at which the request was refused or lost.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub step: Option<Cow<'a, str>>,
-    /// Why it was refused or lost.
+    /// The reason why the request was refused or lost.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<Cow<'a, str>>,
-    /// The status that was answered.
+    /// The HTTP status of the answer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<u16>,
-    /// Microseconds from when the node had it until this.
+    /// Microseconds from the request's arrival at the node until this event.
     pub took_us: u64,
-    /// Microseconds for which it waited for a slot.
+    /// Microseconds that the request waited for a slot.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub waited_us: Option<u64>,
-    /// Requests that ran beside it, slots, and requests that waited.
+    /// Load of the target: requests in flight, slots, and queued requests.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load: Option<[u16; 3]>,
-    /// Microseconds that were left until its deadline; 0 without a route, which
-    /// sets it.
+    /// Microseconds left until its deadline; 0 without a route, since the route sets
+    /// the deadline.
     pub left_us: u64,
-    /// Microseconds that were left until its answer is worth less.
+    /// Microseconds left until its soft deadline, after which its answer is worth less.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub aim_left_us: Option<u64>,
-    /// The catalogue's revision by which it was routed.
+    /// The revision of the catalogue that routed the request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub catalogue: Option<u64>,
-    /// Milliseconds since a catalogue of that revision came into force here.
+    /// Milliseconds since a catalogue of that revision came into force on this node.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub catalogue_ms: Option<u64>,
-    /// The newest revision of the catalogue that the node had heard of, unless
-    /// that is the one by which it was routed.
+    /// The newest advertised revision of the catalogue, unless the request was routed by
+    /// it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub heard: Option<u64>,
-    /// Milliseconds since the node first heard of that.
+    /// Milliseconds since that revision was first advertised to the node.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub heard_ms: Option<u64>,
-    /// The instance list's revision by which it was routed.
+    /// The revision of the instance list that routed the request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub list: Option<u64>,
-    /// Milliseconds since the newest proof that nothing newer than that list was
-    /// published; absent without one, and if a newer list is known.
+    /// Milliseconds since the newest proof that no list newer than that was published;
+    /// absent without such a proof, and if a newer list was advertised.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub list_ms: Option<u64>,
     /// Milliseconds since the newest proof of contact with the platform.
@@ -103,11 +103,11 @@
     pub contact_ms: Option<u64>,
 }
 
-/// The event of a try that brought no answer.
+/// The event of an attempt without an answer.
 pub const TRIED: &str = "tried";
 
-/// The event of a request's end on the node that took it from its caller.
+/// The event of a request's end on the caller's node.
 pub const ENDED: &str = "ended";
 
-/// The event of a request's end on the node beside its target.
+/// The event of a request's end on the target's node.
 pub const BESIDE: &str = "beside";
