--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,23 +1,21 @@
-//! What passes between a node and others: messages of nodes to one another,
-//! reads of the platform, the headers of requests and the answers of the
-//! admin address.
+//! Protocols of a node: messages between nodes, reads of the platform, request headers,
+//! the request log and the JSON types of the admin address.
 //!
-//! Nothing is decided here. Whatever comes in is bounded in size and checked
-//! in shape before it reaches a decision, and an error names the step and the
-//! peer.
+//! This crate makes no decisions. Everything received is bounded in size and checked in
+//! shape before a decision uses it. Errors name the step and the peer.
 
 pub mod admin;
-mod chain;
+mod decompress;
+mod error_chain;
 pub mod header;
 pub mod log;
 pub mod peer;
 pub mod platform;
 mod socket;
-mod unfold;
 
-pub use crate::chain::error_chain;
+pub use crate::error_chain::error_chain;
 pub use crate::socket::Counted;
 pub use crate::socket::SocketBytes;
 pub use crate::socket::Tap;
 pub use crate::socket::Tapped;
-pub use crate::socket::keep_alive;
+pub use crate::socket::enable_keep_alive;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,9 +1,8 @@
 //! Messages between nodes: a `tarpc` service of one method over TCP.
 //!
-//! The method carries packed messages, which are bounded in size, compressed
-//! where that is worth it, and only unpacked where an error can be told to
-//! the peer: a message that doesn't decode costs its sender an answer that
-//! says so, not the connection.
+//! The method carries packed messages. They are bounded in size and compressed if that
+//! makes them smaller. They are decoded inside the method, so that a message that doesn't
+//! decode is answered by a refusal and the connection stays open.
 
 pub use self::backoff::Backoff;
 pub use self::connection::ExchangeError;
--- a/crates/wire/src/peer/backoff.rs
+++ b/crates/wire/src/peer/backoff.rs
@@ -1,37 +1,37 @@
-//! Waiting between tries to reach a peer.
+//! Exponential backoff between attempts to connect to a peer.
 
 use std::time::Duration;
 
 use rand::Rng;
 use rand::RngExt;
 
-/// How long to leave a peer alone that couldn't be reached.
+/// Capped exponential backoff with jitter, after failed attempts to connect.
 ///
-/// When a peer restarts, everybody who talked to it fails at the same moment.
-/// Half of each wait is random, so that they don't come back together, and
-/// it doubles up to a cap, so that a peer that is gone costs little.
+/// When a peer restarts, all nodes connected to it fail at the same moment. Half of each
+/// wait is random, so that they don't reconnect at the same time. The wait doubles up to
+/// a cap, so that a departed peer costs little.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     base: Duration,
     cap: Duration,
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl Backoff {
-    /// Waits that begin with `base` and grow up to `cap`.
+    /// A backoff whose waits start at `base` and grow up to `cap`.
     pub fn new(base: Duration, cap: Duration) -> Backoff {
         Backoff {
             base,
             cap,
-            failures: 0,
+            consecutive_failures: 0,
         }
     }
 
-    /// Notes a failure and tells how long to wait.
-    pub fn fail(&mut self, rng: &mut impl Rng) -> Duration {
-        let doubled = self.base.saturating_mul(1 << self.failures.min(16));
-        self.failures = self.failures.saturating_add(1);
-        let full = doubled.min(self.cap);
-        full.mul_f64(rng.random_range(0.5..=1.0))
+    /// Records a failure and returns the wait before the next attempt.
+    pub fn record_failure(&mut self, rng: &mut impl Rng) -> Duration {
+        let doublings = self.consecutive_failures.min(16);
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        let max_wait = self.base.saturating_mul(1 << doublings).min(self.cap);
+        max_wait.mul_f64(rng.random_range(0.5..=1.0))
     }
 }
--- a/crates/wire/src/peer/connection.rs
+++ b/crates/wire/src/peer/connection.rs
@@ -22,12 +22,12 @@
 use super::PeerClient;
 use super::transport::framed;
 use crate::SocketBytes;
-use crate::chain::error_chain;
+use crate::error_chain::error_chain;
 
-/// Calls that wait on one connection at most.
+/// Bounds the calls in flight on one connection.
 const MAX_IN_FLIGHT: usize = 32;
 
-/// An open connection to another node; it closes with the last clone.
+/// An open connection to another node. It is connection_closed when the last clone is dropped.
 #[derive(Debug, Clone)]
 pub struct PeerConnection {
     addr: SocketAddr,
@@ -35,11 +35,11 @@
 }
 
 impl PeerConnection {
-    /// Opens a connection, whose bytes are counted in `bytes`.
+    /// Opens a connection. Its bytes are counted in `bytes`.
     ///
     /// # Errors
     ///
-    /// Fails, naming the peer, if it isn't open within `limit`.
+    /// Fails, naming the peer, if the connection isn't open within `limit`.
     pub async fn open(
         addr: SocketAddr,
         bytes: Arc<SocketBytes>,
@@ -48,14 +48,14 @@
         let failed = |reason: &str| Error::new(Step::Connect, reason).at_peer(addr);
         let io = tokio::time::timeout(limit, TcpStream::connect(addr))
             .await
-            .map_err(|_| failed("not open in time"))?
-            .map_err(|cause| failed("refused").with_cause(cause))?;
+            .map_err(|_| failed("connecting timed out"))?
+            .map_err(|cause| failed("connection refused").with_cause(cause))?;
         let transport = framed(io, bytes).map_err(|err| err.at_peer(addr))?;
         let mut config = Config::default();
         config.max_in_flight_requests = MAX_IN_FLIGHT;
         config.pending_request_buffer = MAX_IN_FLIGHT;
         let NewClient { client, dispatch } = PeerClient::new(config, transport);
-        // How it ended reaches whoever waits for an answer.
+        // A dispatch error is returned by the calls that are in flight.
         tokio::spawn(dispatch.map(drop));
         Ok(PeerConnection { addr, client })
     }
@@ -64,32 +64,34 @@
     ///
     /// # Errors
     ///
-    /// Fails, naming the peer, if the message is too large, the connection
-    /// breaks, no answer comes within `limit` or it doesn't decode.
+    /// Fails, naming the peer, if the message is too large, the connection breaks, no
+    /// answer arrives within `limit`, or the answer doesn't decode.
     pub async fn exchange(
         &self,
         from: &InstanceId,
         message: &PeerMessage,
         limit: Duration,
     ) -> Result<PeerReply, ExchangeError> {
-        let packed = Packed::pack(message).map_err(|err| self.failed(err, false))?;
+        let packed = Packed::pack(message).map_err(|err| self.exchange_error(err, false))?;
         let mut cx = context::current();
         cx.deadline = Instant::now() + limit;
         let call = self.client.exchange(cx, from.clone(), packed);
-        let answer = call.await.map_err(|cause| self.broken(cause))?;
-        answer.unpack().map_err(|err| self.failed(err, false))
+        let answer = call.await.map_err(|cause| self.rpc_error(cause))?;
+        answer
+            .unpack()
+            .map_err(|err| self.exchange_error(err, false))
     }
 
-    fn broken(&self, cause: RpcError) -> ExchangeError {
-        let closed = !matches!(cause, RpcError::DeadlineExceeded);
+    fn rpc_error(&self, cause: RpcError) -> ExchangeError {
+        let connection_closed = !matches!(cause, RpcError::DeadlineExceeded);
         let err = Error::new(Step::Exchange, error_chain(&cause));
-        self.failed(err, closed)
+        self.exchange_error(err, connection_closed)
     }
 
-    fn failed(&self, err: Error, closed: bool) -> ExchangeError {
+    fn exchange_error(&self, err: Error, connection_closed: bool) -> ExchangeError {
         ExchangeError {
             error: err.at_peer(self.addr),
-            closed,
+            connection_closed,
         }
     }
 }
@@ -97,8 +99,8 @@
 /// Why an exchange failed.
 #[derive(Debug)]
 pub struct ExchangeError {
-    /// The step, the peer and the reason.
+    /// The error with the step, the peer and the reason.
     pub error: Error,
-    /// Whether the connection had ended, so that another may do better.
-    pub closed: bool,
+    /// Whether the connection had ended, so that a new one may succeed.
+    pub connection_closed: bool,
 }
--- a/crates/wire/src/peer/handler.rs
+++ b/crates/wire/src/peer/handler.rs
@@ -1,4 +1,4 @@
-//! Who answers messages.
+//! Handler of received messages.
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,16 @@
 use sassafrasspool_core::PeerMessage;
 use sassafrasspool_core::PeerReply;
 
-/// Answers the messages of other nodes.
+/// Handles the messages of other nodes.
 pub trait PeerHandler: Clone + Send + 'static {
-    /// Answers a message that the instance `from` sent.
+    /// Answers a message sent by the instance `from`.
     fn answer(
         &self,
         from: InstanceId,
         message: PeerMessage,
     ) -> impl Future<Output = PeerReply> + Send;
 
-    /// Takes note of a peer's fault: a message that doesn't decode or a
-    /// connection over the bound. Nothing else comes of it.
+    /// Records a peer's fault: a message that doesn't decode or a connection over the
+    /// limit. It has no other effect.
     fn fault(&self, peer: SocketAddr, err: &Error);
 }
--- a/crates/wire/src/peer/limits.rs
+++ b/crates/wire/src/peer/limits.rs
@@ -1,23 +1,23 @@
-//! Bounds on connections between nodes.
+//! Limits of the connections between nodes.
 
 use std::time::Duration;
 
-/// How much a node gives to connections with other nodes.
+/// Limits of the connections between a node and its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerLimits {
-    /// Connections that a node keeps open to others.
+    /// Most addresses for which a node keeps a connection, or the state of a failed one.
     pub open: usize,
-    /// Connections that it takes from others; more are closed at once.
+    /// Most connections accepted from other nodes; further ones are closed at once.
     pub inbound: usize,
-    /// Messages of one connection that are answered at the same time.
+    /// Most messages of one connection that are processed concurrently.
     pub requests: usize,
-    /// How long opening a connection may take.
+    /// Timeout of opening a connection.
     pub connect: Duration,
-    /// How long a connection from another node may stay silent.
+    /// Idle time after which a connection from another node is closed.
     pub idle: Duration,
-    /// First wait after a connection couldn't be opened.
+    /// First wait after a failed attempt to open a connection.
     pub backoff_base: Duration,
-    /// Longest wait after that.
+    /// Longest wait after repeated failures.
     pub backoff_cap: Duration,
 }
 
--- a/crates/wire/src/peer/packed.rs
+++ b/crates/wire/src/peer/packed.rs
@@ -1,4 +1,4 @@
-//! Messages as they stand in a frame.
+//! Encoding and compression of the messages in a frame.
 
 use std::fmt;
 
@@ -11,24 +11,24 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::unfold::unfold;
+use crate::decompress::decompress_up_to;
 
-/// The largest message in bytes, unpacked: a body and what goes with it.
+/// The largest decompressed message in bytes: a body and the fields around it.
 pub const MAX_MESSAGE_BYTES: usize = MAX_BODY_BYTES + 1024 * 1024;
 
-/// Messages from this size on are worth compressing, in bytes.
-const COMPRESS_FROM: usize = 256;
+/// The smallest message that is compressed, in bytes; smaller ones gain too little.
+const MIN_COMPRESSED_BYTES: usize = 256;
 
-/// The compression level: of those that take a few milliseconds for a whole
-/// catalogue, the one that packs closest.
-const LEVEL: i32 = 3;
+/// The `zstd` level: the one with the best ratio among those that compress a whole
+/// catalogue in a few milliseconds.
+const COMPRESSION_LEVEL: i32 = 3;
 
-/// An encoded message, compressed if that makes it smaller.
+/// An encoded message, which is compressed if that makes it smaller.
 #[derive(Clone, PartialEq, Serialize, Deserialize)]
 pub enum Packed {
-    /// As encoded by `postcard`.
+    /// Encoded by `postcard`.
     Plain(Bytes),
-    /// The same, compressed by `zstd`.
+    /// Encoded by `postcard` and compressed by `zstd`.
     Zstd(Bytes),
 }
 
@@ -37,18 +37,18 @@
     ///
     /// # Errors
     ///
-    /// Fails if it can't be encoded or is larger than [`MAX_MESSAGE_BYTES`].
+    /// Fails if the message can't be encoded or is larger than [`MAX_MESSAGE_BYTES`].
     pub fn pack<T: Serialize>(message: &T) -> Result<Packed> {
-        let plain =
-            postcard::to_stdvec(message).map_err(|cause| codec("encode").with_cause(cause))?;
+        let plain = postcard::to_stdvec(message)
+            .map_err(|cause| codec_error("encode").with_cause(cause))?;
         check_size(plain.len())?;
-        if plain.len() < COMPRESS_FROM {
+        if plain.len() < MIN_COMPRESSED_BYTES {
             return Ok(Packed::Plain(plain.into()));
         }
-        let small = zstd::bulk::compress(&plain, LEVEL)
-            .map_err(|cause| codec("compress").with_cause(cause))?;
-        if small.len() < plain.len() {
-            Ok(Packed::Zstd(small.into()))
+        let compressed = zstd::bulk::compress(&plain, COMPRESSION_LEVEL)
+            .map_err(|cause| codec_error("compress").with_cause(cause))?;
+        if compressed.len() < plain.len() {
+            Ok(Packed::Zstd(compressed.into()))
         } else {
             Ok(Packed::Plain(plain.into()))
         }
@@ -58,8 +58,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if it is larger than [`MAX_MESSAGE_BYTES`], isn't a `T` or has
-    /// bytes after it.
+    /// Fails if the message is larger than [`MAX_MESSAGE_BYTES`], doesn't decode as a `T`
+    /// or is followed by further bytes.
     pub fn unpack<T: DeserializeOwned>(&self) -> Result<T> {
         match self {
             Packed::Plain(bytes) => {
@@ -81,16 +81,16 @@
 }
 
 fn decompress(bytes: &[u8]) -> Result<Vec<u8>> {
-    let plain = unfold(bytes, MAX_MESSAGE_BYTES);
-    let plain = plain.map_err(|cause| codec("decompress").with_cause(cause))?;
+    let plain = decompress_up_to(bytes, MAX_MESSAGE_BYTES);
+    let plain = plain.map_err(|cause| codec_error("decompress").with_cause(cause))?;
     plain.ok_or_else(too_large)
 }
 
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
-    let (message, rest) =
-        postcard::take_from_bytes(bytes).map_err(|cause| codec("decode").with_cause(cause))?;
+    let (message, rest) = postcard::take_from_bytes(bytes)
+        .map_err(|cause| codec_error("decode").with_cause(cause))?;
     if !rest.is_empty() {
-        let reason = format!("{} bytes after the message", rest.len());
+        let reason = format!("{} trailing bytes after the message", rest.len());
         return Err(Error::new(Step::Codec, reason));
     }
     Ok(message)
@@ -104,10 +104,10 @@
 }
 
 fn too_large() -> Error {
-    let reason = format!("a message over {MAX_MESSAGE_BYTES} bytes");
+    let reason = format!("message larger than {MAX_MESSAGE_BYTES} bytes");
     Error::new(Step::Codec, reason)
 }
 
-fn codec(what: &str) -> Error {
-    Error::new(Step::Codec, format!("can't {what} a message"))
+fn codec_error(operation: &str) -> Error {
+    Error::new(Step::Codec, format!("can't {operation} a message"))
 }
--- a/crates/wire/src/peer/pool.rs
+++ b/crates/wire/src/peer/pool.rs
@@ -1,4 +1,4 @@
-//! The few connections that a node keeps open to others.
+//! Pool of connections to other nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,92 +29,93 @@
 use super::PeerLimits;
 use crate::SocketBytes;
 
-/// How long a connection is trusted to carry messages after it was opened or carried an
-/// answer.
-const TRUSTED_FOR: Duration = Duration::from_secs(1);
+/// How long a connection counts as working after it was opened or carried an answer.
+const ACTIVE_FOR: Duration = Duration::from_secs(1);
 
-/// The part of a message's limit after which it is sent over a fresh connection as well,
-/// if the kept one isn't trusted. A change takes up to eight messages, one after the
-/// other, to reach a fleet, and all of them may meet connections that fell silent.
-const FRESH_AFTER_DIVISOR: u32 = 4;
+/// Divisor of a message's timeout: after this part of it, a message sent over an idle
+/// connection is sent over a new one as well. A change takes up to eight messages in
+/// sequence to reach a fleet, and each of them may use a connection that lost its peer
+/// without a reset.
+const HEDGE_AFTER_DIVISOR: u32 = 4;
 
-/// Open connections by address, of which the least recently used go first.
+/// Open connections by address. When the pool is full, the least recently used address
+/// is evicted.
 ///
 /// # Invariants
 ///
-/// At most `limits.open` addresses are held, with a connection or with the
-/// time until which they are left alone.
+/// The pool has at most `limits.open` addresses, each with a connection or with the
+/// time until which no attempt to connect is made.
 #[derive(Debug)]
 pub struct PeerPool {
     limits: PeerLimits,
     bytes: Arc<SocketBytes>,
-    held: Mutex<Held>,
+    state: Mutex<PoolState>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct PoolState {
     rng: SmallRng,
-    uses: u64,
+    use_count: u64,
     slots: HashMap<SocketAddr, Slot>,
 }
 
 #[derive(Debug)]
 struct Slot {
-    used: u64,
-    shared: Arc<AsyncMutex<Link>>,
+    last_use: u64,
+    link: Arc<AsyncMutex<Link>>,
 }
 
-/// What is held for one address.
+/// The connection to one address, or its backoff.
 #[derive(Debug)]
 struct Link {
     open: Option<PeerConnection>,
-    /// Counts the connections opened, so that a caller whose connection broke
-    /// doesn't close the one that another caller has opened since.
+    /// Number of connections opened so far. A task whose connection broke closes only
+    /// the connection with its number, not one that another task has opened since.
     opened: u64,
-    /// When the open connection was opened, or last carried an answer.
-    alive_at: Instant,
+    /// When the open connection was opened or last carried an answer.
+    active_at: Instant,
     backoff: Backoff,
-    closed_until: Option<Instant>,
+    retry_at: Option<Instant>,
 }
 
-/// A connection and its number in its link.
+/// A connection with its number in its link.
 #[derive(Debug)]
-struct Opened {
+struct NumberedConnection {
     connection: PeerConnection,
     number: u64,
-    kept: Kept,
+    age: ConnectionAge,
 }
 
-/// Whether a connection was open before, and how far it is trusted.
+/// Whether a connection was open before, and whether it was active recently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kept {
+enum ConnectionAge {
     /// It was opened for this message.
-    Fresh,
-    /// It was opened or carried an answer within [`TRUSTED_FOR`].
-    Trusted,
-    /// It may have fallen silent unseen.
-    Doubted,
+    New,
+    /// It was opened or carried an answer within [`ACTIVE_FOR`].
+    Active,
+    /// It was idle for longer, and its peer may be unreachable without a reset.
+    Idle,
 }
 
-impl Kept {
-    fn since(alive_at: Instant) -> Kept {
-        match alive_at.elapsed() < TRUSTED_FOR {
-            true => Kept::Trusted,
-            false => Kept::Doubted,
+impl ConnectionAge {
+    fn since(active_at: Instant) -> ConnectionAge {
+        match active_at.elapsed() < ACTIVE_FOR {
+            true => ConnectionAge::Active,
+            false => ConnectionAge::Idle,
         }
     }
 }
 
-/// What is sent.
+/// A message with its sender and timeout.
 #[derive(Debug, Clone, Copy)]
-struct Ask<'a> {
+struct OutgoingMessage<'a> {
     from: &'a InstanceId,
     message: &'a PeerMessage,
     limit: Duration,
 }
 
-impl Ask<'_> {
-    async fn over(self, connection: &PeerConnection) -> Result<PeerReply, ExchangeError> {
+impl OutgoingMessage<'_> {
+    async fn send_over(self, connection: &PeerConnection) -> Result<PeerReply, ExchangeError> {
         connection
             .exchange(self.from, self.message, self.limit)
             .await
@@ -122,30 +123,30 @@
 }
 
 impl PeerPool {
-    /// A pool without connections; `seed` decides how waits vary.
+    /// An empty pool; `seed` seeds the jitter of the backoff.
     pub fn new(limits: PeerLimits, bytes: Arc<SocketBytes>, seed: u64) -> PeerPool {
         PeerPool {
             limits,
             bytes,
-            held: Mutex::new(Held {
+            state: Mutex::new(PoolState {
                 rng: SmallRng::seed_from_u64(seed),
-                uses: 0,
+                use_count: 0,
                 slots: HashMap::new(),
             }),
         }
     }
 
-    /// Sends a message over a connection that is open or is opened now.
+    /// Sends a message over the open connection, or over a new one.
     ///
-    /// A kept connection may have ended unseen, as when its peer restarted, or fallen
-    /// silent without a reset; the message is then sent once more over a fresh one.
-    /// Nodes' messages are idempotent, so that it doesn't matter whether the first
-    /// arrived.
+    /// A kept connection may have ended unnoticed, for instance because its peer
+    /// restarted, or may deliver no packets without a reset. The message is then sent
+    /// once more over a new connection. Messages between nodes are idempotent, so that
+    /// it makes no difference whether the first one arrived.
     ///
     /// # Errors
     ///
-    /// Fails, naming the step and the peer, if there is no answer within
-    /// `limit` or the peer is left alone after it couldn't be reached.
+    /// Fails, naming the step and the peer, if no answer arrives within `limit` or if
+    /// the backoff after a failed attempt to connect hasn't passed yet.
     pub async fn exchange(
         &self,
         addr: SocketAddr,
@@ -153,102 +154,106 @@
         message: &PeerMessage,
         limit: Duration,
     ) -> Result<PeerReply> {
-        let ask = Ask {
+        let outgoing = OutgoingMessage {
             from,
             message,
             limit,
         };
-        let tries = self.ask(addr, ask);
-        match tokio::time::timeout(limit, tries).await {
+        let sent = self.send(addr, outgoing);
+        match tokio::time::timeout(limit, sent).await {
             Ok(result) => result,
             Err(_) => {
-                self.drop_silent(addr);
+                self.remove(addr);
                 let reason = format!("no answer within {} ms", limit.as_millis());
                 Err(Error::new(Step::Exchange, reason).at_peer(addr))
             }
         }
     }
 
-    /// How many addresses are held.
-    pub fn held(&self) -> usize {
+    /// The number of addresses in the pool.
+    pub fn address_count(&self) -> usize {
         self.lock().slots.len()
     }
 
-    async fn ask(&self, addr: SocketAddr, ask: Ask<'_>) -> Result<PeerReply> {
+    async fn send(&self, addr: SocketAddr, outgoing: OutgoingMessage<'_>) -> Result<PeerReply> {
         let link = self.link(addr);
-        let opened = self.open(addr, &link).await?;
-        let number = opened.number;
-        let patience = match opened.kept {
-            Kept::Doubted => ask.limit / FRESH_AFTER_DIVISOR,
-            Kept::Fresh | Kept::Trusted => ask.limit,
+        let connection = self.connect(addr, &link).await?;
+        let number = connection.number;
+        let hedge_after = match connection.age {
+            ConnectionAge::Idle => outgoing.limit / HEDGE_AFTER_DIVISOR,
+            ConnectionAge::New | ConnectionAge::Active => outgoing.limit,
         };
-        let mut asked = pin!(exchange_over(&link, &opened, ask));
-        match tokio::time::timeout(patience, asked.as_mut()).await {
+        let mut sent = pin!(exchange_over(&link, &connection, outgoing));
+        match tokio::time::timeout(hedge_after, sent.as_mut()).await {
             Ok(Ok(reply)) => Ok(reply),
-            Ok(Err(failure)) if failure.closed && opened.kept != Kept::Fresh => {
-                self.ask_afresh(addr, &link, number, ask).await
+            Ok(Err(failure))
+                if failure.connection_closed && connection.age != ConnectionAge::New =>
+            {
+                self.send_over_new(addr, &link, number, outgoing).await
             }
             Ok(Err(failure)) => Err(failure.error),
             Err(_) => {
-                // A peer that is only slow may still answer over the kept one.
-                let late = asked.map_err(|failure| failure.error).boxed();
-                let afresh = self.ask_afresh(addr, &link, number, ask).boxed();
-                let (reply, _) = select_ok([late, afresh]).await?;
+                // A slow peer may still answer over the kept connection.
+                let over_kept = sent.map_err(|failure| failure.error).boxed();
+                let over_new = self.send_over_new(addr, &link, number, outgoing).boxed();
+                let (reply, _) = select_ok([over_kept, over_new]).await?;
                 Ok(reply)
             }
         }
     }
 
-    /// Asks over a connection that is opened after connection number `number`.
-    async fn ask_afresh(
+    /// Closes connection number `number` and sends the message over a later one.
+    async fn send_over_new(
         &self,
         addr: SocketAddr,
         link: &AsyncMutex<Link>,
         number: u64,
-        ask: Ask<'_>,
+        outgoing: OutgoingMessage<'_>,
     ) -> Result<PeerReply> {
-        forget(link, number).await;
-        let opened = self.open(addr, link).await?;
-        let asked = exchange_over(link, &opened, ask).await;
-        asked.map_err(|failure| failure.error)
+        close(link, number).await;
+        let connection = self.connect(addr, link).await?;
+        let sent = exchange_over(link, &connection, outgoing).await;
+        sent.map_err(|failure| failure.error)
     }
 
-    /// What is held for `addr`, which counts as used now.
+    /// The link of `addr`, which becomes the most recently used.
     fn link(&self, addr: SocketAddr) -> Arc<AsyncMutex<Link>> {
-        let mut held = self.lock();
-        held.uses += 1;
-        let used = held.uses;
-        if !held.slots.contains_key(&addr) && held.slots.len() >= self.limits.open {
-            held.drop_oldest();
+        let mut state = self.lock();
+        state.use_count += 1;
+        let last_use = state.use_count;
+        if !state.slots.contains_key(&addr) && state.slots.len() >= self.limits.open {
+            state.evict_least_recently_used();
         }
-        let slot = held.slots.entry(addr).or_insert_with(|| Slot {
-            used,
-            shared: Arc::new(AsyncMutex::new(Link {
+        let slot = state.slots.entry(addr).or_insert_with(|| Slot {
+            last_use,
+            link: Arc::new(AsyncMutex::new(Link {
                 open: None,
                 opened: 0,
-                alive_at: Instant::now(),
-                backoff: self.backoff(),
-                closed_until: None,
+                active_at: Instant::now(),
+                backoff: self.new_backoff(),
+                retry_at: None,
             })),
         });
-        slot.used = used;
-        Arc::clone(&slot.shared)
+        slot.last_use = last_use;
+        Arc::clone(&slot.link)
     }
 
-    async fn open(&self, addr: SocketAddr, link: &AsyncMutex<Link>) -> Result<Opened> {
+    /// The open connection of a link, or a new one.
+    async fn connect(
+        &self,
+        addr: SocketAddr,
+        link: &AsyncMutex<Link>,
+    ) -> Result<NumberedConnection> {
         let mut link = link.lock().await;
         if let Some(connection) = link.open.clone() {
-            return Ok(Opened {
+            return Ok(NumberedConnection {
                 connection,
                 number: link.opened,
-                kept: Kept::since(link.alive_at),
+                age: ConnectionAge::since(link.active_at),
             });
         }
-        if link
-            .closed_until
-            .is_some_and(|until| Instant::now() < until)
-        {
-            let reason = "left alone for a moment after it couldn't be reached";
+        if link.retry_at.is_some_and(|at| Instant::now() < at) {
+            let reason = "in backoff after a failed attempt to connect";
             return Err(Error::new(Step::Connect, reason).at_peer(addr));
         }
         let bytes = Arc::clone(&self.bytes);
@@ -256,77 +261,76 @@
             Ok(connection) => {
                 link.opened += 1;
                 link.open = Some(connection.clone());
-                link.alive_at = Instant::now();
-                link.backoff = self.backoff();
-                link.closed_until = None;
-                Ok(Opened {
+                link.active_at = Instant::now();
+                link.backoff = self.new_backoff();
+                link.retry_at = None;
+                Ok(NumberedConnection {
                     connection,
                     number: link.opened,
-                    kept: Kept::Fresh,
+                    age: ConnectionAge::New,
                 })
             }
             Err(err) => {
-                let wait = link.backoff.fail(&mut self.lock().rng);
-                link.closed_until = Some(Instant::now() + wait);
+                let wait = link.backoff.record_failure(&mut self.lock().rng);
+                link.retry_at = Some(Instant::now() + wait);
                 Err(err)
             }
         }
     }
 
-    /// Closes a connection on which no answer came in time.
+    /// Removes an address whose connection timed out.
     ///
-    /// A partition leaves connections that look open but whose packets are
-    /// sent again ever more seldom, up to minutes apart: over such a one,
-    /// calls would go on to fail long after the partition has healed. The next
-    /// call opens a fresh one.
-    fn drop_silent(&self, addr: SocketAddr) {
+    /// After a partition, a connection may look open while TCP retransmits its packets
+    /// at growing intervals of up to minutes. Calls over it would still fail long after
+    /// the partition has healed. The next call opens a new connection.
+    fn remove(&self, addr: SocketAddr) {
         self.lock().slots.remove(&addr);
     }
 
-    fn backoff(&self) -> Backoff {
+    fn new_backoff(&self) -> Backoff {
         Backoff::new(self.limits.backoff_base, self.limits.backoff_cap)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, PoolState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Held {
-    fn drop_oldest(&mut self) {
-        let oldest = self.slots.iter().min_by_key(|(_, slot)| slot.used);
+impl PoolState {
+    fn evict_least_recently_used(&mut self) {
+        let oldest = self.slots.iter().min_by_key(|(_, slot)| slot.last_use);
         if let Some(addr) = oldest.map(|(addr, _)| *addr) {
             self.slots.remove(&addr);
         }
     }
 }
 
-/// Asks over a connection of a link; one that fails is closed.
+/// Sends a message over a connection of a link and closes the connection on failure.
 async fn exchange_over(
     link: &AsyncMutex<Link>,
-    opened: &Opened,
-    ask: Ask<'_>,
+    connection: &NumberedConnection,
+    outgoing: OutgoingMessage<'_>,
 ) -> Result<PeerReply, ExchangeError> {
-    let result = ask.over(&opened.connection).await;
+    let result = outgoing.send_over(&connection.connection).await;
     match result {
-        Ok(_) => note_answer(link, opened.number),
-        Err(_) => forget(link, opened.number).await,
+        Ok(_) => record_answer(link, connection.number),
+        Err(_) => close(link, connection.number).await,
     }
     result
 }
 
-/// Notes that connection number `number` of a link carried an answer, which must not wait
-/// for another that is being opened.
-fn note_answer(link: &AsyncMutex<Link>, number: u64) {
+/// Records that connection number `number` of a link carried an answer. The answer must
+/// not wait while another connection of the link is being opened.
+fn record_answer(link: &AsyncMutex<Link>, number: u64) {
     if let Ok(mut link) = link.try_lock()
         && link.opened == number
     {
-        link.alive_at = Instant::now();
+        link.active_at = Instant::now();
     }
 }
 
-/// Closes connection number `number` of a link, if it is still that one.
-async fn forget(link: &AsyncMutex<Link>, number: u64) {
+/// Closes connection number `number` of a link, unless a later one has replaced it.
+async fn close(link: &AsyncMutex<Link>, number: u64) {
     let mut link = link.lock().await;
     if link.opened == number {
         link.open = None;
--- a/crates/wire/src/peer/server.rs
+++ b/crates/wire/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Taking connections of other nodes.
+//! Server for the connections of other nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,13 +28,13 @@
 use super::PeerLimits;
 use super::transport::framed;
 use crate::SocketBytes;
-use crate::chain::error_chain;
+use crate::error_chain::error_chain;
 
-/// How long to leave a listener alone that can't take a connection, as when
-/// the process has no file descriptor left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Wait after a failed accept, for instance when the process has no file descriptor
+/// left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves other nodes' connections, a bounded number at once.
+/// Serves a bounded number of connections of other nodes.
 #[derive(Debug)]
 pub struct PeerServer<H> {
     handler: H,
@@ -43,7 +43,7 @@
 }
 
 impl<H: PeerHandler + Sync> PeerServer<H> {
-    /// A server whose messages `handler` answers.
+    /// A server that passes received messages to `handler`.
     pub fn new(handler: H, limits: PeerLimits, bytes: Arc<SocketBytes>) -> PeerServer<H> {
         PeerServer {
             handler,
@@ -52,23 +52,23 @@
         }
     }
 
-    /// Takes connections until `cancel` is cancelled, then closes them all.
+    /// Accepts connections until `cancel` is cancelled, then closes them all.
     pub async fn serve(self, listener: TcpListener, cancel: CancellationToken) {
-        let room = Arc::new(Semaphore::new(self.limits.inbound));
+        let permits = Arc::new(Semaphore::new(self.limits.inbound));
         let tasks = TaskTracker::new();
         while let Some(accepted) = cancel.run_until_cancelled(listener.accept()).await {
             let Ok((io, peer)) = accepted else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            // A restarting fleet connects all at once. Whoever doesn't fit is
-            // closed right away and comes back after its own random wait.
-            let Ok(permit) = Arc::clone(&room).try_acquire_owned() else {
-                let err = Error::new(Step::Connect, "more connections than allowed");
+            // All nodes of a restarting fleet connect at the same time. Connections over
+            // the limit are closed at once; their nodes retry after a backoff with jitter.
+            let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
+                let err = Error::new(Step::Connect, "connection limit reached");
                 self.handler.fault(peer, &err.at_peer(peer));
                 continue;
             };
-            let served = self.connection(io, peer, permit);
+            let served = self.serve_connection(io, peer, permit);
             let cancel = cancel.clone();
             tasks.spawn(async move { cancel.run_until_cancelled(served).await });
         }
@@ -76,7 +76,7 @@
         tasks.wait().await;
     }
 
-    fn connection(
+    fn serve_connection(
         &self,
         io: TcpStream,
         peer: SocketAddr,
@@ -90,15 +90,15 @@
         let bytes = Arc::clone(&self.bytes);
         async move {
             let _permit = permit;
-            if let Err(err) = run(io, &service, limits, bytes).await {
+            if let Err(err) = answer_messages(io, &service, limits, bytes).await {
                 service.handler.fault(peer, &err.at_peer(peer));
             }
         }
     }
 }
 
-/// Answers the messages of one connection, some at a time.
-async fn run<H: PeerHandler + Sync>(
+/// Answers the messages of one connection, up to `limits.requests` concurrently.
+async fn answer_messages<H: PeerHandler + Sync>(
     io: TcpStream,
     service: &Service<H>,
     limits: PeerLimits,
@@ -116,7 +116,7 @@
                 Ok(Some(Err(cause))) => {
                     return Err(Error::new(Step::Exchange, error_chain(&cause)));
                 }
-                // Closed by the peer, or silent for too long.
+                // The peer closed the connection, or it was idle for too long.
                 Ok(None) | Err(_) => return Ok(()),
             },
             Some(()) = answers.next() => {}
@@ -124,7 +124,7 @@
     }
 }
 
-/// One connection's side of the service.
+/// The service on one connection.
 #[derive(Debug, Clone)]
 struct Service<H> {
     handler: H,
@@ -135,7 +135,7 @@
     async fn exchange(self, _: Context, from: InstanceId, message: Packed) -> Packed {
         let reply = match message.unpack::<PeerMessage>() {
             Ok(message) => self.handler.answer(from, message).await,
-            Err(err) => self.refuse(&err.at_peer(format!("{from} ({})", self.peer))),
+            Err(err) => self.refuse_message(&err.at_peer(format!("{from} ({})", self.peer))),
         };
         Packed::pack(&reply).unwrap_or_else(|err| {
             self.handler.fault(self.peer, &err.at_peer(self.peer));
@@ -145,7 +145,7 @@
 }
 
 impl<H: PeerHandler> Service<H> {
-    fn refuse(&self, err: &Error) -> PeerReply {
+    fn refuse_message(&self, err: &Error) -> PeerReply {
         self.handler.fault(self.peer, err);
         PeerReply::Refused
     }
--- a/crates/wire/src/peer/service.rs
+++ b/crates/wire/src/peer/service.rs
@@ -1,13 +1,13 @@
-//! The service itself.
+//! The RPC service of nodes.
 
 use sassafrasspool_core::InstanceId;
 
 use super::Packed;
 
-/// What a node answers to others.
+/// The service that a node offers to its peers.
 #[tarpc::service]
 pub trait Peer {
-    /// Takes a packed `PeerMessage` of the instance `from` and gives a packed
+    /// Receives a packed `PeerMessage` of the instance `from` and returns a packed
     /// `PeerReply`.
     async fn exchange(from: InstanceId, message: Packed) -> Packed;
 }
--- a/crates/wire/src/peer/tests/packed.rs
+++ b/crates/wire/src/peer/tests/packed.rs
@@ -7,7 +7,7 @@
 use crate::peer::Packed;
 
 #[test]
-fn small_messages_stay_plain() {
+fn small_messages_are_not_compressed() {
     let packed = Packed::pack(&pull()).expect("packed");
     assert!(matches!(packed, Packed::Plain(_)));
     assert_eq!(packed.unpack::<PeerMessage>().expect("unpacked"), pull());
@@ -24,20 +24,20 @@
     assert_eq!(packed.unpack::<String>().expect("unpacked"), text);
 }
 
-/// A message that a faulty or hostile peer sends.
+/// A message of a faulty or hostile peer, and the expected reason of its rejection.
 #[derive(Debug)]
-struct Hostile {
+struct HostileMessage {
     packed: Packed,
     reason: &'static str,
 }
 
-/// Few bytes that unfold to more than any message may have.
-fn bomb() -> Packed {
+/// A few bytes that decompress to more than the largest message.
+fn decompression_bomb() -> Packed {
     let zeros = vec![0; MAX_MESSAGE_BYTES * 8];
     Packed::Zstd(zstd::bulk::compress(&zeros, 19).expect("compressed").into())
 }
 
-fn cut_short() -> Packed {
+fn truncated() -> Packed {
     let text = "workshop-desk ".repeat(10_000);
     match Packed::pack(&text).expect("packed") {
         Packed::Zstd(bytes) => Packed::Zstd(bytes.slice(..bytes.len() / 2)),
@@ -46,26 +46,26 @@
 }
 
 #[rstest]
-#[case::bomb(Hostile { packed: bomb(), reason: "a message over" })]
-#[case::too_large(Hostile {
+#[case::bomb(HostileMessage { packed: decompression_bomb(), reason: "message larger than" })]
+#[case::too_large(HostileMessage {
     packed: Packed::Plain(vec![0; MAX_MESSAGE_BYTES + 1].into()),
-    reason: "a message over",
+    reason: "message larger than",
 })]
-#[case::cut_short(Hostile { packed: cut_short(), reason: "can't decompress" })]
-#[case::not_compressed(Hostile {
+#[case::truncated(HostileMessage { packed: truncated(), reason: "can't decompress" })]
+#[case::not_compressed(HostileMessage {
     packed: Packed::Zstd(Bytes::from_static(b"plain")),
     reason: "can't decompress",
 })]
-#[case::empty(Hostile { packed: Packed::Plain(Bytes::new()), reason: "can't decode" })]
-#[case::unknown_kind(Hostile {
+#[case::empty(HostileMessage { packed: Packed::Plain(Bytes::new()), reason: "can't decode" })]
+#[case::unknown_kind(HostileMessage {
     packed: Packed::Plain(Bytes::from_static(&[200, 1])),
     reason: "can't decode",
 })]
-#[case::more_after_it(Hostile {
+#[case::trailing_bytes(HostileMessage {
     packed: Packed::Plain(Bytes::from_static(&[2, 0, 0, 9, 9])),
-    reason: "2 bytes after the message",
+    reason: "2 trailing bytes after the message",
 })]
-fn hostile_messages_are_refused(#[case] case: Hostile) {
+fn hostile_messages_are_rejected(#[case] case: HostileMessage) {
     let err = case.packed.unpack::<PeerMessage>().expect_err("hostile");
     let text = err.to_string();
     assert!(text.starts_with("codec"), "{text}");
--- a/crates/wire/src/peer/tests/support.rs
+++ b/crates/wire/src/peer/tests/support.rs
@@ -1,4 +1,4 @@
-//! A node's side of the wire that remembers what reached it.
+//! A peer server that records the messages it receives, and a firewall in front of it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,14 +23,14 @@
 use crate::peer::PeerLimits;
 use crate::peer::PeerServer;
 
-/// What reached a server.
+/// Messages and faults received by a server.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Seen {
+pub(super) struct Received {
     messages: Arc<Mutex<Vec<InstanceId>>>,
     faults: Arc<Mutex<Vec<String>>>,
 }
 
-impl Seen {
+impl Received {
     pub(super) fn messages(&self) -> usize {
         self.messages.lock().expect("messages").len()
     }
@@ -40,7 +40,7 @@
     }
 }
 
-impl PeerHandler for Seen {
+impl PeerHandler for Received {
     async fn answer(&self, from: InstanceId, _: PeerMessage) -> PeerReply {
         self.messages.lock().expect("messages").push(from);
         PeerReply::Heads(Some(Heads::default()))
@@ -53,43 +53,43 @@
 
 /// A server that runs until it is dropped.
 #[derive(Debug)]
-pub(super) struct Served {
+pub(super) struct TestServer {
     pub(super) addr: SocketAddr,
-    pub(super) seen: Seen,
+    pub(super) received: Received,
     pub(super) bytes: Arc<SocketBytes>,
     cancel: CancellationToken,
 }
 
-impl Served {
-    pub(super) async fn start(limits: PeerLimits) -> Served {
+impl TestServer {
+    pub(super) async fn start(limits: PeerLimits) -> TestServer {
         let addr = "127.0.0.1:0".parse().expect("an address");
-        Served::start_at(addr, limits).await
+        TestServer::start_at(addr, limits).await
     }
 
-    pub(super) async fn start_at(addr: SocketAddr, limits: PeerLimits) -> Served {
+    pub(super) async fn start_at(addr: SocketAddr, limits: PeerLimits) -> TestServer {
         let listener = TcpListener::bind(addr).await.expect("a listener");
         let addr = listener.local_addr().expect("its address");
-        let seen = Seen::default();
+        let received = Received::default();
         let bytes = Arc::new(SocketBytes::default());
         let cancel = CancellationToken::new();
-        let server = PeerServer::new(seen.clone(), limits, Arc::clone(&bytes));
+        let server = PeerServer::new(received.clone(), limits, Arc::clone(&bytes));
         tokio::spawn(server.serve(listener, cancel.clone()));
-        Served {
+        TestServer {
             addr,
-            seen,
+            received,
             bytes,
             cancel,
         }
     }
 }
 
-impl Drop for Served {
+impl Drop for TestServer {
     fn drop(&mut self) {
         self.cancel.cancel();
     }
 }
 
-pub(super) fn me() -> InstanceId {
+pub(super) fn own_id() -> InstanceId {
     InstanceId::new("wd-1").expect("a name")
 }
 
@@ -100,67 +100,72 @@
     })
 }
 
-/// Waits until `reached` holds, for ten seconds at most.
-pub(super) async fn until(reached: impl Fn() -> bool) {
+/// Waits until `condition` is true, for at most ten seconds.
+pub(super) async fn wait_until(condition: impl Fn() -> bool) {
     for _ in 0..2_000 {
-        if reached() {
+        if condition() {
             return;
         }
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
-    panic!("it didn't come true within ten seconds");
+    panic!("the condition did not become true within ten seconds");
 }
 
-/// A way to a server whose open connections can fall silent for good, as behind a
-/// firewall that has forgotten them, while new ones work.
+/// A proxy to a server that can stop forwarding the open connections without closing them
+/// while new ones work, like a firewall that has dropped its connection state.
 #[derive(Debug)]
-pub(super) struct Firewall {
+pub(super) struct StatefulFirewall {
     pub(super) addr: SocketAddr,
-    /// Connections up to this number carry nothing any more.
-    forgotten: watch::Sender<usize>,
+    /// Connections up to this number are no longer forwarded.
+    dropped_up_to: watch::Sender<usize>,
     opened: Arc<AtomicUsize>,
 }
 
-impl Firewall {
-    pub(super) async fn start(to: SocketAddr) -> Firewall {
+impl StatefulFirewall {
+    pub(super) async fn start(to: SocketAddr) -> StatefulFirewall {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let addr = listener.local_addr().expect("its address");
-        let (forgotten, rx) = watch::channel(0);
+        let (dropped_up_to, rx) = watch::channel(0);
         let opened = Arc::new(AtomicUsize::new(0));
         let count = Arc::clone(&opened);
         tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
                 let number = count.fetch_add(1, Ordering::SeqCst) + 1;
-                tokio::spawn(carry(near, to, number, rx.clone()));
+                tokio::spawn(forward(near, to, number, rx.clone()));
             }
         });
-        Firewall {
+        StatefulFirewall {
             addr,
-            forgotten,
+            dropped_up_to,
             opened,
         }
     }
 
-    /// Lets the connections that are open now fall silent.
-    pub(super) fn forget_open(&self) {
-        self.forgotten.send_replace(self.opened());
+    /// Stops forwarding the connections that are open now.
+    pub(super) fn drop_open_connections(&self) {
+        self.dropped_up_to.send_replace(self.opened());
     }
 
-    /// How many connections were opened so far.
+    /// The number of connections opened so far.
     pub(super) fn opened(&self) -> usize {
         self.opened.load(Ordering::SeqCst)
     }
 }
 
-async fn carry(mut near: TcpStream, to: SocketAddr, number: usize, mut rx: watch::Receiver<usize>) {
+async fn forward(
+    mut near: TcpStream,
+    to: SocketAddr,
+    number: usize,
+    mut rx: watch::Receiver<usize>,
+) {
     let mut far = TcpStream::connect(to).await.expect("a server");
-    let forgotten = async { rx.wait_for(|upto| number <= *upto).await.is_ok() };
-    let is_forgotten = tokio::select! {
+    let dropped = async { rx.wait_for(|up_to| number <= *up_to).await.is_ok() };
+    let is_dropped = tokio::select! {
         _ = tokio::io::copy_bidirectional(&mut near, &mut far) => false,
-        is_forgotten = forgotten => is_forgotten,
+        is_dropped = dropped => is_dropped,
     };
-    if is_forgotten {
-        // Both ends stay open.
+    if is_dropped {
+        // Both sockets stay open.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/wire/src/peer/transport.rs
+++ b/crates/wire/src/peer/transport.rs
@@ -1,4 +1,4 @@
-//! Frames on a counted connection.
+//! Framed transport over a counted connection.
 
 use std::sync::Arc;
 
@@ -17,13 +17,14 @@
 use crate::Counted;
 use crate::SocketBytes;
 
-/// The largest frame: a message that doesn't compress, and its envelope.
+/// The largest frame in bytes: an uncompressed message of the largest size and its
+/// envelope.
 pub(super) const MAX_FRAME_BYTES: usize = MAX_MESSAGE_BYTES + 4 * 1024;
 
-/// Puts frames of bounded size on a connection.
+/// A transport of frames of bounded size over a connection.
 ///
-/// A peer that announces a larger frame loses its connection before a byte of
-/// the frame is stored.
+/// If a peer announces a larger frame, its connection is closed before any byte of the
+/// frame is stored.
 pub(super) fn framed<Item, SinkItem>(
     io: TcpStream,
     bytes: Arc<SocketBytes>,
@@ -32,9 +33,9 @@
     Item: for<'de> Deserialize<'de>,
     SinkItem: Serialize,
 {
-    // Small messages must not wait for the acknowledgement of the one before.
+    // Without `TCP_NODELAY`, a small message waits for the previous one's acknowledgement.
     io.set_nodelay(true)
-        .map_err(|cause| Error::new(Step::Connect, "can't set up").with_cause(cause))?;
+        .map_err(|cause| Error::new(Step::Connect, "can't set TCP_NODELAY").with_cause(cause))?;
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME_BYTES)
         .new_codec();
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -1,21 +1,20 @@
-//! Reading the platform: HTTP/1.1, one call a read, a bounded wait for
-//! something newer.
+//! Reading the platform over HTTP/1.1, with one call per read and a bounded long poll.
 
 pub use self::client::PlatformClient;
-pub use self::get::Fetched;
-pub use self::get::HttpGet;
+pub use self::http_get::HttpGetClient;
+pub use self::http_get::HttpResponse;
 pub use self::source::Source;
 pub use self::source::SourceAsk;
 
-mod answer;
 mod client;
-mod get;
+mod http_get;
+mod response;
 mod source;
 #[cfg(test)]
 mod tests;
 
-/// The largest value that the platform holds, in bytes.
+/// The largest value on the platform, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-/// The most instances that a list may have.
+/// The most instances in a list.
 pub const MAX_INSTANCES: usize = 20_000;
--- a/crates/wire/src/platform/client.rs
+++ b/crates/wire/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's own protocol.
+//! Client of the platform's native protocol.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,45 +13,45 @@
 use sassafrasspool_core::SourceResult;
 use sassafrasspool_core::Stream;
 
-use super::HttpGet;
+use super::HttpGetClient;
 use super::MAX_VALUE_BYTES;
 use super::Source;
 use super::SourceAsk;
-use super::answer;
+use super::response;
 use crate::SocketBytes;
 
-/// How long an answer may take, beyond the time that the platform was asked
-/// to wait for something newer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a response, in addition to the wait of the long poll.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reads the platform, over at most one connection for each stream.
+/// Reads the platform over at most one connection per stream.
 #[derive(Debug)]
 pub struct PlatformClient {
-    streams: [HttpGet; Stream::ALL.len()],
+    streams: [HttpGetClient; Stream::ALL.len()],
 }
 
 impl PlatformClient {
-    /// A client of the platform at `addr`, whose bytes are counted in `bytes`.
+    /// A client of the platform at `addr`. The bytes of its connections are counted in
+    /// `bytes`.
     pub fn new(addr: SocketAddr, bytes: Arc<SocketBytes>) -> PlatformClient {
-        let get = || HttpGet::new(addr, Arc::clone(&bytes), MAX_VALUE_BYTES);
+        let client = || HttpGetClient::new(addr, Arc::clone(&bytes), MAX_VALUE_BYTES);
         PlatformClient {
-            streams: [get(), get()],
+            streams: [client(), client()],
         }
     }
 
-    /// Reads a stream once: one call on the platform's count.
+    /// Reads a stream once. The platform counts one call.
     ///
-    /// With `after`, the platform is asked to hold the call up to `wait` until
-    /// it has something newer. Whatever goes wrong is a result like others,
-    /// since the reader goes on with what it holds.
+    /// With `after`, the call is a long poll: the platform delays the response for up to
+    /// `wait` until it has something newer. Failures are returned as results, since the
+    /// reader continues with the version in force.
     pub async fn read(
         &self,
         stream: Stream,
         after: Option<Revision>,
         wait: Duration,
     ) -> SourceResult {
-        let read = self.try_read(stream, after, wait).await;
-        read.unwrap_or_else(|err| SourceResult::Failed {
+        let result = self.try_read(stream, after, wait).await;
+        result.unwrap_or_else(|err| SourceResult::Failed {
             reason: err.to_string(),
         })
     }
@@ -62,19 +62,24 @@
         after: Option<Revision>,
         wait: Duration,
     ) -> Result<SourceResult> {
-        let get = &self.streams[stream as usize];
+        let client = &self.streams[stream as usize];
         let mut uri = format!("/v1/{stream}");
         if let Some(after) = after {
             uri.push_str(&format!("?after={after}&wait_ms={}", wait.as_millis()));
         }
-        let coding = (ACCEPT_ENCODING, HeaderValue::from_static(answer::CODING));
-        let fetched = get.get(&uri, Some(coding), wait + ANSWER_LIMIT).await?;
-        answer::read(stream, &fetched).map_err(|err| err.at_peer(get.addr()))
+        let coding = (
+            ACCEPT_ENCODING,
+            HeaderValue::from_static(response::CONTENT_CODING),
+        );
+        let res = client
+            .get(&uri, Some(coding), wait + RESPONSE_TIMEOUT)
+            .await?;
+        response::decode(stream, &res).map_err(|err| err.at_peer(client.addr()))
     }
 }
 
 impl Source for PlatformClient {
-    fn read(&self, ask: SourceAsk) -> BoxFuture<'_, SourceResult> {
-        PlatformClient::read(self, ask.stream, ask.after, ask.wait).boxed()
+    fn read(&self, req: SourceAsk) -> BoxFuture<'_, SourceResult> {
+        PlatformClient::read(self, req.stream, req.after, req.wait).boxed()
     }
 }
--- a/crates/wire/src/platform/source.rs
+++ b/crates/wire/src/platform/source.rs
@@ -1,4 +1,4 @@
-//! Reading the platform, whatever it speaks.
+//! Reads of the platform, independent of its protocol.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -15,28 +15,28 @@
 /// One read of a stream.
 #[derive(Debug, Clone)]
 pub struct SourceAsk {
-    /// What to read.
+    /// The stream to read.
     pub stream: Stream,
-    /// Only answer with something newer than this; absent: with whatever is
-    /// newest.
+    /// The answer must be newer than this revision; if absent, the newest is
+    /// returned.
     pub after: Option<Revision>,
-    /// How long the platform may hold the call until there is something newer.
+    /// How long the platform may delay the answer until there is something newer.
     pub wait: Duration,
-    /// How new the answer has to be. A platform that has no cheaper answers gives
+    /// How recent the answer has to be. A platform without cheaper, older answers returns
     /// the newest.
     pub freshness: Freshness,
-    /// The instance list that is held, for platforms that publish changes.
+    /// The stored instance list, for platforms that publish changes.
     pub list: Option<Arc<InstanceList>>,
-    /// The same of the catalogue.
+    /// The stored catalogue, for platforms that publish changes.
     pub catalogue: Option<Arc<Catalogue>>,
 }
 
-/// What publishes the catalogue and the instance list.
+/// The publisher of the catalogue and the instance list.
 ///
-/// Each protocol of a platform is one implementation; a node has one of them
-/// and nothing else speaks to its platform.
+/// Each platform protocol is one implementation. A node has one of them, and only this
+/// one communicates with its platform.
 pub trait Source: Debug + Send + Sync {
-    /// Reads a stream once. Whatever goes wrong is a result like others, since
-    /// the reader goes on with what it holds.
-    fn read(&self, ask: SourceAsk) -> BoxFuture<'_, SourceResult>;
+    /// Reads a stream once. Failures are returned as results, since the reader continues
+    /// with the version in force.
+    fn read(&self, req: SourceAsk) -> BoxFuture<'_, SourceResult>;
 }
--- a/crates/wire/src/platform/tests.rs
+++ b/crates/wire/src/platform/tests.rs
@@ -14,8 +14,9 @@
 use super::PlatformClient;
 use crate::SocketBytes;
 
-/// Takes one connection, reads a request's head, writes `answer` and closes.
-async fn answering(answer: String) -> SocketAddr {
+/// Starts a server that accepts one connection, reads a request's head, writes `response`
+/// and closes the connection. Returns its address.
+async fn serve_once(response: String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let addr = listener.local_addr().expect("its address");
     tokio::spawn(async move {
@@ -24,8 +25,8 @@
         while !head.ends_with(b"\r\n\r\n") {
             head.push(io.read_u8().await.expect("a request"));
         }
-        // The client may have closed already.
-        let _ = io.write_all(answer.as_bytes()).await;
+        // The client may have closed the connection already.
+        let _ = io.write_all(response.as_bytes()).await;
     });
     addr
 }
@@ -35,109 +36,109 @@
     client.read(stream, None, Duration::ZERO).await
 }
 
-fn http(status: &str, headers: &str, body: &str) -> String {
+fn http_response(status: &str, headers: &str, body: &str) -> String {
     let len = body.len();
     format!("HTTP/1.1 {status}\r\n{headers}content-length: {len}\r\n\r\n{body}")
 }
 
-/// An answer of the platform and what is made of it.
+/// A response of the platform and a part of the expected result.
 #[derive(Debug)]
-struct Answer {
+struct Case {
     stream: Stream,
-    text: String,
+    response: String,
     result: &'static str,
 }
 
 #[rstest]
-#[case::catalogue(Answer {
+#[case::catalogue(Case {
     stream: Stream::Catalogue,
-    text: http("200 OK", "x-revision: 7\r\n", "kinds: {}"),
+    response: http_response("200 OK", "x-revision: 7\r\n", "kinds: {}"),
     result: r#"Catalogue { revision: Revision(7), text: "kinds: {}" }"#,
 })]
-#[case::instances(Answer {
+#[case::instances(Case {
     stream: Stream::Instances,
-    text: http("200 OK", "x-revision: 7\r\n", r#"{"instances":[]}"#),
+    response: http_response("200 OK", "x-revision: 7\r\n", r#"{"instances":[]}"#),
     result: "Instances { revision: Revision(7), instances: [] }",
 })]
-#[case::unchanged(Answer {
+#[case::unchanged(Case {
     stream: Stream::Catalogue,
-    text: http("304 Not Modified", "x-revision: 7\r\n", ""),
+    response: http_response("304 Not Modified", "x-revision: 7\r\n", ""),
     result: "Unchanged { newest: Some(Revision(7)) }",
 })]
-#[case::nothing(Answer {
+#[case::nothing(Case {
     stream: Stream::Catalogue,
-    text: http("404 Not Found", "", "nothing published"),
+    response: http_response("404 Not Found", "", "nothing published"),
     result: "Nothing",
 })]
-#[case::busy(Answer {
+#[case::busy(Case {
     stream: Stream::Catalogue,
-    text: http("429 Too Many Requests", "retry-after: 2\r\n", ""),
+    response: http_response("429 Too Many Requests", "retry-after: 2\r\n", ""),
     result: "Busy { retry_after: Some(2s) }",
 })]
-#[case::outage(Answer {
+#[case::outage(Case {
     stream: Stream::Catalogue,
-    text: http("503 Service Unavailable", "", "outage"),
+    response: http_response("503 Service Unavailable", "", "outage"),
     result: "Failed { reason: \"source with 127.0.0.1:",
 })]
-#[case::no_revision(Answer {
+#[case::no_revision(Case {
     stream: Stream::Catalogue,
-    text: http("200 OK", "", "kinds: {}"),
-    result: "answered without a revision",
+    response: http_response("200 OK", "", "kinds: {}"),
+    result: "response without a revision",
 })]
-#[case::revision_zero(Answer {
+#[case::revision_zero(Case {
     stream: Stream::Catalogue,
-    text: http("200 OK", "x-revision: 0\r\n", "kinds: {}"),
+    response: http_response("200 OK", "x-revision: 0\r\n", "kinds: {}"),
     result: "Failed { reason: \"check with 127.0.0.1:",
 })]
-#[case::not_text(Answer {
+#[case::not_text(Case {
     stream: Stream::Instances,
-    text: http("200 OK", "x-revision: 7\r\n", "kinds: {}"),
+    response: http_response("200 OK", "x-revision: 7\r\n", "kinds: {}"),
     result: "Malformed { revision: Revision(7), reason: \"not an instance list",
 })]
-#[case::unknown_field(Answer {
+#[case::unknown_field(Case {
     stream: Stream::Instances,
-    text: http("200 OK", "x-revision: 7\r\n", r#"{"instances":[],"more":1}"#),
+    response: http_response("200 OK", "x-revision: 7\r\n", r#"{"instances":[],"more":1}"#),
     result: "Malformed { revision: Revision(7), reason: \"not an instance list",
 })]
-#[case::too_large(Answer {
+#[case::too_large(Case {
     stream: Stream::Catalogue,
-    text: http("200 OK", "x-revision: 7\r\n", &"a".repeat(MAX_VALUE_BYTES + 1)),
-    result: "answer not whole: length limit exceeded",
+    response: http_response("200 OK", "x-revision: 7\r\n", &"a".repeat(MAX_VALUE_BYTES + 1)),
+    result: "response incomplete: length limit exceeded",
 })]
-#[case::cut_short(Answer {
+#[case::truncated_body(Case {
     stream: Stream::Catalogue,
-    text: "HTTP/1.1 200 OK\r\nx-revision: 7\r\ncontent-length: 9\r\n\r\nkinds".to_owned(),
-    result: "answer not whole",
+    response: "HTTP/1.1 200 OK\r\nx-revision: 7\r\ncontent-length: 9\r\n\r\nkinds".to_owned(),
+    result: "response incomplete",
 })]
-#[case::endless_head(Answer {
+#[case::endless_head(Case {
     stream: Stream::Catalogue,
-    text: format!("HTTP/1.1 200 OK\r\nx-a: {}\r\n\r\n", "a".repeat(1024 * 1024)),
+    response: format!("HTTP/1.1 200 OK\r\nx-a: {}\r\n\r\n", "a".repeat(1024 * 1024)),
     result: "Failed { reason: \"source with 127.0.0.1:",
 })]
-#[case::unknown_coding(Answer {
+#[case::unknown_coding(Case {
     stream: Stream::Catalogue,
-    text: http("200 OK", "x-revision: 7\r\ncontent-encoding: br\r\n", "kinds: {}"),
-    result: "answered in the coding",
+    response: http_response("200 OK", "x-revision: 7\r\ncontent-encoding: br\r\n", "kinds: {}"),
+    result: "unsupported content coding",
 })]
-#[case::not_as_coded(Answer {
+#[case::body_not_in_its_coding(Case {
     stream: Stream::Catalogue,
-    text: http("200 OK", "x-revision: 7\r\ncontent-encoding: zstd\r\n", "kinds: {}"),
-    result: "answer not as coded",
+    response: http_response("200 OK", "x-revision: 7\r\ncontent-encoding: zstd\r\n", "kinds: {}"),
+    result: "body doesn't match its content coding",
 })]
-#[case::garbage(Answer {
+#[case::garbage(Case {
     stream: Stream::Catalogue,
-    text: "\u{1}\u{2}\u{3}\r\n\r\n".to_owned(),
+    response: "\u{1}\u{2}\u{3}\r\n\r\n".to_owned(),
     result: "Failed { reason: \"source with 127.0.0.1:",
 })]
 #[tokio::test]
-async fn answers_are_read_or_refused(#[case] case: Answer) {
-    let addr = answering(case.text).await;
+async fn responses_are_decoded_or_rejected(#[case] case: Case) {
+    let addr = serve_once(case.response).await;
     let result = format!("{:?}", read(addr, case.stream).await);
     assert!(result.contains(case.result), "{result}");
 }
 
 #[tokio::test]
-async fn unreachable_platform_is_named() {
+async fn error_names_an_unreachable_platform() {
     let closed = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let addr = closed.local_addr().expect("its address");
     drop(closed);
@@ -152,26 +153,26 @@
 }
 
 #[tokio::test]
-async fn watch_says_what_is_held_and_how_long_to_wait() {
+async fn watch_sends_the_stored_revision_and_the_wait() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let addr = listener.local_addr().expect("its address");
-    let asked = tokio::spawn(async move {
+    let server = tokio::spawn(async move {
         let (mut io, _) = listener.accept().await.expect("a connection");
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             head.push(io.read_u8().await.expect("a request"));
         }
-        let answer = http("304 Not Modified", "x-revision: 7\r\n", "");
-        io.write_all(answer.as_bytes()).await.expect("written");
-        (String::from_utf8(head).expect("text"), answer.len())
+        let response = http_response("304 Not Modified", "x-revision: 7\r\n", "");
+        io.write_all(response.as_bytes()).await.expect("written");
+        (String::from_utf8(head).expect("text"), response.len())
     });
     let bytes = Arc::new(SocketBytes::default());
     let client = PlatformClient::new(addr, Arc::clone(&bytes));
-    let held = Revision::new(7).expect("a revision");
+    let stored = Revision::new(7).expect("a revision");
     let wait = Duration::from_secs(5);
-    client.read(Stream::Instances, Some(held), wait).await;
-    let (head, answered) = asked.await.expect("asked");
+    client.read(Stream::Instances, Some(stored), wait).await;
+    let (head, response_bytes) = server.await.expect("a request");
     assert!(head.starts_with("GET /v1/instances?after=7&wait_ms=5000 HTTP/1.1\r\n"));
     assert_eq!(bytes.written(), head.len() as u64);
-    assert_eq!(bytes.read(), answered as u64);
+    assert_eq!(bytes.read(), response_bytes as u64);
 }
--- a/crates/wire/src/socket.rs
+++ b/crates/wire/src/socket.rs
@@ -1,15 +1,14 @@
-//! Bytes as the sockets see them.
+//! Sockets with byte counters and keep-alive.
 //!
-//! Messages carry more than their content: frames, trace contexts, deadlines.
-//! The bytes are counted where they are read and written, so that all of it
-//! shows.
+//! Messages carry more than their content: frames, trace contexts, deadlines. Bytes are
+//! counted where the socket is read and written, so that the counts include all of it.
 
 pub use self::bytes::SocketBytes;
-pub use self::keep_alive::keep_alive;
-pub use self::tapped::Counted;
-pub use self::tapped::Tap;
-pub use self::tapped::Tapped;
+pub use self::keep_alive::enable_keep_alive;
+pub use self::observed::Counted;
+pub use self::observed::Tap;
+pub use self::observed::Tapped;
 
 mod bytes;
 mod keep_alive;
-mod tapped;
+mod observed;
--- a/crates/wire/src/socket/bytes.rs
+++ b/crates/wire/src/socket/bytes.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Bytes read from and written to all sockets that share this.
+/// Bytes read from and written to all sockets that share these counters.
 #[derive(Debug, Default)]
 pub struct SocketBytes {
     read: AtomicU64,
--- a/crates/wire/src/socket/keep_alive.rs
+++ b/crates/wire/src/socket/keep_alive.rs
@@ -1,4 +1,4 @@
-//! Noticing connections that have died without a word.
+//! Detection of connections that ended without a reset.
 
 use std::io;
 use std::time::Duration;
@@ -10,35 +10,36 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a connection is silent before it is probed.
+/// Idle time after which a connection is probed.
 const PROBE_AFTER: Duration = Duration::from_secs(1);
 
-/// Time between two probes: the system counts in whole seconds.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+/// Time between two probes. The system's unit is whole seconds.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which the connection counts as dead. A lost probe costs
-/// a connection and a read more; a second one would leave no time to spread what was missed.
-const PROBES: u32 = 1;
+/// Unanswered probes after which the connection counts as dead. A single lost probe costs
+/// one more connection and one more read. A second probe would leave no time to
+/// disseminate the changes that were missed.
+const MAX_UNANSWERED_PROBES: u32 = 1;
 
-/// How long sent bytes may stay without an acknowledgement. Packets that are
-/// lost once are sent again within half a second.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
+/// How long sent bytes may stay unacknowledged. A packet that is lost once is
+/// retransmitted within half a second.
+const MAX_UNACKNOWLEDGED: Duration = Duration::from_secs(2);
 
-/// Has the system probe a connection while it is silent.
+/// Enables TCP keep-alive probes on a connection.
 ///
-/// A peer that loses power, or a network that drops a connection's packets,
-/// sends no reset: whoever waits for an answer there would wait for ever. The
-/// connection ends about two seconds after its last sign of life.
+/// A peer that loses power, or a network that drops a connection's packets, sends no
+/// reset, and a read of the answer would wait for ever. With these options the connection
+/// ends about two seconds after the last packet from the peer.
 ///
 /// # Errors
 ///
-/// Fails if the system refuses the options.
-pub fn keep_alive(stream: &TcpStream) -> io::Result<()> {
+/// Fails if the system rejects the options.
+pub fn enable_keep_alive(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
         .with_time(PROBE_AFTER)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
+        .with_interval(PROBE_INTERVAL)
+        .with_retries(MAX_UNANSWERED_PROBES);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(MAX_UNACKNOWLEDGED))
 }
--- a/crates/wire/src/socket/keep_alive/tests.rs
+++ b/crates/wire/src/socket/keep_alive/tests.rs
@@ -4,30 +4,35 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-use super::keep_alive;
+use super::enable_keep_alive;
 
-/// How long a connection may stay silent unnoticed. Nodes count as in touch again 3 s
-/// after it fell silent, and what was missed has to reach all of them within these.
-const NOTICED_WITHIN: Duration = Duration::from_secs(2);
+/// Bounds the time until a dead connection is detected. Nodes count as in contact again
+/// 3 s after its last packet, and the missed changes have to reach all nodes within this
+/// time.
+const MAX_DETECTION_TIME: Duration = Duration::from_secs(2);
 
-/// Guards against a change that is missed for long on a connection that fell silent.
+/// Guards against a change that is missed for a long time because the connection to the
+/// platform stopped delivering packets.
 #[tokio::test]
-async fn silent_connection_is_noticed_in_time() {
+async fn dead_connection_is_detected_in_time() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let addr = listener.local_addr().expect("its address");
     let stream = TcpStream::connect(addr).await.expect("a connection");
-    keep_alive(&stream).expect("options");
+    enable_keep_alive(&stream).expect("options");
     let socket = SockRef::from(&stream);
     assert!(socket.keepalive().expect("an option"));
     let idle = socket.tcp_keepalive_time().expect("an option");
-    let every = socket.tcp_keepalive_interval().expect("an option");
+    let interval = socket.tcp_keepalive_interval().expect("an option");
     let probes = socket.tcp_keepalive_retries().expect("an option");
-    let noticed = idle + every * probes;
-    assert!(noticed <= NOTICED_WITHIN, "silent for {noticed:?}");
+    let detected = idle + interval * probes;
+    assert!(
+        detected <= MAX_DETECTION_TIME,
+        "detected after {detected:?}"
+    );
     let unacknowledged = socket.tcp_user_timeout().expect("an option");
     let unacknowledged = unacknowledged.expect("a limit");
     assert!(
-        unacknowledged <= NOTICED_WITHIN,
-        "sent for {unacknowledged:?}"
+        unacknowledged <= MAX_DETECTION_TIME,
+        "unacknowledged for {unacknowledged:?}"
     );
 }
--- a/crates/wire/src/socket/tapped.rs
+++ b/crates/wire/src/socket/observed.rs
@@ -1,4 +1,4 @@
-//! A socket that tells what goes over it.
+//! A connection that reports the bytes read and written to an observer.
 
 use std::io;
 use std::pin::Pin;
@@ -13,32 +13,32 @@
 
 use super::SocketBytes;
 
-/// What is told of the bytes of a connection.
+/// Observes the bytes of a connection.
 pub trait Tap {
-    /// These bytes were read, and whoever reads the connection gets them next.
+    /// Called with bytes that were read, before the reader of the connection gets them.
     fn read(&mut self, bytes: &[u8]);
 
-    /// So many bytes were written.
+    /// Called after `n` bytes were written.
     fn written(&mut self, n: usize);
 }
 
-/// A connection that tells what goes over it.
+/// A connection whose reads and writes are reported to an observer.
 #[derive(Debug)]
 pub struct Tapped<T, I = TcpStream> {
     io: I,
-    tap: T,
+    observer: T,
 }
 
 /// A TCP connection whose bytes are counted.
 ///
-/// A count of written bytes that didn't move proves that the other side has seen
-/// nothing of what was to be sent.
+/// If the count of written bytes did not change, the peer has received nothing of the
+/// data that was to be sent.
 pub type Counted = Tapped<Arc<SocketBytes>>;
 
 impl<T, I> Tapped<T, I> {
-    /// Tells `tap` what goes over `io`.
-    pub const fn new(io: I, tap: T) -> Tapped<T, I> {
-        Tapped { io, tap }
+    /// Reports the bytes read from and written to `io` to `observer`.
+    pub const fn new(io: I, observer: T) -> Tapped<T, I> {
+        Tapped { io, observer }
     }
 }
 
@@ -62,7 +62,7 @@
         let polled = Pin::new(&mut self.io).poll_read(cx, buf);
         let read = &buf.filled()[before..];
         if !read.is_empty() {
-            self.tap.read(read);
+            self.observer.read(read);
         }
         polled
     }
@@ -76,7 +76,7 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.io).poll_write(cx, buf);
         if let Poll::Ready(Ok(n)) = polled {
-            self.tap.written(n);
+            self.observer.written(n);
         }
         polled
     }
@@ -88,7 +88,7 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.io).poll_write_vectored(cx, bufs);
         if let Poll::Ready(Ok(n)) = polled {
-            self.tap.written(n);
+            self.observer.written(n);
         }
         polled
     }
