--- a/crates/node/src/traffic/keyed.rs
+++ b/crates/node/src/traffic/keyed.rs
@@ -1,4 +1,4 @@
-//! Requests that their caller may send again.
+//! Requests with an idempotency key, which the caller may send again.
 
 use http::HeaderMap;
 use http::HeaderValue;
@@ -13,7 +13,7 @@
 use sassafrasspool_wire::header::IDEMPOTENCY_KEY;
 use sassafrasspool_wire::header::REQUEST_ATTEMPT;
 
-/// The key of a request, and what its caller says of this attempt.
+/// The key of a request, and which attempt this is according to the caller.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Keyed {
     pub(super) key: RequestKey,
@@ -21,36 +21,36 @@
 }
 
 impl Keyed {
-    /// The key of a request to `service`, if it has one. Both the node that
-    /// looks for the owner and the owner read it from the same head.
+    /// The key of a request to `service`, if it has one. The node that looks up the
+    /// owner of the key and the owner itself derive it from the same head.
     ///
     /// # Errors
     ///
-    /// Refuses a key that is empty, too long or no text: to pass over it would
-    /// run a request again of which the caller believes that it can't.
+    /// Refuses a key that is empty, too long or not text. Ignoring such a key could run
+    /// a request twice although the caller relies on its key to prevent that.
     pub(super) fn of<B>(service: &ServiceName, req: &Request<B>) -> Result<Option<Keyed>, Refusal> {
         let Some(value) = req.headers().get(IDEMPOTENCY_KEY) else {
             return Ok(None);
         };
-        let bad = || Refusal::not_run(Step::Check, Reason::BadKey);
-        let text = value.to_str().map_err(|_| bad())?;
+        let bad_key = || Refusal::not_run(Step::Check, Reason::BadKey);
+        let text = value.to_str().map_err(|_| bad_key())?;
         let operation = format!("{} {}", req.method(), req.uri().path());
-        let key = RequestKey::new(service, &operation, text).map_err(|_| bad())?;
-        let attempt = attempt(req.headers().get(REQUEST_ATTEMPT));
+        let key = RequestKey::new(service, &operation, text).map_err(|_| bad_key())?;
+        let attempt = parse_attempt(req.headers().get(REQUEST_ATTEMPT));
         Ok(Some(Keyed { key, attempt }))
     }
 }
 
-/// Whether an attempt before this one may have run, by the caller's own word.
+/// Whether an earlier attempt may have run, by the caller's headers.
 pub(super) fn may_follow_another(headers: &HeaderMap) -> bool {
     let keyed = headers.contains_key(IDEMPOTENCY_KEY);
-    keyed && attempt(headers.get(REQUEST_ATTEMPT)) == Attempt::MayRepeat
+    keyed && parse_attempt(headers.get(REQUEST_ATTEMPT)) == Attempt::MayRepeat
 }
 
-/// What a failure of such an attempt says of the caller's request.
+/// Turns a refusal of an attempt that may follow another into one with an unknown outcome.
 ///
-/// That this attempt was not run says nothing of those before, and a caller
-/// who heard `not-run` would believe that the request never happened.
+/// That this attempt was not run shows nothing about the earlier ones. A caller that
+/// received `not-run` would conclude that the request was never run.
 pub(super) fn unknown(failure: Failure) -> Failure {
     let Failure::Refused(refusal) = failure else {
         return failure;
@@ -62,7 +62,7 @@
     }
 }
 
-fn attempt(value: Option<&HeaderValue>) -> Attempt {
+fn parse_attempt(value: Option<&HeaderValue>) -> Attempt {
     match value.map(HeaderValue::as_bytes) {
         Some(b"1") => Attempt::First,
         _ => Attempt::MayRepeat,
--- a/crates/node/src/traffic/refusal.rs
+++ b/crates/node/src/traffic/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the node's own: refusals and losses as responses, and back.
+//! Refusals and losses as responses of the node, and back.
 
 use std::time::Duration;
 
@@ -21,18 +21,18 @@
 use super::answer::Answer;
 use crate::Dialect;
 
-/// When callers are told to come back if nothing better is known.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Retry delay in refusals that have none of their own.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the body of such an answer says.
+/// The JSON body of a response to a failed request.
 #[derive(Debug, Serialize)]
-struct Told {
+struct FailureBody {
     outcome: &'static str,
     step: &'static str,
     reason: &'static str,
 }
 
-/// The answer that says that a request has none of its target.
+/// The response to a request that has no answer of its target.
 pub(super) fn respond(failure: &Failure, dialect: &Dialect) -> Response<Answer> {
     match failure {
         Failure::Refused(refusal) => respond_refused(refusal, dialect),
@@ -41,19 +41,19 @@
 }
 
 fn respond_refused(refusal: &Refusal, dialect: &Dialect) -> Response<Answer> {
-    let told = Told {
+    let body = FailureBody {
         outcome: refusal.outcome().as_str(),
         step: refusal.step().as_str(),
         reason: refusal.reason().as_str(),
     };
-    let mut res = failure_response(&told, refused_status(refusal));
-    let after = refusal.retry_after().unwrap_or(RETRY_AFTER);
+    let mut res = failure_response(&body, refused_status(refusal));
+    let after = refusal.retry_after().unwrap_or(DEFAULT_RETRY_AFTER);
     set_retry_after(res.headers_mut(), after, dialect.fractional_retry);
     res
 }
 
 fn respond_lost(loss: &Loss) -> Response<Answer> {
-    let told = Told {
+    let body = FailureBody {
         outcome: loss.outcome().as_str(),
         step: loss.step().as_str(),
         reason: loss.cause().as_str(),
@@ -62,7 +62,7 @@
         LossCause::Timeout => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
     };
-    failure_response(&told, status)
+    failure_response(&body, status)
 }
 
 fn refused_status(refusal: &Refusal) -> StatusCode {
@@ -77,23 +77,23 @@
     }
 }
 
-fn failure_response(told: &Told, status: StatusCode) -> Response<Answer> {
-    // Three short words can't fail to serialise; an empty body would still
-    // leave the outcome in its header.
-    let text = serde_json::to_string(told).unwrap_or_default();
+fn failure_response(body: &FailureBody, status: StatusCode) -> Response<Answer> {
+    // The serialisation of three short strings can't fail. With an empty body the
+    // outcome would still be in its header.
+    let text = serde_json::to_string(body).unwrap_or_default();
     let mut res = Response::new(Answer::text(text));
     *res.status_mut() = status;
     let headers = res.headers_mut();
     let json = HeaderValue::from_static("application/json");
     headers.insert(header::CONTENT_TYPE, json);
-    headers.insert(names::OUTCOME, HeaderValue::from_static(told.outcome));
-    headers.insert(names::STEP, HeaderValue::from_static(told.step));
-    headers.insert(names::REASON, HeaderValue::from_static(told.reason));
+    headers.insert(names::OUTCOME, HeaderValue::from_static(body.outcome));
+    headers.insert(names::STEP, HeaderValue::from_static(body.step));
+    headers.insert(names::REASON, HeaderValue::from_static(body.reason));
     res
 }
 
-/// Whole seconds, rounded up: a caller that comes back early meets the same.
-/// Callers that read fractions are told milliseconds.
+/// Sets the retry delay in whole seconds, rounded up: a caller that retries too early
+/// meets the same condition. Callers that read fractions receive milliseconds.
 fn set_retry_after(headers: &mut HeaderMap, after: Duration, fractional: bool) {
     let millis = after.as_millis().max(1);
     let secs = u64::try_from(millis.div_ceil(1_000)).unwrap_or(u64::MAX);
@@ -101,19 +101,19 @@
         true => HeaderValue::try_from(format!("{}.{:03}", millis / 1_000, millis % 1_000)),
         false => Ok(HeaderValue::from(secs)),
     };
-    // Digits and a point make a value.
+    // Digits and a point are a valid header value.
     if let Ok(value) = value {
         headers.insert(header::RETRY_AFTER, value);
     }
 }
 
-/// Reads what another node said instead of an answer of its target; nothing if
-/// the answer is the target's.
+/// The failure that another node sent in place of an answer of its target; `None` if the
+/// answer is the target's.
 pub(super) fn failure_of<B>(res: &Response<B>) -> Option<Failure> {
     let headers = res.headers();
     let outcome = names::outcome(headers)?;
     let reason = text(headers, &names::REASON).and_then(Reason::from_name);
-    // A reason that this version doesn't know proves nothing.
+    // A reason that is unknown to this version proves nothing about the request.
     let Some(reason) = reason else {
         return Some(Loss::new(Step::Forward, peer_cause(res.status())).into());
     };
--- a/crates/node/src/traffic/stages.rs
+++ b/crates/node/src/traffic/stages.rs
@@ -1,4 +1,4 @@
-//! How long the stages of requests take.
+//! Latency histograms of the stages of requests.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,43 +9,43 @@
 
 use crate::metrics::traffic;
 
-/// One stage's times by class; made once, since looking a histogram up by its
-/// name costs more than counting.
-pub(super) struct Stage([Histogram; Class::ALL.len()]);
+/// The latencies of one stage by class. The histograms are created once, because the
+/// lookup of a histogram by name costs more than recording a value.
+pub(super) struct StageHistograms([Histogram; Class::ALL.len()]);
 
 /// The stages that are timed.
 #[derive(Debug)]
 pub(super) struct Stages {
     /// From a request's arrival at its first node to the head of its answer.
-    pub(super) whole: Stage,
-    /// Waiting for a slot beside the target.
-    pub(super) queue: Stage,
+    pub(super) whole: StageHistograms,
+    /// The wait for a slot of the target.
+    pub(super) queue: StageHistograms,
     /// From the hand-over to the target to the head of its answer.
-    pub(super) target: Stage,
+    pub(super) target: StageHistograms,
 }
 
 impl Stages {
     pub(super) fn new() -> Stages {
         Stages {
-            whole: Stage::new(traffic::WHOLE),
-            queue: Stage::new(traffic::QUEUE),
-            target: Stage::new(traffic::TARGET),
+            whole: StageHistograms::new(traffic::WHOLE),
+            queue: StageHistograms::new(traffic::QUEUE),
+            target: StageHistograms::new(traffic::TARGET),
         }
     }
 }
 
-impl Stage {
-    fn new(name: &'static str) -> Stage {
-        Stage(Class::ALL.map(|class| histogram!(name, "class" => class.as_str())))
+impl StageHistograms {
+    fn new(name: &'static str) -> StageHistograms {
+        StageHistograms(Class::ALL.map(|class| histogram!(name, "class" => class.as_str())))
     }
 
-    /// Takes in how long a request of that class took.
-    pub(super) fn took(&self, class: Class, time: Duration) {
-        self.0[class.index()].record(time.as_secs_f64());
+    /// Records the latency of a request of that class.
+    pub(super) fn took(&self, class: Class, latency: Duration) {
+        self.0[class.index()].record(latency.as_secs_f64());
     }
 }
 
-impl fmt::Debug for Stage {
+impl fmt::Debug for StageHistograms {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Stage")
     }
