--- a/crates/node/src/traffic/bodies.rs
+++ b/crates/node/src/traffic/bodies.rs
@@ -1,4 +1,4 @@
-//! Room for bodies of requests that are held.
+//! Memory for request bodies that are buffered.
 
 use std::sync::Arc;
 
@@ -11,33 +11,34 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes that are counted as one.
-const UNIT: u64 = 1_024;
+/// Bytes of one unit, in which the memory is counted.
+const UNIT_BYTES: u64 = 1_024;
 
-/// The memory that bodies of requests may take on one node.
+/// The memory that buffered request bodies may take on one node.
 #[derive(Debug)]
 pub(super) struct Bodies(Arc<Semaphore>);
 
-/// The room that one body takes, given back when the last copy is gone.
+/// The memory reserved for one body, released when the last clone is dropped.
 #[derive(Debug, Clone)]
-pub(super) struct Room(
+pub(super) struct MemoryReservation(
     #[expect(dead_code, reason = "held for its drop")] Arc<OwnedSemaphorePermit>,
 );
 
 impl Bodies {
-    /// Room for [`MAX_HELD_BYTES`], all of it free.
+    /// Memory of [`MAX_HELD_BYTES`], all of it free.
     pub(super) fn new() -> Bodies {
-        let units = usize::try_from(MAX_HELD_BYTES / UNIT);
+        let units = usize::try_from(MAX_HELD_BYTES / UNIT_BYTES);
         Bodies(Arc::new(Semaphore::new(units.unwrap_or(0))))
     }
 
-    /// Room for a body of that size, if it isn't too large and there is some.
-    pub(super) fn room(&self, bytes: u64) -> Option<Room> {
+    /// Reserves memory for a body of that size. Returns `None` if the body is too large or
+    /// there is not enough free memory.
+    pub(super) fn reserve(&self, bytes: u64) -> Option<MemoryReservation> {
         if bytes > MAX_REPLAY_BYTES {
             return None;
         }
-        let units = u32::try_from(bytes.div_ceil(UNIT)).ok()?;
-        let room = Arc::clone(&self.0).try_acquire_many_owned(units).ok()?;
-        Some(Room(Arc::new(room)))
+        let units = u32::try_from(bytes.div_ceil(UNIT_BYTES)).ok()?;
+        let permit = Arc::clone(&self.0).try_acquire_many_owned(units).ok()?;
+        Some(MemoryReservation(Arc::new(permit)))
     }
 }
--- a/crates/node/src/traffic/content.rs
+++ b/crates/node/src/traffic/content.rs
@@ -1,4 +1,4 @@
-//! What a request asks for.
+//! The content of a request, independent of its sender.
 
 use http::Request;
 use sassafrasspool_core::Content;
@@ -6,16 +6,19 @@
 use super::head;
 use super::payload::Payload;
 
-/// What a request asks for, whoever sends it.
+/// The content of a request, whoever sends it.
 ///
-/// A body that isn't held is passed on as it comes, so that its length stands for it.
+/// A body that isn't buffered is forwarded while it is received. Its length is used in
+/// place of its bytes.
 pub(super) fn of(req: &Request<Payload>) -> Content {
     let uri = req.uri();
     let host = head::host(req).unwrap_or_default();
     let method = req.method().as_str();
-    let with = |body: &[u8]| Content::of(method, host, uri.path(), uri.query(), body);
+    let with_body = |body: &[u8]| Content::of(method, host, uri.path(), uri.query(), body);
     match req.body() {
-        Payload::Held(held) => with(held.bytes()),
-        Payload::Stream { .. } => with(format!("{:?} bytes", req.body().to_come()).as_bytes()),
+        Payload::Buffered(body) => with_body(body.bytes()),
+        Payload::Stream { .. } => {
+            with_body(format!("{:?} bytes", req.body().streamed_bytes()).as_bytes())
+        }
     }
 }
--- a/crates/node/src/traffic/inbound/access_log.rs
+++ b/crates/node/src/traffic/inbound/access_log.rs
@@ -1,4 +1,4 @@
-//! The log's line of one request on the node beside its target.
+//! The log line of a request on the target's node.
 
 use http::HeaderValue;
 use http::Response;
@@ -23,61 +23,61 @@
 use crate::traffic::missed::Missed;
 use crate::traffic::worker::Worker;
 
-/// What the line tells besides the request's end.
+/// What the log line contains besides the id and the outcome of the request.
 #[derive(Debug)]
 pub(in crate::traffic) struct Facts {
     pub(in crate::traffic) class: Class,
     pub(in crate::traffic) kind: Option<KindName>,
     pub(in crate::traffic) content: Option<Content>,
-    pub(in crate::traffic) life: Option<HeaderValue>,
+    pub(in crate::traffic) generation: Option<HeaderValue>,
     pub(in crate::traffic) deadline: Deadline,
-    /// Until when the answer is worth most.
-    pub(in crate::traffic) aim: Option<Tick>,
-    /// The revision of the list in force.
-    pub(in crate::traffic) list: u64,
+    /// The soft deadline: until then the answer is worth most.
+    pub(in crate::traffic) soft_deadline: Option<Tick>,
+    /// The revision of the instance list in force.
+    pub(in crate::traffic) list_revision: u64,
 }
 
-/// What happens to a request beside its target.
+/// Writes the log line of a request on the target's node.
 ///
-/// A request whose task is dropped, as when its caller leaves while it waits or
-/// runs, has its line as well: it is written when this is dropped without an
-/// end.
+/// The task of a request is dropped if its caller disconnects while the request
+/// is queued or runs. Such a request is logged as well: its line is written when
+/// this is dropped without an outcome.
 #[derive(Debug)]
-pub(in crate::traffic) struct BesideTrail<'a> {
+pub(in crate::traffic) struct InboundLogEntry<'a> {
     worker: &'a Worker,
     facts: Facts,
-    /// Nothing if nothing is written, or everything is.
+    /// The request id; `None` if the log is disabled or the line is written.
     id: Option<HeaderValue>,
-    begun: Tick,
+    started: Tick,
 }
 
-impl<'a> BesideTrail<'a> {
+impl<'a> InboundLogEntry<'a> {
     pub(in crate::traffic) fn new(
         worker: &'a Worker,
         facts: Facts,
         id: Option<HeaderValue>,
-    ) -> BesideTrail<'a> {
+    ) -> InboundLogEntry<'a> {
         let shared = &worker.hub.shared;
-        BesideTrail {
+        InboundLogEntry {
             worker,
             facts,
             id: id.filter(|_| !shared.log().is_silent()),
-            begun: shared.clock().now(),
+            started: shared.clock().now(),
         }
     }
 
-    /// Tells how the request ended.
-    pub(in crate::traffic) fn end(mut self, ran: &Result<Response<Answer>, Missed>) {
-        let (rank, how) = match ran {
+    /// Writes the line with the outcome of the request.
+    pub(in crate::traffic) fn finish(mut self, result: &Result<Response<Answer>, Missed>) {
+        let (rank, outcome) = match result {
             Ok(_) => (Rank::Success, Told::ANSWERED),
             Err(missed) => (Rank::Failure, (&missed.failure).into()),
         };
-        let status = ran.as_ref().ok().map(|res| res.status().as_u16());
-        self.write(rank, how, status);
+        let status = result.as_ref().ok().map(|res| res.status().as_u16());
+        self.write(rank, outcome, status);
         self.id = None;
     }
 
-    fn write(&self, rank: Rank, how: Told, status: Option<u16>) {
+    fn write(&self, rank: Rank, outcome: Told, status: Option<u16>) {
         let Some(id) = &self.id else { return };
         let hub = &self.worker.hub;
         let shared = &hub.shared;
@@ -93,22 +93,22 @@
             content: facts.content.map(|content| content.to_string().into()),
             kind: facts.kind.as_ref().map(|kind| kind.as_str().into()),
             class: Some(facts.class.as_str().into()),
-            life: facts.life.as_ref().map(|life| text(life).into()),
+            life: facts.generation.as_ref().map(|name| text(name).into()),
             status,
-            took_us: micros(now.since(self.begun)),
+            took_us: micros(now.since(self.started)),
             load: Some([load.in_flight, load.slots, load.queued]),
             left_us: micros(facts.deadline.remaining(now)),
-            aim_left_us: facts.aim.map(|aim| micros(aim.since(now))),
-            list: Some(facts.list),
+            aim_left_us: facts.soft_deadline.map(|at| micros(at.since(now))),
+            list: Some(facts.list_revision),
             ..RequestLine::default()
         };
-        shared.log().write(rank, &with_outcome(line, how));
+        shared.log().write(rank, &with_outcome(line, outcome));
     }
 }
 
-impl Drop for BesideTrail<'_> {
+impl Drop for InboundLogEntry<'_> {
     fn drop(&mut self) {
-        let gone = Failure::from(Loss::new(Step::Forward, LossCause::CallerGone));
-        self.write(Rank::Failure, (&gone).into(), None);
+        let failure = Failure::from(Loss::new(Step::Forward, LossCause::CallerGone));
+        self.write(Rank::Failure, (&failure).into(), None);
     }
 }
--- a/crates/node/src/traffic/inbound/admission.rs
+++ b/crates/node/src/traffic/inbound/admission.rs
@@ -1,4 +1,4 @@
-//! Waiting for a slot beside the target.
+//! Waiting for a slot of the local target.
 
 use std::convert::Infallible;
 
@@ -17,65 +17,66 @@
 #[cfg(test)]
 mod tests;
 
-/// What a queued request is told.
-type Verdict = Result<Permit, Refusal>;
+/// The admission decision on a queued request.
+type Decision = Result<Permit, Refusal>;
 
-/// Gets a slot, or waits for one as long as admission allows and `barred` is pending;
-/// dropping the future leaves the queue.
+/// Acquires a slot. A queued request waits at most as long as admission allows, and only
+/// while `aborted` is pending. Dropping the future removes the request from the queue.
 ///
 /// # Errors
 ///
-/// Refuses as not run, at once if that can be known at once.
+/// Refuses the request as not run, at once if the refusal is certain at once.
 pub(in crate::traffic) async fn admit(
     admission: &Admission,
     clock: &Clock,
     ask: &Ask<'_>,
-    barred: impl Future<Output = Refusal>,
+    aborted: impl Future<Output = Refusal>,
 ) -> Result<Permit, Refusal> {
-    let mut told = None;
+    let mut decision_rx = None;
     let offer = admission.offer(clock.now(), ask, || {
-        let (tx, rx) = oneshot::channel::<Verdict>();
-        told = Some(rx);
-        Box::new(move |verdict| {
-            // A receiver that is gone drops the permit, which frees the slot.
-            let _ = tx.send(verdict);
+        let (tx, rx) = oneshot::channel::<Decision>();
+        decision_rx = Some(rx);
+        Box::new(move |decision| {
+            // Without a receiver the permit is dropped, which frees the slot.
+            let _ = tx.send(decision);
         })
     });
-    match (offer, told) {
+    match (offer, decision_rx) {
         (Offer::Admitted(permit), _) => Ok(permit),
         (Offer::Refused(refusal), _) => Err(refusal),
         (Offer::Queued(queued), Some(rx)) => {
             tokio::select! {
                 biased;
-                told = wait(queued, rx, clock) => told,
-                refusal = barred => Err(refusal),
-                never = refill(admission, clock) => match never {},
+                decision = wait(queued, rx, clock) => decision,
+                refusal = aborted => Err(refusal),
+                never = admit_while_cold(admission, clock) => match never {},
             }
         }
-        (Offer::Queued(_), None) => Err(time_out()),
+        (Offer::Queued(_), None) => Err(queue_timeout()),
     }
 }
 
-/// Gives out what a cold target bears as time passes, while somebody waits.
-async fn refill(admission: &Admission, clock: &Clock) -> Infallible {
+/// Admits queued requests at the rate that a cold target tolerates, while requests are
+/// queued.
+async fn admit_while_cold(admission: &Admission, clock: &Clock) -> Infallible {
     while let Some(next) = admission.refill(clock.now()) {
         tokio::time::sleep_until(clock.instant(next).into()).await;
     }
     std::future::pending().await
 }
 
-async fn wait(queued: Queued, mut rx: oneshot::Receiver<Verdict>, clock: &Clock) -> Verdict {
+async fn wait(queued: Queued, mut rx: oneshot::Receiver<Decision>, clock: &Clock) -> Decision {
     let until = clock.instant(queued.until());
     match tokio::time::timeout_at(until.into(), &mut rx).await {
-        Ok(told) => told.unwrap_or_else(|_| Err(time_out())),
+        Ok(decision) => decision.unwrap_or_else(|_| Err(queue_timeout())),
         Err(_) => match queued.expire(clock.now()) {
             Some(refusal) => Err(refusal),
-            // The verdict was on its way just when the time was up.
-            None => rx.await.unwrap_or_else(|_| Err(time_out())),
+            // The decision was sent at the moment at which the wait expired.
+            None => rx.await.unwrap_or_else(|_| Err(queue_timeout())),
         },
     }
 }
 
-fn time_out() -> Refusal {
+fn queue_timeout() -> Refusal {
     Refusal::not_run(Step::Admission, Reason::QueueTimeout)
 }
--- a/crates/node/src/traffic/inbound/admission/tests.rs
+++ b/crates/node/src/traffic/inbound/admission/tests.rs
@@ -27,11 +27,12 @@
     },
 };
 
-/// Guards against a request that waits on for a slot although no target is to run it any
-/// more, and against a place in the queue that it keeps.
+/// Guards against a request that continues to wait for a slot after it was quarantined, and
+/// against a queue entry that remains after the refusal.
 #[tokio::test]
-async fn what_is_barred_while_it_waits_is_refused_at_once() {
-    let admission = Admission::new(AdmissionSettings::default(), 1).expect("a slot");
+async fn a_request_quarantined_in_the_queue_is_refused_at_once() {
+    let admission =
+        Admission::new(AdmissionSettings::default(), 1).expect("the settings are valid");
     let clock = Clock::start();
     let deadline = Deadline::within(clock.now(), LIMITS.deadline);
     let stage = Request::received(Class::Standard, deadline);
@@ -41,16 +42,16 @@
         panic!("the slot is free");
     };
     let (tx, rx) = oneshot::channel();
-    let barred = async {
-        rx.await.expect("a word");
+    let aborted = async {
+        rx.await.expect("the quarantine is signalled");
         Refusal::not_run(Step::Admission, Reason::Quarantined)
     };
-    let bar = async {
+    let quarantine = async {
         tokio::task::yield_now().await;
         assert_eq!(admission.load().queued, 1);
-        tx.send(()).expect("it waits");
+        tx.send(()).expect("the request is queued");
     };
-    let (admitted, ()) = tokio::join!(admit(&admission, &clock, &ask, barred), bar);
+    let (admitted, ()) = tokio::join!(admit(&admission, &clock, &ask, aborted), quarantine);
     let refusal = admitted.expect_err("no slot is free");
     assert_eq!(refusal.reason(), Reason::Quarantined);
     assert_eq!(admission.load().queued, 0);
--- a/crates/node/src/traffic/inbound/body_intake.rs
+++ b/crates/node/src/traffic/inbound/body_intake.rs
@@ -1,4 +1,4 @@
-//! Taking a body in before its request asks for a slot.
+//! Receives the body of a request before the request asks for a slot.
 
 use std::time::Duration;
 
@@ -14,63 +14,63 @@
 use crate::traffic::missed::Missed;
 use crate::traffic::payload::Payload;
 
-/// Of so many slots one long body may be on its way at once: more would share the
-/// same link, so that all of them come later.
+/// Slots of the target for each long body that may be received at once. More bodies
+/// would share the same link, so that all of them would arrive later.
 const SLOTS_PER_BODY: u32 = 2;
 
-/// When to come back to a target that takes in as many bodies as it may: about what
-/// one takes on the slowest links.
-const COME_BACK: Duration = Duration::from_millis(100);
+/// Delay before a retry at a target whose node already receives as many long bodies as it
+/// may: about the time that one body takes on the slowest links.
+const UPLOAD_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Long bodies on their way to the own target.
+/// Bounds the long bodies for the local target that are received at once.
 #[derive(Debug)]
 pub(in crate::traffic) struct Arrivals(Semaphore);
 
 impl Arrivals {
-    /// None so far, beside a target that has so many slots by the settings.
+    /// The bound for a target with `slots` slots by the settings; no body is received yet.
     pub(in crate::traffic) fn new(slots: u32) -> Arrivals {
-        let most = (slots / SLOTS_PER_BODY).max(1);
-        Arrivals(Semaphore::new(usize::try_from(most).unwrap_or(1)))
+        let max_bodies = (slots / SLOTS_PER_BODY).max(1);
+        Arrivals(Semaphore::new(usize::try_from(max_bodies).unwrap_or(1)))
     }
 
-    /// Lets another come until what is returned is dropped, if it may now.
+    /// Permits the receipt of one more long body until the returned permit is dropped.
     ///
     /// # Errors
     ///
-    /// Refuses it as not run, and says when to come back.
-    pub(in crate::traffic) fn enter(&self) -> Result<SemaphorePermit<'_>, Refusal> {
-        let turn = self.0.try_acquire();
-        turn.map_err(|_| refuse(Reason::QueueFull).after(COME_BACK))
+    /// Refuses the request as not run, with a retry delay, if the bound is reached.
+    pub(in crate::traffic) fn try_acquire(&self) -> Result<SemaphorePermit<'_>, Refusal> {
+        let permit = self.0.try_acquire();
+        permit.map_err(|_| refuse(Reason::QueueFull).after(UPLOAD_RETRY_AFTER))
     }
 }
 
-/// Takes in the body of a request from another node, unless it is too large to be
-/// held.
+/// Receives the body of a request from another node, unless the body is too large to be
+/// buffered.
 ///
-/// A body that comes while its request holds a slot holds it for as long as its
-/// link takes, and targets that have room for the work have no slots. A request that
-/// would be refused is refused before its body is asked for.
+/// A body that arrives while its request holds a slot occupies the slot for as long as
+/// the link takes. The target would then have capacity for work, but no free slot. A
+/// request that would be refused is refused before its body is read.
 ///
 /// # Errors
 ///
-/// Refuses it as not run.
-pub(in crate::traffic) async fn take_in(
+/// Refuses the request as not run.
+pub(in crate::traffic) async fn receive_body(
     hub: &Hub,
     ask: &Ask<'_>,
     req: Request<Payload>,
 ) -> Result<Request<Payload>, Missed> {
-    if req.body().to_come().is_none() {
+    if req.body().streamed_bytes().is_none() {
         return Ok(req);
     }
     let clock = hub.shared.clock();
     if let Some(refusal) = hub.admission.foresee(clock.now(), ask) {
         return Err(Missed::unsent(refusal, req));
     }
-    // What fits into the window is there with the head of the request.
-    let _turn = match req.body().is_short() {
+    // A body that fits into the upload window arrives with the head of the request.
+    let _permit = match req.body().is_short() {
         true => None,
-        false => match hub.arrivals.enter() {
-            Ok(turn) => Some(turn),
+        false => match hub.arrivals.try_acquire() {
+            Ok(permit) => Some(permit),
             Err(refusal) => return Err(Missed::unsent(refusal, req)),
         },
     };
@@ -78,7 +78,7 @@
     let (parts, body) = req.into_parts();
     match tokio::time::timeout_at(until.into(), body.hold(&hub.bodies)).await {
         Ok(Ok(body)) => Ok(Request::from_parts(parts, body)),
-        // The node that sent it broke off, and hears no answer.
+        // The sending node aborted the request and receives no answer.
         Ok(Err(_)) => Err(refuse(Reason::CallerGone).into()),
         Err(_) => Err(refuse(Reason::DeadlinePassed).into()),
     }
--- a/crates/node/src/traffic/inbound/exchange.rs
+++ b/crates/node/src/traffic/inbound/exchange.rs
@@ -1,4 +1,4 @@
-//! From the hand-over of a request to its answer.
+//! The exchange of a request that is handed over, up to its answer.
 
 use std::sync::Arc;
 
@@ -26,38 +26,40 @@
 use crate::traffic::missed::Missed;
 use crate::traffic::parents;
 use crate::traffic::payload::Payload;
-use crate::traffic::stored_answer::Recorder;
+use crate::traffic::stored_answer::AnswerRecorder;
 use crate::traffic::target;
 use crate::traffic::target::Connection;
 use crate::traffic::target::TargetBody;
-use crate::traffic::target::crash_watch::Watched;
+use crate::traffic::target::crash_watch::WatchedRequest;
 
-/// A request that is handed over.
+/// A request that is handed over to the local target.
 #[derive(Debug)]
-pub(in crate::traffic) struct Sent {
+pub(in crate::traffic) struct SentRequest {
     pub(in crate::traffic) hub: Arc<Hub>,
     pub(in crate::traffic) stage: Stage<HandedOver>,
-    /// The right to run its key, if it has one.
+    /// The right to run the request of its key, if it has one.
     pub(in crate::traffic) running: Option<Running>,
     pub(in crate::traffic) deadline: Deadline,
-    /// Whether the target crashes under it, if it is known what it asks for.
-    pub(in crate::traffic) watched: Option<Box<Watched>>,
-    /// The life that it names, if it is meant for the own target's service.
-    pub(in crate::traffic) life: Option<HeaderValue>,
-    pub(in crate::traffic) _parent: Option<parents::Running>,
+    /// Records how the target fares while it runs the request; `None` if the content of
+    /// the request is unknown.
+    pub(in crate::traffic) watched: Option<Box<WatchedRequest>>,
+    /// The target generation that the request names, if it is meant for the service of
+    /// the local target.
+    pub(in crate::traffic) generation: Option<HeaderValue>,
+    pub(in crate::traffic) _parent: Option<parents::ParentGuard>,
 }
 
-impl Sent {
-    /// Gets the answer.
+impl SentRequest {
+    /// Sends the request and returns the answer.
     ///
-    /// Without a key, dropping the future ends the exchange. With one it goes
-    /// on until its answer or its deadline: a caller whose connection broke
-    /// sends the request again, and then gets the answer instead of hearing
-    /// that nothing is known.
+    /// Without a key, dropping the future cancels the exchange. With a key, the
+    /// exchange continues until its answer or its deadline: a caller whose
+    /// connection broke sends the request again, and then receives the answer
+    /// instead of an unknown outcome.
     ///
     /// # Errors
     ///
-    /// Says what is known of the request if there is no answer.
+    /// Returns what is known of the outcome if there is no answer.
     pub(in crate::traffic) async fn run(
         self,
         conn: Connection,
@@ -71,7 +73,8 @@
         let guard = hub.shared.in_flight().enter();
         let task = hub.connections.spawn(async move {
             let _in_flight = guard;
-            cut.run_until_cancelled(self.run_to_end(conn, req)).await
+            cut.run_until_cancelled(self.run_and_buffer(conn, req))
+                .await
         });
         match task.await {
             Ok(Some(result)) => result,
@@ -79,7 +82,7 @@
         }
     }
 
-    async fn run_to_end(
+    async fn run_and_buffer(
         self,
         conn: Connection,
         req: Request<Payload>,
@@ -88,12 +91,12 @@
         let res = self.exchange(conn, req).await?;
         let size = res.body().size_hint().upper();
         if size.is_none_or(|size| size > max) {
-            // Not kept for repeats anyway.
+            // Too large to be stored for repeats of the request.
             return Ok(res);
         }
         let (head, body) = res.into_parts();
         match body.collect().await {
-            Ok(whole) => Ok(Response::from_parts(head, Answer::text(whole.to_bytes()))),
+            Ok(body) => Ok(Response::from_parts(head, Answer::text(body.to_bytes()))),
             Err(_) => Err(Loss::new(Step::Forward, LossCause::AnswerCut).into()),
         }
     }
@@ -106,39 +109,39 @@
         let clock = *self.hub.shared.clock();
         let until = clock.instant(self.deadline.tick());
         let id = req.headers().get(REQUEST_ID).cloned();
-        let handed_over = clock.now();
+        let handed_over_at = clock.now();
         let exchange = target::exchange(conn, req);
         match tokio::time::timeout_at(until.into(), exchange).await {
             Ok(Ok(res)) => {
-                let took = clock.now().since(handed_over);
+                let took = clock.now().since(handed_over_at);
                 self.hub.stages.target.took(self.stage.class(), took);
-                self.checked(res, id.as_ref())
+                self.check_answer(res, id.as_ref())
             }
-            Ok(Err(target::Failure::NotSent(err, proof, unsent))) => {
+            Ok(Err(target::ExchangeFailure::NotSent(err, proof, unsent))) => {
                 tracing::debug!(%err, "not handed over");
                 let refusal = self.stage.take_back(clock.now(), proof);
-                let failure = take_back(self.running, refusal).into();
+                let failure = release_key(self.running, refusal).into();
                 Err(Missed { failure, unsent })
             }
-            Ok(Err(target::Failure::Sent(err))) => {
+            Ok(Err(target::ExchangeFailure::Sent(err))) => {
                 tracing::debug!(%err, "lost");
                 if let Some(watched) = &self.watched {
-                    watched.lost();
+                    watched.record_broken_connection();
                 }
-                Err(self.lost(LossCause::ConnectionLost))
+                Err(self.lose(LossCause::ConnectionLost))
             }
-            Err(_) => Err(self.lost(LossCause::Timeout)),
+            Err(_) => Err(self.lose(LossCause::Timeout)),
         }
     }
 
-    /// Takes an answer for what it is: the target's, an answer to another
-    /// request, or the word that this one was not run.
+    /// Classifies an answer: the target's answer to this request, an answer to
+    /// another request, or a statement that this request was not run.
     ///
-    /// A faulty target sends an answer twice, and the second stands where the
-    /// next request's is due: passed on, it would tell one caller what concerns
-    /// another. The id shows it. The answer is dropped, which closes its
-    /// connection, and nothing is known of the request.
-    fn checked(
+    /// A faulty target sends an answer twice, and the second one arrives where the
+    /// answer to the next request is expected. Forwarded, it would disclose the data
+    /// of one caller to another. The request id reveals it. The answer is dropped,
+    /// which closes its connection, and the outcome of the request is unknown.
+    fn check_answer(
         self,
         res: Response<TargetBody>,
         id: Option<&HeaderValue>,
@@ -146,23 +149,23 @@
         let dialect = self.hub.shared.dialect();
         let echoed = res.headers().get(REQUEST_ID);
         let declined = dialect.declines(&res);
-        let others = match echoed {
+        let is_foreign = match echoed {
             Some(echoed) => id != Some(echoed),
             None => !declined,
         };
         let unsigned = !declined && dialect.lacks_signature(&res);
-        if (dialect.echoes_id && others) || unsigned {
-            return Err(self.lost(LossCause::AnswerSpoiled));
+        if (dialect.echoes_id && is_foreign) || unsigned {
+            return Err(self.lose(LossCause::AnswerSpoiled));
         }
         if !declined {
-            if let Some(named) = &self.life {
-                self.hub.own_life.answered(named);
+            if let Some(named) = &self.generation {
+                self.hub.own_life.record_answered(named);
             }
-            return Ok(self.answered(res));
+            return Ok(self.into_answer(res));
         }
         let reason = match res.status() {
             StatusCode::MISDIRECTED_REQUEST => {
-                self.note_other_life(&res);
+                self.record_other_generation(&res);
                 Reason::OtherLife
             }
             _ => Reason::TargetShed,
@@ -170,37 +173,37 @@
         let now = self.hub.shared.clock().now();
         let wait = self.hub.admission.expected_wait(self.stage.class());
         let refusal = self.stage.declined(now, reason).after(wait);
-        Err(take_back(self.running, refusal).into())
+        Err(release_key(self.running, refusal).into())
     }
 
-    /// Learns from a target that declined a request which life it is.
-    fn note_other_life(&self, res: &Response<TargetBody>) {
+    /// Records the generation that a target states when it declines a request for another.
+    fn record_other_generation(&self, res: &Response<TargetBody>) {
         let name = self.hub.shared.dialect().answering_life.as_ref();
         let answering = name.and_then(|name| res.headers().get(name));
-        if let (Some(named), Some(answering)) = (&self.life, answering) {
+        if let (Some(named), Some(answering)) = (&self.generation, answering) {
             let now = self.hub.shared.clock().now();
-            self.hub.own_life.declined(now, named, answering);
+            self.hub.own_life.record_declined(now, named, answering);
         }
     }
 
-    fn answered(self, res: Response<TargetBody>) -> Response<Answer> {
+    fn into_answer(self, res: Response<TargetBody>) -> Response<Answer> {
         let clock = *self.hub.shared.clock();
         let stage = self.stage.answered();
         let mut watched = self.watched;
         if let Some(watched) = &mut watched {
-            watched.begins_answer(res.status());
+            watched.record_status(res.status());
         }
-        let mut res = res.map(|body| body.holding(stage, clock, watched));
+        let mut res = res.map(|body| body.with_slot(stage, clock, watched));
         head::strip_own(res.headers_mut());
         head::strip_connection(res.headers_mut());
         *res.version_mut() = Version::HTTP_11;
         let recorder = self
             .running
-            .map(|running| Box::new(Recorder::new(running, &res, self.hub.max_stored)));
-        res.map(|body| Answer::target(body.recorded(recorder)))
+            .map(|running| Box::new(AnswerRecorder::new(running, &res, self.hub.max_stored)));
+        res.map(|body| Answer::target(body.with_recorder(recorder)))
     }
 
-    fn lost(self, cause: LossCause) -> Missed {
+    fn lose(self, cause: LossCause) -> Missed {
         let now = self.hub.shared.clock().now();
         if let Some(running) = self.running {
             running.lost(now);
@@ -209,8 +212,8 @@
     }
 }
 
-/// Leaves the key unused after a refusal.
-pub(in crate::traffic) fn take_back(running: Option<Running>, refusal: Refusal) -> Refusal {
+/// Marks the key of a refused request as unused.
+pub(in crate::traffic) fn release_key(running: Option<Running>, refusal: Refusal) -> Refusal {
     match running {
         Some(running) => running.refused(refusal),
         None => refusal,
--- a/crates/node/src/traffic/inbound/forward.rs
+++ b/crates/node/src/traffic/inbound/forward.rs
@@ -1,4 +1,4 @@
-//! The last hop: admission beside the target and handing over to it.
+//! The last hop of a request: its admission and its hand-over to the local target.
 
 use std::sync::Arc;
 
@@ -29,9 +29,9 @@
 use crate::Routes;
 use crate::traffic::answer::Answer;
 use crate::traffic::head;
-use crate::traffic::inbound::access_log::BesideTrail;
 use crate::traffic::inbound::access_log::Facts;
-use crate::traffic::inbound::hand_over::AtTarget;
+use crate::traffic::inbound::access_log::InboundLogEntry;
+use crate::traffic::inbound::inbound_request::InboundRequest;
 use crate::traffic::inbound::unsent_key::UnsentKey;
 use crate::traffic::keyed::Keyed;
 use crate::traffic::missed::Missed;
@@ -39,36 +39,40 @@
 use crate::traffic::stored_answer;
 use crate::traffic::worker::Worker;
 
-/// What is known of a call beside its head and body.
+/// What is known of a request besides its head and body.
 #[derive(Debug, Clone)]
 pub(in crate::traffic) struct Call<'a> {
-    /// What is in force for it.
+    /// The routes in force for it.
     pub(in crate::traffic) routes: &'a Routes,
-    /// When it is given up.
+    /// The deadline, at which the request is abandoned.
     pub(in crate::traffic) deadline: Deadline,
-    /// How many nodes it has passed.
+    /// Number of nodes that it has passed.
     pub(in crate::traffic) hop: u32,
-    /// How urgent it is by the route of the first hop, if that said so.
+    /// The class that the first hop's route assigns, if the first hop sent it.
     pub(in crate::traffic) class: Option<Class>,
-    /// Its kind by the route of the first hop, if that said so.
+    /// The kind that the first hop's route assigns, if the first hop sent it.
     pub(in crate::traffic) kind: Option<KindName>,
-    /// Until when its answer is worth most to its caller.
+    /// The soft deadline: until then the answer is worth most to the caller.
     pub(in crate::traffic) aim: Option<Tick>,
-    /// Whether nobody else is asked for room after this.
+    /// Whether this node is the last resort: no other node is tried after it.
     pub(in crate::traffic) settles: bool,
-    /// What it asks for, if the node of the first hop said so.
+    /// The content of the request, if the first hop sent it.
     pub(in crate::traffic) content: Option<Content>,
-    /// The life of the target that it is meant for, where lives are told apart.
+    /// The target generation that it is meant for, where generations are distinguished.
     pub(in crate::traffic) life: Option<HeaderValue>,
-    /// Whether it is meant for the service that the settings give the own target.
+    /// Whether it is meant for the service that the settings name for the local target.
     pub(in crate::traffic) for_own_service: bool,
-    /// The service beside whose target it began.
+    /// The service of the target whose node is the first hop of the request.
     pub(in crate::traffic) origin: Option<HeaderValue>,
 }
 
 impl Call<'_> {
-    /// What admission is asked for it.
-    pub(in crate::traffic) fn ask<'a>(&'a self, class: Class, limits: &'a Limits) -> Ask<'a> {
+    /// The admission request for it.
+    pub(in crate::traffic) fn admission_request<'a>(
+        &'a self,
+        class: Class,
+        limits: &'a Limits,
+    ) -> Ask<'a> {
         Ask {
             kind: self.kind.as_ref(),
             aim: self.aim,
@@ -78,11 +82,11 @@
     }
 }
 
-/// Runs a request in the own target.
+/// Runs a request in the local target.
 ///
 /// # Errors
 ///
-/// A refusal was not handed over; anything later is a loss.
+/// Returns a refusal if the request was not handed over, and a loss after that.
 pub(in crate::traffic) async fn run(
     worker: &Worker,
     req: Request<Payload>,
@@ -90,7 +94,7 @@
 ) -> Result<Response<Answer>, Missed> {
     let hub = &worker.hub;
     let checked = hub.check_quarantine(Step::Admission, call.content.as_ref());
-    let service = match checked.and_then(|()| own_service(worker, &call)) {
+    let service = match checked.and_then(|()| local_service(worker, &call)) {
         Ok(service) => service,
         Err(refusal) => return Err(Missed::unsent(refusal, req)),
     };
@@ -98,81 +102,81 @@
     let has_homes = call.routes.view.snapshot.has_homes();
     let route = match call.class {
         Some(_) if !has_key && !has_homes => None,
-        _ => own_route(&req, service, &call),
+        _ => local_route(&req, service, &call),
     };
-    // The node that sent it may route by an earlier catalogue.
+    // The sending node may have routed by an earlier catalogue version.
     if route.is_some_and(|route| !route.homes.allows(&hub.region)) {
         return Err(Missed::unsent(refuse(Reason::NotAtHome), req));
     }
     let listed = call.routes.own().map(|(endpoint, _)| &endpoint.instance);
     let slots = listed.map(|instance| instance.slots);
-    if let Some(life) = listed.and_then(|instance| instance.target.as_ref()) {
-        worker.hub.follow_target(life);
+    if let Some(generation) = listed.and_then(|instance| instance.target.as_ref()) {
+        worker.hub.follow_target(generation);
     }
     let by_route = route.map_or(service.entry.class, |route| route.class);
     let class = call.class.unwrap_or(by_route);
-    let running = match begin(worker, route, &req) {
-        Begun::Run(running) => running,
-        Begun::Answer(stored) => return Ok(stored_answer::respond(&stored)),
-        Begun::Refuse(refusal) => return Err(refusal.into()),
+    let running = match decide_run(worker, route, &req) {
+        RunDecision::Run(running) => running,
+        RunDecision::Answer(stored) => return Ok(stored_answer::to_response(&stored)),
+        RunDecision::Refuse(refusal) => return Err(refusal.into()),
     };
     let facts = Facts {
         class,
         kind: call.kind.clone(),
         content: call.content,
-        life: call.life.clone(),
+        generation: call.life.clone(),
         deadline: call.deadline,
-        aim: call.aim,
-        list: call.routes.view.snapshot.instances().revision().get(),
+        soft_deadline: call.aim,
+        list_revision: call.routes.view.snapshot.instances().revision().get(),
     };
     let cold = cold_limit(worker, service, &call);
-    let at_target = AtTarget {
+    let inbound = InboundRequest {
         worker,
         req,
         call,
         key: UnsentKey::new(running),
     };
     let limits = &service.entry.limits;
-    let trail = BesideTrail::new(worker, facts, at_target.id());
-    let ran = at_target.run(class, limits, slots, cold).await;
-    trail.end(&ran);
-    let mut res = ran?;
-    add_load(worker, res.headers_mut());
+    let log_entry = InboundLogEntry::new(worker, facts, inbound.request_id());
+    let result = inbound.admit_and_send(class, limits, slots, cold).await;
+    log_entry.finish(&result);
+    let mut res = result?;
+    add_load_headers(worker, res.headers_mut());
     Ok(res)
 }
 
-/// Whether a request with a long body would find room, before the body is sent.
+/// Checks whether a request with a long body would be accepted, before the body is sent.
 ///
 /// # Errors
 ///
-/// Tells what the request itself would be told.
-pub(in crate::traffic) fn room(worker: &Worker, call: &Call<'_>) -> Result<(), Refusal> {
+/// Returns the refusal that the request itself would receive.
+pub(in crate::traffic) fn check_capacity(worker: &Worker, call: &Call<'_>) -> Result<(), Refusal> {
     let content = call.content.as_ref();
     worker.hub.check_quarantine(Step::Admission, content)?;
-    let service = own_service(worker, call)?;
+    let service = local_service(worker, call)?;
     let class = call.class.unwrap_or(service.entry.class);
-    let mut ask = call.ask(class, &service.entry.limits);
+    let mut ask = call.admission_request(class, &service.entry.limits);
     ask.cold = cold_limit(worker, service, call);
     let now = worker.hub.shared.clock().now();
     match worker.hub.admission.foresee(now, &ask) {
         Some(refusal) => Err(refusal),
-        None => worker.hub.arrivals.enter().map(drop),
+        None => worker.hub.arrivals.try_acquire().map(drop),
     }
 }
 
-/// What the own target bears, if it is cold.
+/// The admission limit of the local target, if it is cold.
 fn cold_limit(worker: &Worker, service: &BoundService, call: &Call<'_>) -> Option<ColdLimit> {
     let shared = &worker.hub.shared;
     let start = service.entry.cold_start.as_ref();
-    let life = call.life.as_ref().and_then(|life| life.to_str().ok());
+    let generation = call.life.as_ref().and_then(|name| name.to_str().ok());
     let tolerance = worker.hub.cold_tolerance;
     let now = shared.clock().now();
-    shared.coldness().limit(now, start, tolerance, life)
+    shared.coldness().limit(now, start, tolerance, generation)
 }
 
-/// The service of the own target, if that takes work.
-fn own_service<'a>(worker: &Worker, call: &Call<'a>) -> Result<&'a BoundService, Refusal> {
-    if let Some(reason) = closed(worker) {
+/// The service of the local target, if the local endpoint accepts work.
+fn local_service<'a>(worker: &Worker, call: &Call<'a>) -> Result<&'a BoundService, Refusal> {
+    if let Some(reason) = refusal_reason(worker) {
         return Err(refuse(reason));
     }
     let listed = call.routes.own().map(|(_, service)| service);
@@ -181,34 +185,34 @@
     service.ok_or_else(|| refuse(Reason::NoConfiguration))
 }
 
-/// Whether a request is run, by its key if it has one.
+/// Whether a request is run, according to its key if it has one.
 #[derive(Debug)]
-enum Begun {
+enum RunDecision {
     Run(Option<Running>),
     Answer(Arc<StoredAnswer>),
     Refuse(Refusal),
 }
 
-fn begin(worker: &Worker, route: Option<&Route>, req: &Request<Payload>) -> Begun {
+fn decide_run(worker: &Worker, route: Option<&Route>, req: &Request<Payload>) -> RunDecision {
     let hub = &worker.hub;
     if route.is_some_and(|route| route.idempotent) {
-        return Begun::Run(None);
+        return RunDecision::Run(None);
     }
     let keyed = match Keyed::of(&hub.service, req) {
         Ok(Some(keyed)) => keyed,
-        Ok(None) => return Begun::Run(None),
-        Err(refusal) => return Begun::Refuse(refusal),
+        Ok(None) => return RunDecision::Run(None),
+        Err(refusal) => return RunDecision::Refuse(refusal),
     };
     let now = hub.shared.clock().now();
     match hub.repeat.begin(now, keyed.key, keyed.attempt) {
-        Begin::Run(running) => Begun::Run(Some(running)),
-        Begin::Answer(stored) => Begun::Answer(stored),
-        Begin::Refuse(refusal) => Begun::Refuse(refusal),
+        Begin::Run(running) => RunDecision::Run(Some(running)),
+        Begin::Answer(stored) => RunDecision::Answer(stored),
+        Begin::Refuse(refusal) => RunDecision::Refuse(refusal),
     }
 }
 
-/// Why the own endpoint takes no work, if it doesn't.
-fn closed(worker: &Worker) -> Option<Reason> {
+/// Why the local endpoint accepts no work; `None` if it accepts work.
+fn refusal_reason(worker: &Worker) -> Option<Reason> {
     if worker.hub.is_leaving() || worker.hub.has_departed() {
         return Some(Reason::Draining);
     }
@@ -219,9 +223,10 @@
     starting.then_some(Reason::Starting)
 }
 
-/// The route by the own view, if it leads here. The first hop may have routed
-/// by another version of the catalogue, in which the path led to this service.
-fn own_route<'a>(
+/// The route of a request in this node's view, if it leads to the local service. The
+/// first hop may have routed by another catalogue version, in which the path led to
+/// this service.
+fn local_route<'a>(
     req: &Request<Payload>,
     service: &BoundService,
     call: &Call<'a>,
@@ -237,8 +242,9 @@
     leads_here.then_some(route)
 }
 
-/// Puts the load beside the target on an answer.
-pub(in crate::traffic) fn add_load(worker: &Worker, headers: &mut HeaderMap) {
+/// Adds the load of the local target, and its remaining cold time, to the headers of an
+/// answer.
+pub(in crate::traffic) fn add_load_headers(worker: &Worker, headers: &mut HeaderMap) {
     let load = worker.hub.admission.load().to_string();
     if let Ok(value) = load.try_into() {
         headers.insert(names::LOAD, value);
--- a/crates/node/src/traffic/inbound/hand_over.rs
+++ b/crates/node/src/traffic/inbound/inbound_request.rs
@@ -1,4 +1,4 @@
-//! From a request's arrival beside its target to the head of the answer.
+//! A request to the local target, from its admission to its hand-over.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,8 +28,8 @@
 use crate::traffic::hub::Hub;
 use crate::traffic::inbound::admission;
 use crate::traffic::inbound::body_intake;
-use crate::traffic::inbound::exchange::Sent;
-use crate::traffic::inbound::exchange::take_back;
+use crate::traffic::inbound::exchange::SentRequest;
+use crate::traffic::inbound::exchange::release_key;
 use crate::traffic::inbound::forward::Call;
 use crate::traffic::inbound::unsent_key::UnsentKey;
 use crate::traffic::missed::Missed;
@@ -37,30 +37,30 @@
 use crate::traffic::payload::Payload;
 use crate::traffic::target;
 use crate::traffic::target::Connection;
-use crate::traffic::target::crash_watch::Watched;
+use crate::traffic::target::crash_watch::WatchedRequest;
 use crate::traffic::worker::Worker;
 
-/// A request on its way through the stages that the core keeps apart.
+/// A request to the local target that is not handed over yet.
 #[derive(Debug)]
-pub(in crate::traffic) struct AtTarget<'a> {
+pub(in crate::traffic) struct InboundRequest<'a> {
     pub(in crate::traffic) worker: &'a Worker,
     pub(in crate::traffic) req: Request<Payload>,
     pub(in crate::traffic) call: Call<'a>,
     pub(in crate::traffic) key: UnsentKey,
 }
 
-impl AtTarget<'_> {
-    /// The request's id, as its caller gave it.
-    pub(in crate::traffic) fn id(&self) -> Option<HeaderValue> {
+impl InboundRequest<'_> {
+    /// The id that the caller gave the request.
+    pub(in crate::traffic) fn request_id(&self) -> Option<HeaderValue> {
         self.req.headers().get(REQUEST_ID).cloned()
     }
 
-    /// Gets a slot and a connection, then hands over.
+    /// Acquires a slot and a connection, then hands the request over.
     ///
     /// # Errors
     ///
-    /// A refusal was not handed over; anything later is a loss.
-    pub(in crate::traffic) async fn run(
+    /// Returns a refusal if the request was not handed over, and a loss after that.
+    pub(in crate::traffic) async fn admit_and_send(
         mut self,
         class: Class,
         limits: &Limits,
@@ -69,18 +69,18 @@
     ) -> Result<Response<Answer>, Missed> {
         let hub = &self.worker.hub;
         let stage = Stage::received(class, self.call.deadline);
-        let mut ask = self.call.ask(class, limits);
+        let mut ask = self.call.admission_request(class, limits);
         ask.cold = cold;
         if let Some(slots) = slots {
             ask.slots = Some(slots);
             hub.pool.resize(slots);
         }
-        self.req = body_intake::take_in(hub, &ask, self.req).await?;
-        let asked = hub.shared.clock().now();
+        self.req = body_intake::receive_body(hub, &ask, self.req).await?;
+        let queued_at = hub.shared.clock().now();
         let clock = hub.shared.clock();
-        let barred = hub.quarantined(Step::Admission, self.call.content.as_ref());
-        let admitted = admission::admit(&hub.admission, clock, &ask, barred).await;
-        let waited = hub.shared.clock().now().since(asked);
+        let quarantined = hub.quarantined(Step::Admission, self.call.content.as_ref());
+        let admitted = admission::admit(&hub.admission, clock, &ask, quarantined).await;
+        let waited = hub.shared.clock().now().since(queued_at);
         hub.stages.queue.took(class, waited);
         let permit: Permit = match admitted {
             Ok(permit) => permit,
@@ -88,18 +88,18 @@
         };
         let stage = stage.admit(permit);
         if hub.has_departed() {
-            // It waited for its slot while the target left.
+            // The target departed while the request was queued.
             let now = hub.shared.clock().now();
             let refusal = stage.refuse(now, Step::Admission, Reason::Draining);
             return Err(Missed::unsent(refusal, self.req));
         }
         if let Some(left) = hub.quarantined_for(self.call.content.as_ref()) {
-            // Targets crashed under it while it waited for its slot.
+            // The request was quarantined while it was queued.
             let now = hub.shared.clock().now();
             let refusal = stage.refuse(now, Step::Admission, Reason::Quarantined);
             return Err(Missed::unsent(refusal.after(left), self.req));
         }
-        match target::take(&hub.pool, self.worker.index).await {
+        match target::acquire(&hub.pool, self.worker.index).await {
             Ok(conn) => self.hand_over(stage, conn).await,
             Err(err) => {
                 tracing::debug!(%err, "not handed over");
@@ -115,7 +115,7 @@
         stage: Stage<Admitted>,
         conn: Connection,
     ) -> Result<Response<Answer>, Missed> {
-        let AtTarget {
+        let InboundRequest {
             worker,
             req,
             call,
@@ -126,66 +126,69 @@
             hop: call.hop,
             deadline: call.deadline,
         };
-        let parent = hub.parents.enter(req.headers(), parent);
+        let parent = hub.parents.register(req.headers(), parent);
         let now = hub.shared.clock().now();
-        let running = match key.hand_over(now) {
+        let running = match key.into_running(now) {
             Ok(running) => running,
             Err(refusal) => return Err(Missed::unsent(refusal, req)),
         };
-        let life = named_life(hub, now, &call);
+        let generation = named_generation(hub, now, &call);
         match stage.hand_over(now) {
             Ok(stage) => {
                 let left = call.deadline.remaining(now);
-                let watched = call.content.map(|content| Watched::enter(hub, content));
-                let req = for_target(req, left, life.as_ref(), &call, hub.shared.dialect());
-                let sent = Sent {
+                let watched = call
+                    .content
+                    .map(|content| WatchedRequest::start(hub, content));
+                let req = for_target(req, left, generation.as_ref(), &call, hub.shared.dialect());
+                let sent = SentRequest {
                     hub: Arc::clone(hub),
                     stage,
                     running,
                     deadline: call.deadline,
                     watched,
-                    life: life.filter(|_| call.for_own_service),
+                    generation: generation.filter(|_| call.for_own_service),
                     _parent: parent,
                 };
                 sent.run(conn, req).await
             }
-            Err(refusal) => Err(Missed::unsent(take_back(running, refusal), req)),
+            Err(refusal) => Err(Missed::unsent(release_key(running, refusal), req)),
         }
     }
 }
 
-/// The life that the target is told a request is meant for.
+/// The target generation that a request names to the target.
 ///
-/// Another than was asked for only where the service is the target's for sure: a
-/// node that was told to stop may have lost its target's address to another.
-fn named_life(hub: &Hub, now: Tick, call: &Call<'_>) -> Option<HeaderValue> {
-    let asked = call.life.as_ref()?;
+/// It differs from the requested one only where the target certainly serves the
+/// requested service: while a node stops, the address of its target may already belong
+/// to another target.
+fn named_generation(hub: &Hub, now: Tick, call: &Call<'_>) -> Option<HeaderValue> {
+    let requested = call.life.as_ref()?;
     match call.for_own_service && !hub.is_leaving() {
-        true => Some(hub.own_life.meant(now, asked)),
-        false => Some(asked.clone()),
+        true => Some(hub.own_life.resolve(now, requested)),
+        false => Some(requested.clone()),
     }
 }
 
-/// Takes off what concerns nodes alone and makes it an HTTP/1.1 request.
+/// Removes the headers that only nodes use and makes it an HTTP/1.1 request.
 ///
-/// The target is told the time that is left, not what the caller had at first.
-/// Rounded up, it ends after the node has given the request up: the caller
-/// then hears from the node that the outcome is unknown.
+/// The target receives the remaining time and not the caller's full timeout. The
+/// remaining time is rounded up, so that it ends after the node has abandoned the
+/// request: the caller then receives from the node that the outcome is unknown.
 fn for_target(
     mut req: Request<Payload>,
     left: Duration,
-    life: Option<&HeaderValue>,
+    generation: Option<&HeaderValue>,
     call: &Call<'_>,
     dialect: &Dialect,
 ) -> Request<Payload> {
     head::strip_own(req.headers_mut());
-    let told = [
-        (&dialect.target_life, life),
+    let own_headers = [
+        (&dialect.target_life, generation),
         (&dialect.origin, call.origin.as_ref()),
     ];
-    for (name, value) in told {
+    for (name, value) in own_headers {
         if let Some(name) = name {
-            set(req.headers_mut(), name, value);
+            set_or_remove(req.headers_mut(), name, value);
         }
     }
     let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
@@ -197,8 +200,8 @@
     req
 }
 
-/// Sets a header that is the node's to set, whatever the caller sent.
-fn set(headers: &mut HeaderMap, name: &HeaderName, value: Option<&HeaderValue>) {
+/// Sets a header that only the node may set, and replaces or removes the caller's value.
+fn set_or_remove(headers: &mut HeaderMap, name: &HeaderName, value: Option<&HeaderValue>) {
     match value {
         Some(value) => headers.insert(name, value.clone()),
         None => headers.remove(name),
--- a/crates/node/src/traffic/inbound/peer_side.rs
+++ b/crates/node/src/traffic/inbound/peer_side.rs
@@ -1,4 +1,4 @@
-//! Requests that other nodes pass on to the target beside this one.
+//! Requests that other nodes forward to the local target.
 
 use std::time::Duration;
 
@@ -28,33 +28,33 @@
 use crate::traffic::refusal;
 use crate::traffic::worker::Worker;
 
-/// What nodes tell one another: all of it, and times exactly.
+/// The dialect between nodes: all headers, and retry delays with fractions of a second.
 const BETWEEN_NODES: Dialect = Dialect {
     fractional_retry: true,
     ..Dialect::OWN
 };
 
-/// Answers a request of another node.
+/// Serves a request from another node.
 pub(in crate::traffic) async fn serve(worker: &Worker, req: Request<Incoming>) -> Response<Answer> {
     let guard = worker.hub.shared.in_flight().enter();
     let result = run(worker, req).await;
     worker.hub.peers.count(&result);
     let res = result.unwrap_or_else(|failure| {
         let mut res = refusal::respond(&failure, &BETWEEN_NODES);
-        forward::add_load(worker, res.headers_mut());
+        forward::add_load_headers(worker, res.headers_mut());
         res
     });
     res.map(|body| body.held(guard))
 }
 
 async fn run(worker: &Worker, req: Request<Incoming>) -> Result<Response<Answer>, Failure> {
-    // INVARIANT: These are the only routes that the request ever sees here.
+    // INVARIANT: On this node the request uses these routes and no others.
     let Some(routes) = worker.hub.shared.routes() else {
         return Err(refuse(Reason::NoConfiguration).into());
     };
     let call = call_of(worker, &routes, req.headers())?;
     if req.headers().contains_key(names::ROOM) {
-        forward::room(worker, &call)?;
+        forward::check_capacity(worker, &call)?;
         return Ok(Response::new(Answer::text("")));
     }
     let (parts, body) = req.into_parts();
@@ -77,7 +77,7 @@
     if hop > MAX_HOPS {
         return Err(refuse(Reason::TooManyHops));
     }
-    // Only nodes speak here, and each sends a deadline.
+    // Only nodes send requests here, and each of them sends a deadline.
     let Some(left) = head::number(headers, &names::DEADLINE_MS) else {
         return Err(refuse(Reason::DeadlinePassed));
     };
@@ -99,11 +99,11 @@
 
 /// Refuses requests for another service.
 ///
-/// Instances are replaced at any time and addresses given out again, so that
-/// an old instance list can lead to a target of another service.
+/// Instances are replaced at any time and addresses are reused, so that a stale
+/// instance list can lead to a target of another service.
 fn check_service(worker: &Worker, headers: &HeaderMap) -> Result<(), Refusal> {
     if headers.contains_key(names::LIFE) {
-        // The target itself tells whether it is the one that is meant.
+        // The target itself declines a request for another generation.
         return Ok(());
     }
     let service = headers.get(names::SERVICE);
--- a/crates/node/src/traffic/inbound/unsent_key.rs
+++ b/crates/node/src/traffic/inbound/unsent_key.rs
@@ -1,4 +1,4 @@
-//! The right to run a request's key, before the request is handed over.
+//! The right to run the request of a key, before the request is handed over.
 
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Refusal;
@@ -6,13 +6,14 @@
 use sassafrasspool_core::Step;
 use sassafrasspool_core::Tick;
 
-/// The right of a request that wasn't handed over, if it has a key.
+/// The right to run a request that is not handed over yet; empty if the request has no
+/// key.
 ///
 /// # Invariants
 ///
-/// While this holds a right, its request is not handed over: dropping it, as
-/// when the request is refused or its caller goes away while it waits, leaves
-/// the key unused.
+/// While this holds a right, its request is not handed over. Dropping this marks the
+/// key as unused, as when the request is refused or its caller disconnects while the
+/// request is queued.
 #[derive(Debug)]
 pub(in crate::traffic) struct UnsentKey(Option<Running>);
 
@@ -21,13 +22,16 @@
         UnsentKey(running)
     }
 
-    /// Gives the right out for the hand-over.
+    /// Returns the right for the hand-over.
     ///
     /// # Errors
     ///
-    /// Refuses if this node may not run the key any more.
-    pub(in crate::traffic) fn hand_over(mut self, now: Tick) -> Result<Option<Running>, Refusal> {
-        // INVARIANT: Nothing is left to be given back by the drop.
+    /// Refuses the request if this node may not run its key any more.
+    pub(in crate::traffic) fn into_running(
+        mut self,
+        now: Tick,
+    ) -> Result<Option<Running>, Refusal> {
+        // INVARIANT: The drop finds no right that it would release.
         self.0.take().map(|running| running.check(now)).transpose()
     }
 }
@@ -35,7 +39,7 @@
 impl Drop for UnsentKey {
     fn drop(&mut self) {
         if let Some(running) = self.0.take() {
-            // The refusal itself, if there is one, is on its way already.
+            // If the request was refused, that refusal is returned already.
             let _ = running.refused(Refusal::not_run(Step::Admission, Reason::CallerGone));
         }
     }
--- a/crates/node/src/traffic/parents.rs
+++ b/crates/node/src/traffic/parents.rs
@@ -1,4 +1,4 @@
-//! Which call a call of the own target belongs to.
+//! Assigns calls of the local target to the requests for which it makes them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,53 +11,53 @@
 use sassafrasspool_core::Deadline;
 use sassafrasspool_wire::header::REQUEST_ID;
 
-/// A request that runs in the own target.
+/// A request that the local target runs.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Parent {
-    /// How many nodes it has passed.
+    /// Number of nodes that it has passed.
     pub(super) hop: u32,
-    /// When it is given up.
+    /// The deadline, at which the request is abandoned.
     pub(super) deadline: Deadline,
 }
 
-/// The requests that run in the own target, by the id that they carry.
+/// The requests that the local target runs, by their request id.
 ///
-/// Targets get none of the headers between nodes, so that they can't forge
-/// them. A target that passes the id of its request on in the calls that it
-/// makes for it is enough to count the depth and to shrink the deadline.
+/// Targets receive none of the headers between nodes, so that they can't forge them.
+/// It is enough that a target copies the id of its request into the calls that it makes
+/// for the request: the depth is then counted and the deadline reduced.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Parents(Arc<Mutex<HashMap<HeaderValue, Parent>>>);
 
 impl Parents {
-    /// Notes a request for as long as the guard lives; nothing to note if it
-    /// has no id.
-    pub(super) fn enter(&self, headers: &HeaderMap, parent: Parent) -> Option<Running> {
+    /// Registers a request until the guard is dropped. Returns `None` for a request without
+    /// an id, which is not registered.
+    pub(super) fn register(&self, headers: &HeaderMap, parent: Parent) -> Option<ParentGuard> {
         let id = headers.get(REQUEST_ID)?.clone();
         self.lock().insert(id.clone(), parent);
         let parents = self.clone();
-        Some(Running { parents, id })
+        Some(ParentGuard { parents, id })
     }
 
-    /// The request that a call with these headers is made for.
+    /// The request for which a call with these headers is made.
     pub(super) fn of(&self, headers: &HeaderMap) -> Option<Parent> {
         let id = headers.get(REQUEST_ID)?;
         self.lock().get(id).copied()
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<HeaderValue, Parent>> {
-        // A map of copies is whole after each of the two changes.
+        // The map is consistent after each insertion and each removal.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A request that is noted.
+/// Registers a request until it is dropped.
 #[derive(Debug)]
-pub(super) struct Running {
+pub(super) struct ParentGuard {
     parents: Parents,
     id: HeaderValue,
 }
 
-impl Drop for Running {
+impl Drop for ParentGuard {
     fn drop(&mut self) {
         self.parents.lock().remove(&self.id);
     }
--- a/crates/node/src/traffic/payload.rs
+++ b/crates/node/src/traffic/payload.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests on their way to a target.
+//! Bodies of requests that are forwarded to a target.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -17,31 +17,31 @@
 
 use super::BoxError;
 use super::bodies::Bodies;
-use super::bodies::Room;
+use super::bodies::MemoryReservation;
 use super::bounds::MAX_BODY_BYTES;
 use super::bounds::UPLOAD_WINDOW;
 
 /// The body of a request.
 #[derive(Debug)]
 pub(super) enum Payload {
-    /// Held whole, so that it can be sent again.
-    Held(Held),
-    /// Passed on as it comes, counted against the bound.
+    /// Buffered completely, so that it can be sent again.
+    Buffered(BufferedBody),
+    /// Forwarded while it is received, and counted against the bound.
     Stream {
-        /// What the caller sends.
+        /// The body as the caller sends it.
         body: Upload,
-        /// Bytes that may still come.
+        /// Bytes that may still be received.
         left: u64,
     },
 }
 
 impl Payload {
-    /// No body.
+    /// An empty body.
     pub(super) fn empty() -> Payload {
-        Payload::Held(Held::default())
+        Payload::Buffered(BufferedBody::default())
     }
 
-    /// Takes what a caller sends as it comes.
+    /// A body that is forwarded while a caller sends it.
     pub(super) fn stream(body: Incoming) -> Payload {
         if body.is_end_stream() {
             return Payload::empty();
@@ -49,109 +49,111 @@
         Payload::Stream {
             body: Upload {
                 body,
-                taken: Taken::default(),
+                read_to_end: ReadStatus::default(),
             },
             left: MAX_BODY_BYTES,
         }
     }
 
-    /// Tells later whether all of it was taken; nothing to tell of one that is
-    /// held.
-    pub(super) fn taken(&self) -> Option<Taken> {
+    /// A handle that shows later whether all of a streamed body was read; `None` for a
+    /// buffered body.
+    pub(super) fn taken(&self) -> Option<ReadStatus> {
         match self {
-            Payload::Held(_) => None,
-            Payload::Stream { body, .. } => Some(body.taken.clone()),
+            Payload::Buffered(_) => None,
+            Payload::Stream { body, .. } => Some(body.read_to_end.clone()),
         }
     }
 
-    /// The same with another bound on its bytes.
+    /// Sets another bound on the bytes of the body.
     ///
     /// # Errors
     ///
-    /// Fails if the sender says that it is larger than the bound.
+    /// Fails if the size that the sender announces is larger than the bound.
     pub(super) fn bounded(self, bound: u64) -> Result<Payload, TooLarge> {
         if self.size_hint().lower() > bound {
             return Err(TooLarge);
         }
         Ok(match self {
             Payload::Stream { body, .. } => Payload::Stream { body, left: bound },
-            held @ Payload::Held(_) => held,
+            buffered @ Payload::Buffered(_) => buffered,
         })
     }
 
-    /// Whether it is known to be so short that it is there with its head.
+    /// Whether the body is known to be so short that it arrives with its head.
     pub(super) fn is_short(&self) -> bool {
         let upper = self.size_hint().upper();
         upper.is_some_and(|bytes| bytes <= u64::from(UPLOAD_WINDOW))
     }
 
-    /// Bytes that are to be taken in, if they are known and there may be room for
-    /// them; nothing of a body that is held.
-    pub(super) fn to_come(&self) -> Option<u64> {
+    /// Size in bytes of a body that is not buffered; `None` if the size is unknown or the
+    /// body is buffered.
+    pub(super) fn streamed_bytes(&self) -> Option<u64> {
         match self {
             Payload::Stream { body, .. } => body.size_hint().upper(),
-            Payload::Held(_) => None,
+            Payload::Buffered(_) => None,
         }
     }
 
-    /// Holds a body whose size is known, if there is room for it.
+    /// Receives and buffers a body of known size, if there is enough memory for it.
     ///
     /// # Errors
     ///
-    /// Fails if the body breaks off.
+    /// Fails if the sender aborts the body.
     pub(super) async fn hold(self, bodies: &Bodies) -> Result<Payload, hyper::Error> {
-        let room = self.to_come().and_then(|bytes| bodies.room(bytes));
-        match (self, room) {
-            (Payload::Stream { body, .. }, Some(room)) => {
+        let memory = self
+            .streamed_bytes()
+            .and_then(|bytes| bodies.reserve(bytes));
+        match (self, memory) {
+            (Payload::Stream { body, .. }, Some(memory)) => {
                 let bytes = body.collect().await?.to_bytes();
-                Ok(Payload::Held(Held {
+                Ok(Payload::Buffered(BufferedBody {
                     bytes,
-                    _room: Some(room),
+                    _memory: Some(memory),
                 }))
             }
             (payload, _) => Ok(payload),
         }
     }
 
-    /// The same body once more, if it is held.
+    /// A clone of the body, if it is buffered.
     pub(super) fn again(&self) -> Option<Payload> {
         match self {
-            Payload::Held(held) => Some(Payload::Held(held.clone())),
+            Payload::Buffered(body) => Some(Payload::Buffered(body.clone())),
             Payload::Stream { .. } => None,
         }
     }
 }
 
-/// A body in memory, with the room that it takes until its last copy is gone.
+/// A body in memory, which is reserved until the last clone is dropped.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Held {
+pub(super) struct BufferedBody {
     bytes: Bytes,
-    _room: Option<Room>,
+    _memory: Option<MemoryReservation>,
 }
 
-impl Held {
-    /// All of it, until it is sent.
+impl BufferedBody {
+    /// The bytes of the body; empty after it was sent.
     pub(super) fn bytes(&self) -> &Bytes {
         &self.bytes
     }
 }
 
-/// Whether all of a body was taken.
+/// Whether all of a body was read.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Taken(Arc<AtomicBool>);
+pub(super) struct ReadStatus(Arc<AtomicBool>);
 
-impl Taken {
-    /// Whether it was.
+impl ReadStatus {
+    /// Whether the body was read to its end.
     pub(super) fn is_whole(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// A body as it comes, which notes its end.
+/// A body that is being received, which records when it was read to its end.
 #[derive(Debug)]
 pub(super) struct Upload {
     body: Incoming,
-    taken: Taken,
+    read_to_end: ReadStatus,
 }
 
 impl Body for Upload {
@@ -162,10 +164,10 @@
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
-        let Upload { body, taken } = self.get_mut();
+        let Upload { body, read_to_end } = self.get_mut();
         let polled = Pin::new(&mut *body).poll_frame(cx);
         if matches!(polled, Poll::Ready(None)) || body.is_end_stream() {
-            taken.0.store(true, Ordering::Relaxed);
+            read_to_end.0.store(true, Ordering::Relaxed);
         }
         polled
     }
@@ -179,7 +181,7 @@
     }
 }
 
-/// A body is larger than the bound.
+/// The body is larger than the bound.
 #[derive(Debug)]
 pub(super) struct TooLarge;
 
@@ -192,42 +194,42 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         match self.get_mut() {
-            Payload::Held(held) if held.bytes.is_empty() => Poll::Ready(None),
-            Payload::Held(held) => {
-                let whole = std::mem::take(&mut held.bytes);
-                Poll::Ready(Some(Ok(Frame::data(whole))))
+            Payload::Buffered(body) if body.bytes.is_empty() => Poll::Ready(None),
+            Payload::Buffered(body) => {
+                let bytes = std::mem::take(&mut body.bytes);
+                Poll::Ready(Some(Ok(Frame::data(bytes))))
             }
             Payload::Stream { body, left } => {
                 let polled = Pin::new(body).poll_frame(cx);
-                polled.map(|frame| frame.map(|frame| count(frame?, left)))
+                polled.map(|frame| frame.map(|frame| count_frame(frame?, left)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Payload::Held(held) => held.bytes.is_empty(),
+            Payload::Buffered(body) => body.bytes.is_empty(),
             Payload::Stream { body, .. } => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Payload::Held(held) => SizeHint::with_exact(held.bytes.remaining() as u64),
+            Payload::Buffered(body) => SizeHint::with_exact(body.bytes.remaining() as u64),
             Payload::Stream { body, .. } => body.size_hint(),
         }
     }
 }
 
-fn count(frame: Frame<Bytes>, left: &mut u64) -> Result<Frame<Bytes>, BoxError> {
+fn count_frame(frame: Frame<Bytes>, left: &mut u64) -> Result<Frame<Bytes>, BoxError> {
     let len = frame.data_ref().map_or(0, |data| data.len() as u64);
     match left.checked_sub(len) {
         Some(rest) => {
             *left = rest;
             Ok(frame)
         }
-        // An error here closes the target's connection, so that the part that
-        // was sent can't be taken for a whole body.
+        // The error closes the connection to the target, so that the target can't
+        // take the part that was sent for a complete body.
         None => Err("the body is larger than the bound".into()),
     }
 }
--- a/crates/node/src/traffic/stored_answer.rs
+++ b/crates/node/src/traffic/stored_answer.rs
@@ -1,4 +1,4 @@
-//! Answers that are kept for repeats of their request.
+//! Answers that are stored for repeats of their request.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -13,56 +13,59 @@
 
 use crate::traffic::answer::Answer;
 
-/// Collects an answer while it passes.
+/// Copies an answer while it is forwarded, and stores it for repeats of its request.
 #[derive(Debug)]
-pub(super) struct Recorder {
+pub(super) struct AnswerRecorder {
     running: Running,
     answer: StoredAnswer,
-    /// Bytes of the body that may still be kept; nothing once it is too large.
-    room: Option<usize>,
+    /// Bytes of the body that may still be copied; `None` once the body is too large.
+    bytes_left: Option<usize>,
 }
 
-impl Recorder {
-    /// Begins with the head of the answer to the request of `running`.
-    pub(super) fn new<B>(running: Running, head: &Response<B>, room: usize) -> Recorder {
+impl AnswerRecorder {
+    /// Copies the head of the answer to the request of `running`. At most `max_bytes` of
+    /// the body are copied.
+    pub(super) fn new<B>(running: Running, head: &Response<B>, max_bytes: usize) -> AnswerRecorder {
         let header = |(name, value): (&HeaderName, &HeaderValue)| {
             (name.as_str().to_owned(), value.as_bytes().to_vec())
         };
-        Recorder {
+        AnswerRecorder {
             running,
             answer: StoredAnswer {
                 status: head.status().as_u16(),
                 headers: head.headers().iter().map(header).collect(),
                 body: Vec::new(),
             },
-            room: Some(room),
+            bytes_left: Some(max_bytes),
         }
     }
 
-    /// Takes a part of the body.
-    pub(super) fn take(&mut self, frame: &Frame<Bytes>) {
+    /// Copies a part of the body.
+    pub(super) fn record(&mut self, frame: &Frame<Bytes>) {
         let Some(data) = frame.data_ref() else {
             return;
         };
-        self.room = self.room.and_then(|room| room.checked_sub(data.len()));
-        match self.room {
+        self.bytes_left = self
+            .bytes_left
+            .and_then(|left| left.checked_sub(data.len()));
+        match self.bytes_left {
             Some(_) => self.answer.body.extend_from_slice(data),
             None => self.answer.body = Vec::new(),
         }
     }
 
-    /// The answer has ended. One that was too large is not kept: a repeat is
-    /// then told that the outcome is unknown, and not run.
+    /// Stores the answer after its end. An answer that was too large is not stored: a
+    /// repeat is then not run and is refused with an unknown outcome.
     pub(super) fn finish(self, now: Tick) {
-        match self.room {
+        match self.bytes_left {
             Some(_) => self.running.done(now, self.answer),
             None => self.running.lost(now),
         }
     }
 }
 
-/// The answer once more.
-pub(super) fn respond(stored: &StoredAnswer) -> Response<Answer> {
+/// The response with a stored answer.
+pub(super) fn to_response(stored: &StoredAnswer) -> Response<Answer> {
     let mut res = Response::new(Answer::text(stored.body.clone()));
     *res.status_mut() = StatusCode::from_u16(stored.status).unwrap_or_default();
     let headers = stored.headers.iter();
--- a/crates/node/src/traffic/target.rs
+++ b/crates/node/src/traffic/target.rs
@@ -1,4 +1,4 @@
-//! The way from a node to its own target: HTTP/1.1 over few connections.
+//! Connections of a node to its local target, over HTTP/1.1.
 
 mod body;
 mod connection;
@@ -9,10 +9,10 @@
 
 pub(super) use self::body::TargetBody;
 pub(super) use self::connection::Connection;
-pub(super) use self::exchange::Failure;
+pub(super) use self::exchange::ExchangeFailure;
 pub(super) use self::exchange::exchange;
-pub(super) use self::pool::Lost;
+pub(super) use self::pool::BreakScope;
 pub(super) use self::pool::Pool;
 pub(super) use self::pool::WorkerIndex;
-pub(super) use self::pool::find_lost;
-pub(super) use self::pool::take;
+pub(super) use self::pool::acquire;
+pub(super) use self::pool::diagnose_break;
--- a/crates/node/src/traffic/target/body.rs
+++ b/crates/node/src/traffic/target/body.rs
@@ -1,4 +1,4 @@
-//! The body of a target's answer.
+//! The body of an answer of the local target.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -15,33 +15,33 @@
 use sassafrasspool_core::Request as Stage;
 
 use super::connection::Connection;
-use super::pool::put_back;
+use super::pool::return_to_pool;
 use crate::Clock;
 use crate::traffic::BoxError;
-use crate::traffic::stored_answer::Recorder;
-use crate::traffic::target::crash_watch::Watched;
+use crate::traffic::stored_answer::AnswerRecorder;
+use crate::traffic::target::crash_watch::WatchedRequest;
 
-/// What the target answers, together with the connection that it comes by.
+/// The body of an answer, together with the connection on which it arrives.
 ///
 /// # Invariants
 ///
-/// The connection goes back to the pool only if the answer has ended and the
-/// request was sent whole; else it is closed with this body.
+/// The connection returns to the pool only if the answer has ended and the request
+/// was sent completely. Otherwise it is closed when this body is dropped.
 #[derive(Debug)]
 pub(in crate::traffic) struct TargetBody {
     body: Incoming,
     conn: Option<Connection>,
     ended: bool,
-    held: Option<Held>,
-    recorder: Option<Box<Recorder>>,
+    slot: Option<HeldSlot>,
+    recorder: Option<Box<AnswerRecorder>>,
 }
 
-/// The request's last stage, which holds its slot.
+/// The last stage of the request, which holds its slot.
 #[derive(Debug)]
-struct Held {
+struct HeldSlot {
     stage: Stage<Answered>,
     clock: Clock,
-    watched: Option<Box<Watched>>,
+    watched: Option<Box<WatchedRequest>>,
 }
 
 impl TargetBody {
@@ -50,19 +50,19 @@
             ended: body.is_end_stream(),
             body,
             conn: Some(conn),
-            held: None,
+            slot: None,
             recorder: None,
         }
     }
 
-    /// The same, which holds a slot until it ends.
-    pub(in crate::traffic) fn holding(
+    /// Attaches the slot of the request, which the body holds until it is dropped.
+    pub(in crate::traffic) fn with_slot(
         mut self,
         stage: Stage<Answered>,
         clock: Clock,
-        watched: Option<Box<Watched>>,
+        watched: Option<Box<WatchedRequest>>,
     ) -> TargetBody {
-        self.held = Some(Held {
+        self.slot = Some(HeldSlot {
             stage,
             clock,
             watched,
@@ -70,8 +70,11 @@
         self
     }
 
-    /// The same, which is kept for repeats when it has ended.
-    pub(in crate::traffic) fn recorded(mut self, recorder: Option<Box<Recorder>>) -> TargetBody {
+    /// Attaches a recorder, which stores the complete answer for repeats of the request.
+    pub(in crate::traffic) fn with_recorder(
+        mut self,
+        recorder: Option<Box<AnswerRecorder>>,
+    ) -> TargetBody {
         self.recorder = recorder;
         self
     }
@@ -89,20 +92,20 @@
         Pin::new(&mut self.body).poll_frame(cx)
     }
 
-    /// Gives the connection back, if it is fit for another exchange.
-    fn release(&mut self) {
+    /// Returns the connection to the pool, if it can carry another exchange.
+    fn release_connection(&mut self) {
         let Some(mut conn) = self.conn.take() else {
             return;
         };
         if !self.ended {
             return;
         }
-        // The connection has yet to notice that the exchange is over.
+        // The connection only notices the end of the exchange when it is polled.
         conn.drive(&mut Context::from_waker(Waker::noop()));
         if conn.is_usable() {
-            // INVARIANT: Ended, and a connection that still has a request to
-            // send isn't usable.
-            put_back(conn);
+            // INVARIANT: The answer has ended, and a connection that still has a
+            // part of the request to send isn't usable.
+            return_to_pool(conn);
         }
     }
 }
@@ -121,13 +124,13 @@
             Poll::Ready(Some(Ok(frame))) => {
                 self.ended = self.body.is_end_stream();
                 if let Some(recorder) = &mut self.recorder {
-                    recorder.take(frame);
+                    recorder.record(frame);
                 }
             }
             Poll::Ready(Some(Err(_))) => {
-                let held = self.held.as_ref();
-                if let Some(watched) = held.and_then(|held| held.watched.as_ref()) {
-                    watched.lost();
+                let slot = self.slot.as_ref();
+                if let Some(watched) = slot.and_then(|slot| slot.watched.as_ref()) {
+                    watched.record_broken_connection();
                 }
             }
             Poll::Pending => {}
@@ -146,27 +149,27 @@
 
 impl Drop for TargetBody {
     fn drop(&mut self) {
-        self.release();
-        // The slot is free only once the connection is back or closed, so
-        // that its next holder finds a connection.
-        let Some(held) = self.held.take() else {
+        self.release_connection();
+        // The slot is freed only after the connection is returned or closed, so
+        // that the next holder of the slot finds a connection.
+        let Some(slot) = self.slot.take() else {
             return;
         };
-        let Held {
+        let HeldSlot {
             stage,
             clock,
             watched,
-        } = held;
+        } = slot;
         if self.ended {
             if let Some(watched) = watched {
-                watched.answered();
+                watched.record_answer();
             }
             if let Some(recorder) = self.recorder.take() {
                 recorder.finish(clock.now());
             }
             stage.finish(clock.now());
         } else {
-            // The connection or stream that this body is of fails by itself.
+            // The connection or stream that carries this body fails by itself.
             let _ = stage.cut(clock.now(), LossCause::AnswerCut);
         }
     }
--- a/crates/node/src/traffic/target/connection.rs
+++ b/crates/node/src/traffic/target/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the target.
+//! One connection to the local target.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -12,21 +12,20 @@
 use sassafrasspool_wire::Counted;
 use sassafrasspool_wire::SocketBytes;
 
-use super::pool::Open;
+use super::pool::OpenGuard;
 use super::pool::WorkerIndex;
 use crate::traffic::payload::Payload;
 
-/// A connection that is driven by whoever holds it: no task of its own stands
-/// between a request and its bytes, and dropping it closes the socket.
+/// A connection that is polled by its holder. No separate task runs between a
+/// request and its bytes, and dropping the connection closes the socket.
 #[derive(Debug)]
 pub(in crate::traffic) struct Connection {
     pub(super) sender: http1::SendRequest<Payload>,
     driver: Pin<Box<http1::Connection<TokioIo<Counted>, Payload>>>,
     ended: bool,
     written: Arc<SocketBytes>,
-    /// When it was last used.
-    pub(super) used: Instant,
-    open: Open,
+    pub(super) last_used: Instant,
+    open: OpenGuard,
 }
 
 impl Connection {
@@ -34,43 +33,43 @@
         sender: http1::SendRequest<Payload>,
         driver: http1::Connection<TokioIo<Counted>, Payload>,
         written: Arc<SocketBytes>,
-        open: Open,
+        open: OpenGuard,
     ) -> Connection {
         Connection {
             sender,
             driver: Box::pin(driver),
             ended: false,
             written,
-            used: Instant::now(),
+            last_used: Instant::now(),
             open,
         }
     }
 
-    /// The thread on which it was opened.
+    /// The traffic thread on which the connection was opened.
     pub(super) fn worker(&self) -> WorkerIndex {
         self.open.worker()
     }
 
-    /// What counts it as open.
-    pub(super) fn open(&self) -> &Open {
+    /// The guard that counts the connection as open in its pool.
+    pub(super) fn open(&self) -> &OpenGuard {
         &self.open
     }
 
-    /// Bytes that the socket has taken so far.
+    /// Bytes written to the socket so far.
     pub(super) fn written(&self) -> u64 {
         self.written.written()
     }
 
-    /// Moves bytes; nothing to do once the connection has ended.
+    /// Reads and writes what the socket allows. Does nothing once the connection has ended.
     pub(super) fn drive(&mut self, cx: &mut Context<'_>) {
         if self.ended {
             return;
         }
-        // The exchange learns of a failure by itself, from its own future.
+        // A failure is returned by the future of the exchange.
         self.ended = matches!(self.driver.as_mut().poll(cx), Poll::Ready(_));
     }
 
-    /// Whether the next request can go out on it.
+    /// Whether the next request can be sent on the connection.
     pub(super) fn is_usable(&self) -> bool {
         !self.ended && self.sender.is_ready()
     }
--- a/crates/node/src/traffic/target/crash_watch.rs
+++ b/crates/node/src/traffic/target/crash_watch.rs
@@ -1,4 +1,4 @@
-//! Seeing that the own target crashes, and what it ran then.
+//! Detects crashes of the local target, and the requests that it ran at that time.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -14,28 +14,28 @@
 
 use crate::traffic::hub::Hub;
 use crate::traffic::target;
-use crate::traffic::target::Lost;
+use crate::traffic::target::BreakScope;
 
-/// How long after a connection broke the target is tried: a process that crashes has
-/// closed its listener by then, and none is back yet.
-const TRIED_AFTER: Duration = Duration::from_millis(20);
+/// Delay between a broken connection and the probe of the target. By then a crashed
+/// process has closed its listener, and no restarted process listens yet.
+const PROBE_DELAY: Duration = Duration::from_millis(20);
 
-/// How long all that ran in a target that may have crashed has to end: on a busy machine
-/// each thread of the node sees late that its connections broke.
-const ENDED_WITHIN: Duration = Duration::from_millis(500);
+/// Time within which all requests that ran in a target must have ended if it crashed. On a
+/// busy machine each thread of the node notices late that its connections broke.
+const RUNS_END_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often it is looked at meanwhile.
-const ENDED_POLL: Duration = Duration::from_millis(10);
+/// Interval between checks whether these requests have ended.
+const RUNS_END_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 #[cfg(test)]
 mod tests;
 
 new_key_type! {
-    /// Names a request that the own target runs.
+    /// Identifies a request that the local target runs.
     struct RunKey;
 }
 
-/// What the own target runs, and whether its last crash was told.
+/// The requests that the local target runs, and the state of crash detection.
 #[derive(Debug, Default)]
 pub(in crate::traffic) struct CrashWatch {
     state: Mutex<State>,
@@ -44,78 +44,80 @@
 #[derive(Debug, Default)]
 struct State {
     running: SlotMap<RunKey, Content>,
-    /// What ran as a connection broke, while it is being found out why it did.
-    suspected: Option<Suspected>,
-    /// Connections to the target that had been opened when its last crash was told. As
-    /// long as there are no more, whatever breaks belongs to that crash.
-    told_at: Option<u64>,
-    /// Crashes that were told.
+    /// The requests that ran when a connection broke, while the cause is determined.
+    suspects: Option<Suspects>,
+    /// Total of connections opened to the target when its last crash was reported. Until
+    /// another one is opened, every broken connection belongs to that crash.
+    opened_at_report: Option<u64>,
+    /// Crashes reported so far.
     crashes: u64,
-    /// Whether the target has answered since the last of them what it was handed since.
+    /// Whether the target has answered a request that was handed over after its last
+    /// reported crash.
     answered: bool,
 }
 
-/// What ran as a connection broke.
+/// The requests that ran when a connection broke.
 #[derive(Debug)]
-struct Suspected {
-    ran: Vec<(RunKey, Content)>,
-    /// Whether the target has answered one of them since.
+struct Suspects {
+    runs: Vec<(RunKey, Content)>,
+    /// Whether the target has answered one of them since then.
     survived: bool,
 }
 
 impl CrashWatch {
-    /// Whether all that is suspected ends without an answer, at a target that has answered
-    /// something since its last crash.
+    /// Whether all suspects end without an answer, in a target that has answered a request
+    /// since its last crash.
     ///
-    /// A target without room goes on with what it has. One that has answered nothing since
-    /// its last crash may still be down, behind something that takes connections: whatever
-    /// is sent there is lost, and no sign against anything.
-    async fn all_end(&self) -> bool {
-        let until = Instant::now() + ENDED_WITHIN;
+    /// A target without capacity for connections continues the requests that it runs. A
+    /// target that has answered nothing since its last crash may still be down, behind an
+    /// intermediary that accepts connections. Every request sent there is lost, which is no
+    /// evidence against any request.
+    async fn all_suspects_end(&self) -> bool {
+        let until = Instant::now() + RUNS_END_TIMEOUT;
         loop {
             {
                 let state = self.lock();
-                let Some(suspected) = &state.suspected else {
+                let Some(suspects) = &state.suspects else {
                     return false;
                 };
-                if !state.answered || suspected.survived {
+                if !state.answered || suspects.survived {
                     return false;
                 }
-                let runs = |(key, _): &(RunKey, Content)| state.running.contains_key(*key);
-                if !suspected.ran.iter().any(runs) {
+                let is_running = |(key, _): &(RunKey, Content)| state.running.contains_key(*key);
+                if !suspects.runs.iter().any(is_running) {
                     return true;
                 }
             }
             if Instant::now() >= until {
                 return false;
             }
-            tokio::time::sleep(ENDED_POLL).await;
+            tokio::time::sleep(RUNS_END_POLL_INTERVAL).await;
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // Nothing can panic halfway through a change of it.
+        // No change of the state can panic halfway.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// One request that the own target runs, until this is dropped.
+/// One request that the local target runs, until this is dropped.
 #[derive(Debug)]
-pub(in crate::traffic) struct Watched {
+pub(in crate::traffic) struct WatchedRequest {
     hub: Arc<Hub>,
     content: Content,
     key: RunKey,
-    /// Crashes that had been told as it was handed over.
+    /// Crashes reported before it was handed over.
     crashes: u64,
-    /// Whether its answer shows that the target has run it and lives on.
+    /// Whether its answer shows that the target has run it without a crash.
     shows_run: bool,
 }
 
-impl Watched {
-    /// Enters a request that is handed over.
-    pub(in crate::traffic) fn enter(hub: &Arc<Hub>, content: Content) -> Box<Watched> {
+impl WatchedRequest {
+    /// Adds a request that is handed over to the running ones.
+    pub(in crate::traffic) fn start(hub: &Arc<Hub>, content: Content) -> Box<WatchedRequest> {
         let mut state = hub.crash_watch.lock();
-        Box::new(Watched {
+        Box::new(WatchedRequest {
             hub: Arc::clone(hub),
             content,
             key: state.running.insert(content),
@@ -124,23 +126,23 @@
         })
     }
 
-    /// Its answer begins with that status.
+    /// Records the status with which the answer begins.
     ///
-    /// A target that starts cold, or is full, refuses by itself what it doesn't run, and so
-    /// does whatever stands before one that is down. Such an answer says nothing of what
-    /// happens when the request is run.
-    pub(in crate::traffic) fn begins_answer(&mut self, status: StatusCode) {
+    /// A target that is cold or overloaded refuses requests without running them, and so
+    /// does an intermediary before a target that is down. Such an answer shows nothing of
+    /// what happens when the request is run.
+    pub(in crate::traffic) fn record_status(&mut self, status: StatusCode) {
         let refused = status == StatusCode::TOO_MANY_REQUESTS || status.is_server_error();
         self.shows_run = !refused;
     }
 
-    /// Its answer came whole.
-    pub(in crate::traffic) fn answered(&self) {
+    /// Records that the answer was received completely.
+    pub(in crate::traffic) fn record_answer(&self) {
         {
             let mut state = self.hub.crash_watch.lock();
             state.answered |= self.crashes == state.crashes;
-            if let Some(suspected) = &mut state.suspected {
-                suspected.survived |= suspected.ran.iter().any(|(key, _)| *key == self.key);
+            if let Some(suspects) = &mut state.suspects {
+                suspects.survived |= suspects.runs.iter().any(|(key, _)| *key == self.key);
             }
         }
         if !self.shows_run {
@@ -151,26 +153,27 @@
         shared.quarantine().answered(now, &self.content);
     }
 
-    /// Its connection broke. If the target is gone with it, whatever it ran at that moment
-    /// may be why.
+    /// Records that the connection of the request broke. If the target crashed, any of the
+    /// requests that it ran at that moment may be the cause.
     ///
-    /// A target also breaks off single answers, and resets connections that it has no room
-    /// for; so it is tried whether it still takes connections. The first of all that break
-    /// together tells of all, and nobody's answer waits for it.
-    pub(in crate::traffic) fn lost(&self) {
+    /// A target also aborts single answers, and resets connections for which it has no
+    /// capacity. The target is therefore probed for whether it still accepts connections.
+    /// Of the connections that break together, the first one starts the probe and the
+    /// report for all. No answer is delayed by the probe.
+    pub(in crate::traffic) fn record_broken_connection(&self) {
         let hub = &self.hub;
         if hub.is_leaving() || hub.has_departed() {
-            // It was to end anyway, whatever it ran.
+            // The target was to stop anyway, whatever it ran.
             return;
         }
         {
             let mut state = hub.crash_watch.lock();
-            if state.suspected.is_some() || state.told_at == Some(hub.pool.opened()) {
+            if state.suspects.is_some() || state.opened_at_report == Some(hub.pool.opened_total()) {
                 return;
             }
-            let ran = state.running.iter().map(|(key, of)| (key, *of));
-            state.suspected = Some(Suspected {
-                ran: ran.collect(),
+            let runs = state.running.iter().map(|(key, content)| (key, *content));
+            state.suspects = Some(Suspects {
+                runs: runs.collect(),
                 survived: false,
             });
         }
@@ -179,36 +182,36 @@
         connections.spawn(async move {
             let cancel = hub.cut.clone();
             cancel.run_until_cancelled(report_crash(&hub)).await;
-            hub.crash_watch.lock().suspected = None;
+            hub.crash_watch.lock().suspects = None;
         });
     }
 }
 
-impl Drop for Watched {
+impl Drop for WatchedRequest {
     fn drop(&mut self) {
         self.hub.crash_watch.lock().running.remove(self.key);
     }
 }
 
-/// Reports a crash under all that is suspected, if it was one.
+/// Reports a crash together with all suspects, if the target crashed.
 async fn report_crash(hub: &Hub) {
-    tokio::time::sleep(TRIED_AFTER).await;
-    let crashed = match target::find_lost(&hub.pool).await {
-        Lost::Connection => false,
-        Lost::Target => true,
-        Lost::Unclear => hub.crash_watch.all_end().await,
+    tokio::time::sleep(PROBE_DELAY).await;
+    let crashed = match target::diagnose_break(&hub.pool).await {
+        BreakScope::Connection => false,
+        BreakScope::Target => true,
+        BreakScope::Unclear => hub.crash_watch.all_suspects_end().await,
     };
     if !crashed {
         return;
     }
-    let ran = {
+    let contents = {
         let mut state = hub.crash_watch.lock();
-        state.told_at = Some(hub.pool.opened());
+        state.opened_at_report = Some(hub.pool.opened_total());
         state.crashes += 1;
         state.answered = false;
-        let suspected = state.suspected.iter();
-        let ran = suspected.flat_map(|suspected| &suspected.ran);
-        ran.map(|(_, content)| *content).collect()
+        let suspects = state.suspects.iter();
+        let runs = suspects.flat_map(|suspects| &suspects.runs);
+        runs.map(|(_, content)| *content).collect()
     };
-    hub.shared.quarantine().crashed(ran).await;
+    hub.shared.quarantine().crashed(contents).await;
 }
--- a/crates/node/src/traffic/target/crash_watch/tests.rs
+++ b/crates/node/src/traffic/target/crash_watch/tests.rs
@@ -4,12 +4,12 @@
 use sassafrasspool_core::Content;
 
 use super::CrashWatch;
-use super::Suspected;
+use super::Suspects;
 
-/// What becomes of a request that ran beside the one whose connection broke.
+/// What happens to another request that ran when a connection broke.
 #[derive(Debug, Clone, Copy)]
 enum Other {
-    /// Its connection is seen to have broken so many milliseconds later.
+    /// The node notices so many milliseconds later that its connection broke.
     EndsAfter(u64),
     /// The target answers it so many milliseconds later.
     IsAnsweredAfter(u64),
@@ -18,29 +18,29 @@
 #[derive(Debug)]
 struct Case {
     other: Other,
-    /// Whether the target has answered something since its last crash.
+    /// Whether the target has answered a request since its last crash.
     answered: bool,
     crashed: bool,
 }
 
-/// Guards against a crash that isn't reported since a busy node sees one of the broken
-/// connections later than another, and against reports about targets that live on.
+/// Guards against a crash that isn't reported because a busy node notices one broken
+/// connection later than another, and against crash reports about running targets.
 #[rstest]
 #[case::at_once(Case { other: Other::EndsAfter(0), answered: true, crashed: true })]
-#[case::seen_late(Case { other: Other::EndsAfter(200), answered: true, crashed: true })]
-#[case::goes_on(Case { other: Other::EndsAfter(5_000), answered: true, crashed: false })]
-#[case::lives_on(Case { other: Other::IsAnsweredAfter(200), answered: true, crashed: false })]
+#[case::noticed_late(Case { other: Other::EndsAfter(200), answered: true, crashed: true })]
+#[case::continues(Case { other: Other::EndsAfter(5_000), answered: true, crashed: false })]
+#[case::answers(Case { other: Other::IsAnsweredAfter(200), answered: true, crashed: false })]
 #[case::still_down(Case { other: Other::EndsAfter(0), answered: false, crashed: false })]
 #[tokio::test(start_paused = true)]
-async fn a_target_has_crashed_if_all_that_it_ran_ends(#[case] case: Case) {
+async fn a_target_has_crashed_if_all_its_requests_end(#[case] case: Case) {
     let watch = CrashWatch::default();
     let content = Content::of("GET", "desk.example", "/covers/7", None, b"");
     let key = {
         let mut state = watch.lock();
         state.answered = case.answered;
         let key = state.running.insert(content);
-        state.suspected = Some(Suspected {
-            ran: vec![(key, content)],
+        state.suspects = Some(Suspects {
+            runs: vec![(key, content)],
             survived: false,
         });
         key
@@ -53,10 +53,10 @@
         tokio::time::sleep(Duration::from_millis(after_ms)).await;
         let mut state = watch.lock();
         state.running.remove(key);
-        if let Some(suspected) = &mut state.suspected {
-            suspected.survived = answered;
+        if let Some(suspects) = &mut state.suspects {
+            suspects.survived = answered;
         }
     };
-    let (crashed, ()) = tokio::join!(watch.all_end(), ends);
+    let (crashed, ()) = tokio::join!(watch.all_suspects_end(), ends);
     assert_eq!(crashed, case.crashed, "{case:?}");
 }
--- a/crates/node/src/traffic/target/exchange.rs
+++ b/crates/node/src/traffic/target/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer on a connection to the target.
+//! One request and its answer on a connection to the local target.
 
 use std::future::Future;
 use std::future::poll_fn;
@@ -16,26 +16,26 @@
 
 /// How an exchange failed.
 #[derive(Debug)]
-pub(in crate::traffic) enum Failure {
-    /// Not a byte of the request was sent; it may come back.
+pub(in crate::traffic) enum ExchangeFailure {
+    /// Not a byte of the request was sent; the request is returned if it is available.
     NotSent(Error, NothingSent, Option<Box<Request<Payload>>>),
-    /// The target may have the request.
+    /// The target may have received the request.
     Sent(Error),
 }
 
-/// Hands `req` to the target and waits for the head of its answer.
+/// Sends `req` to the target and waits for the head of its answer.
 ///
 /// Dropping the future, or the body of the answer before its end, closes the
-/// connection: an answer that comes late has no connection left on which it
-/// could meet another request, and the target sees that nobody waits.
+/// connection. A late answer therefore can't be taken for the answer to another
+/// request, and the target can detect that the caller no longer waits.
 ///
 /// # Errors
 ///
-/// Says whether anything of the request was sent.
+/// Returns whether anything of the request was sent.
 pub(in crate::traffic) async fn exchange(
     mut conn: Connection,
     req: Request<Payload>,
-) -> Result<Response<TargetBody>, Failure> {
+) -> Result<Response<TargetBody>, ExchangeFailure> {
     let before = conn.written();
     let mut response = pin!(conn.sender.try_send_request(req));
     let result = poll_fn(|cx| {
@@ -50,8 +50,8 @@
             let error = Error::new(Step::Forward, "the exchange with the target failed");
             let error = error.with_cause(failed.into_error());
             Err(match NothingSent::by_count(before, conn.written()) {
-                Some(proof) => Failure::NotSent(error, proof, unsent),
-                None => Failure::Sent(error),
+                Some(proof) => ExchangeFailure::NotSent(error, proof, unsent),
+                None => ExchangeFailure::Sent(error),
             })
         }
     }
--- a/crates/node/src/traffic/target/lives.rs
+++ b/crates/node/src/traffic/target/lives.rs
@@ -1,4 +1,4 @@
-//! The lives of the own target: which one is listed, and which one answers.
+//! The generations of the local target: which one is listed, and which one answers.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -12,49 +12,51 @@
 #[cfg(test)]
 mod tests;
 
-/// The own target's lives as requests last saw them.
+/// The generations of the local target as of the last requests.
 #[derive(Debug, Default)]
 pub(in crate::traffic) struct OwnLife {
     listed: Mutex<Option<TargetLife>>,
-    seen: Mutex<Succession<HeaderValue>>,
+    succession: Mutex<Succession<HeaderValue>>,
 }
 
 impl OwnLife {
-    /// Takes over the life that is listed now, and tells whether an earlier one
-    /// ended.
+    /// Stores the generation that is listed now, and returns whether it replaces
+    /// an earlier one.
     pub(in crate::traffic) fn follow(&self, listed: &TargetLife) -> bool {
-        let mut held = self.listed.lock().unwrap_or_else(PoisonError::into_inner);
-        listed.replaces(&mut held)
+        let mut stored = self.listed.lock().unwrap_or_else(PoisonError::into_inner);
+        listed.replaces(&mut stored)
     }
 
-    /// The life to name to the target in a request that is meant for `asked`.
-    pub(in crate::traffic) fn meant(&self, now: Tick, asked: &HeaderValue) -> HeaderValue {
-        self.seen().meant(now, asked).clone()
+    /// The generation to name to the target in a request that is meant for `requested`.
+    pub(in crate::traffic) fn resolve(&self, now: Tick, requested: &HeaderValue) -> HeaderValue {
+        self.succession().meant(now, requested).clone()
     }
 
-    /// Notes that the target answered a request that named this life.
-    pub(in crate::traffic) fn answered(&self, named: &HeaderValue) {
-        self.seen().answered(named);
+    /// Records that the target answered a request that named this generation.
+    pub(in crate::traffic) fn record_answered(&self, named: &HeaderValue) {
+        self.succession().answered(named);
     }
 
-    /// Notes that the target declined a request that named another life than its
-    /// own, which is `answering`.
-    pub(in crate::traffic) fn declined(
+    /// Records that the target declined a request that named another generation than
+    /// its own, which is `answering`.
+    pub(in crate::traffic) fn record_declined(
         &self,
         now: Tick,
         named: &HeaderValue,
         answering: &HeaderValue,
     ) {
-        if self.seen().declined(now, named, answering) {
+        if self.succession().declined(now, named, answering) {
             tracing::info!(
                 ?named,
                 ?answering,
-                "the own target is a later life than the listed one"
+                "the local target is a later generation than the listed one"
             );
         }
     }
 
-    fn seen(&self) -> MutexGuard<'_, Succession<HeaderValue>> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn succession(&self) -> MutexGuard<'_, Succession<HeaderValue>> {
+        self.succession
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/traffic/target/lives/tests.rs
+++ b/crates/node/src/traffic/target/lives/tests.rs
@@ -3,21 +3,27 @@
 
 use super::OwnLife;
 
-fn life(id: &str, listed_at: u64, born: Option<u64>) -> TargetLife {
+fn generation(id: &str, listed_at: u64, born: Option<u64>) -> TargetLife {
     TargetLife {
-        id: TargetId::new(id).expect("a name"),
+        id: TargetId::new(id).expect("the id is valid"),
         listed_at,
         born,
     }
 }
 
-/// Guards against requests that go out on connections to a process that has ended.
+/// Guards against requests that are sent on connections to a process that has ended.
 #[test]
-fn another_start_is_told_once() {
+fn a_restart_is_reported_once() {
     let own = OwnLife::default();
-    assert!(!own.follow(&life("t-1", 5, Some(100))), "the first");
-    assert!(!own.follow(&life("t-1", 9, Some(100))), "listed anew");
-    assert!(own.follow(&life("t-1", 9, Some(200))), "started again");
-    assert!(!own.follow(&life("t-1", 9, Some(200))), "told already");
-    assert!(own.follow(&life("t-2", 12, None)), "another name");
+    assert!(!own.follow(&generation("t-1", 5, Some(100))), "the first");
+    assert!(
+        !own.follow(&generation("t-1", 9, Some(100))),
+        "listed again"
+    );
+    assert!(own.follow(&generation("t-1", 9, Some(200))), "restarted");
+    assert!(
+        !own.follow(&generation("t-1", 9, Some(200))),
+        "reported already"
+    );
+    assert!(own.follow(&generation("t-2", 12, None)), "another id");
 }
--- a/crates/node/src/traffic/target/pool.rs
+++ b/crates/node/src/traffic/target/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to the target, never more than it was set to have.
+//! The connections to the local target, limited by the settings.
 
 use std::io;
 use std::net::SocketAddr;
@@ -31,13 +31,13 @@
 use crate::traffic::bounds::MAX_HEAD_BYTES;
 use crate::traffic::bounds::MAX_IDLE;
 
-/// Which traffic thread a connection was made on; using it there is cheapest.
+/// The traffic thread on which a connection was opened; using it there is cheapest.
 pub(in crate::traffic) type WorkerIndex = usize;
 
-/// How long a new connection stays open at a target that is there.
-const STAYS_OPEN: Duration = Duration::from_millis(20);
+/// How long a new connection has to stay open to show that the target is up.
+const OPEN_CHECK_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// The pool.
+/// The connections to the local target.
 ///
 /// # Invariants
 ///
@@ -47,74 +47,74 @@
 pub(in crate::traffic) struct Pool {
     addr: SocketAddr,
     limit: AtomicU32,
-    /// Counts the connections that were ever opened.
-    opened: AtomicU64,
+    /// Connections opened since the pool was created.
+    opened_total: AtomicU64,
     reach: Reach,
-    held: Mutex<Held>,
+    state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
-struct Held {
+struct State {
     open: u32,
     idle: Vec<Connection>,
 }
 
 impl Pool {
-    /// A pool of at most `limit` connections to `addr`; none is opened yet.
+    /// A pool of at most `limit` connections to `addr`. No connection is opened yet.
     pub(in crate::traffic) fn new(addr: SocketAddr, limit: u32) -> Arc<Pool> {
         Arc::new(Pool {
             addr,
             limit: AtomicU32::new(limit),
-            opened: AtomicU64::new(0),
+            opened_total: AtomicU64::new(0),
             reach: Reach::new("target"),
-            held: Mutex::default(),
+            state: Mutex::default(),
         })
     }
 
-    /// Bounds it anew; connections beyond the bound go as they are given up.
+    /// Sets the limit; connections beyond it are not replaced when they close.
     pub(in crate::traffic) fn resize(&self, limit: u32) {
         if self.limit() != limit {
             self.limit.store(limit, Ordering::Relaxed);
         }
     }
 
-    /// How many connections were ever opened.
-    pub(in crate::traffic) fn opened(&self) -> u64 {
-        self.opened.load(Ordering::Relaxed)
+    /// Connections opened since the pool was created.
+    pub(in crate::traffic) fn opened_total(&self) -> u64 {
+        self.opened_total.load(Ordering::Relaxed)
     }
 
     fn limit(&self) -> u32 {
         self.limit.load(Ordering::Relaxed)
     }
 
-    fn put(&self, mut conn: Connection) {
-        conn.used = Instant::now();
+    fn put_idle(&self, mut conn: Connection) {
+        conn.last_used = Instant::now();
         self.lock().idle.push(conn);
     }
 
-    /// Closes what is idle.
+    /// Closes the idle connections.
     pub(in crate::traffic) fn clear(&self) {
         let idle = std::mem::take(&mut self.lock().idle);
         drop(idle);
     }
 
     fn pop_idle(&self, worker: WorkerIndex) -> Option<Connection> {
-        let mut old = Vec::new();
-        let mut held = self.lock();
+        let mut expired = Vec::new();
+        let mut state = self.lock();
         let now = Instant::now();
-        // The newest come last, so that the oldest stand in front.
-        while held.idle.first().is_some_and(|idle| is_old(idle, now)) {
-            old.push(held.idle.remove(0));
+        // Connections are ordered by their last use, the oldest first.
+        while state.idle.first().is_some_and(|idle| is_expired(idle, now)) {
+            expired.push(state.idle.remove(0));
         }
-        let own = held.idle.iter().rposition(|idle| idle.worker() == worker);
+        let own = state.idle.iter().rposition(|idle| idle.worker() == worker);
         let found = match own {
-            Some(at) => Some(held.idle.remove(at)),
-            None if held.open < self.limit() => None,
-            None => held.idle.pop(),
+            Some(at) => Some(state.idle.remove(at)),
+            None if state.open < self.limit() => None,
+            None => state.idle.pop(),
         };
-        drop(held);
-        // Closing takes the lock again to count down.
-        drop(old);
+        drop(state);
+        // Closing a connection locks the state to decrement the count.
+        drop(expired);
         found
     }
 
@@ -131,12 +131,12 @@
     }
 
     async fn open(self: &Arc<Pool>, worker: WorkerIndex) -> Result<Connection> {
-        let open = Open::try_new(self, worker)?;
+        let open = OpenGuard::try_new(self, worker)?;
         let fail = |e| self.error("cannot connect").with_cause(e);
         let stream = self.connect().await.map_err(fail)?;
         stream.set_nodelay(true).map_err(fail)?;
         counter!(traffic::TARGET_CONNECTIONS).increment(1);
-        self.opened.fetch_add(1, Ordering::Relaxed);
+        self.opened_total.fetch_add(1, Ordering::Relaxed);
         let written = Arc::new(SocketBytes::default());
         let io = TokioIo::new(Counted::new(stream, Arc::clone(&written)));
         let handshake = http1::Builder::new()
@@ -146,7 +146,7 @@
             .await
             .map_err(|e| self.error("cannot connect").with_cause(e))?;
         let mut conn = Connection::new(sender, driver, written, open);
-        // The first poll makes it ready to take a request.
+        // The first poll makes the connection ready for a request.
         conn.drive(&mut Context::from_waker(Waker::noop()));
         Ok(conn)
     }
@@ -155,20 +155,23 @@
         Error::new(Step::Connect, message).at_peer(self.addr)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Held> {
-        // Nothing can panic halfway through a change of what is held.
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        // No change of the state can panic halfway.
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// An idle connection, or a new one.
+/// Returns an idle connection, or a new one.
 ///
 /// # Errors
 ///
-/// Fails if no connection may or can be opened; nothing was sent then.
-pub(in crate::traffic) async fn take(pool: &Arc<Pool>, worker: WorkerIndex) -> Result<Connection> {
+/// Fails if the limit is reached or no connection can be opened. Nothing is sent then.
+pub(in crate::traffic) async fn acquire(
+    pool: &Arc<Pool>,
+    worker: WorkerIndex,
+) -> Result<Connection> {
     while let Some(mut conn) = pool.pop_idle(worker) {
-        // Sees whether the target has closed it meanwhile.
+        // Detects whether the target has closed the connection in the meantime.
         conn.drive(&mut Context::from_waker(Waker::noop()));
         if conn.is_usable() {
             return Ok(conn);
@@ -177,76 +180,78 @@
     pool.open(worker).await
 }
 
-/// What broke as a connection to the target did.
+/// What failed when a connection to the target broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::traffic) enum Lost {
-    /// The connection alone, as far as can be told.
+pub(in crate::traffic) enum BreakScope {
+    /// Only the connection, as far as is known.
     Connection,
     /// The target, which refuses connections.
     Target,
-    /// The target, or it had no room: it takes connections and closes them at once. So
-    /// does whatever stands between, when there is no target behind it.
+    /// The target, or it has no capacity for the connection: connections are accepted and
+    /// closed at once. An intermediary without a target behind it does the same.
     Unclear,
 }
 
-/// Finds out what was lost by opening a connection, which is closed again: it counts as
-/// none of the pool's, so that no request goes elsewhere for want of one, and a target that
-/// has few to give isn't kept from giving them.
-pub(in crate::traffic) async fn find_lost(pool: &Pool) -> Lost {
+/// Determines what failed by opening a connection, which is closed again.
+///
+/// The connection doesn't count towards the limit of the pool, so that no request is sent
+/// elsewhere because of a missing connection. It is closed at once, so that a target that
+/// accepts few connections can still accept those of the pool.
+pub(in crate::traffic) async fn diagnose_break(pool: &Pool) -> BreakScope {
     let stream = match pool.connect().await {
         Ok(stream) => stream,
-        Err(err) if err.kind() == io::ErrorKind::ConnectionRefused => return Lost::Target,
-        // It doesn't answer, and may still run all that it has.
-        Err(_) => return Lost::Connection,
+        Err(err) if err.kind() == io::ErrorKind::ConnectionRefused => return BreakScope::Target,
+        // The target doesn't answer, but may still run all of its requests.
+        Err(_) => return BreakScope::Connection,
     };
-    let mut unasked = [0];
-    match tokio::time::timeout(STAYS_OPEN, stream.peek(&mut unasked)).await {
-        Ok(Ok(0) | Err(_)) => Lost::Unclear,
-        _ => Lost::Connection,
+    let mut buf = [0];
+    match tokio::time::timeout(OPEN_CHECK_TIMEOUT, stream.peek(&mut buf)).await {
+        Ok(Ok(0) | Err(_)) => BreakScope::Unclear,
+        _ => BreakScope::Connection,
     }
 }
 
-fn is_old(idle: &Connection, now: Instant) -> bool {
-    now.duration_since(idle.used) > MAX_IDLE
+fn is_expired(idle: &Connection, now: Instant) -> bool {
+    now.duration_since(idle.last_used) > MAX_IDLE
 }
 
-/// One connection that counts as open.
+/// Counts one connection as open until it is dropped.
 #[derive(Debug)]
-pub(super) struct Open {
+pub(super) struct OpenGuard {
     pool: Arc<Pool>,
     worker: WorkerIndex,
 }
 
-impl Open {
-    fn try_new(pool: &Arc<Pool>, worker: WorkerIndex) -> Result<Open> {
-        let mut held = pool.lock();
-        if held.open >= pool.limit() {
+impl OpenGuard {
+    fn try_new(pool: &Arc<Pool>, worker: WorkerIndex) -> Result<OpenGuard> {
+        let mut state = pool.lock();
+        if state.open >= pool.limit() {
             return Err(pool.error("all connections are in use"));
         }
-        held.open += 1;
+        state.open += 1;
         // INVARIANT: The count was below the limit.
         let pool = Arc::clone(pool);
-        Ok(Open { pool, worker })
+        Ok(OpenGuard { pool, worker })
     }
 
-    /// The thread on which it was opened.
+    /// The traffic thread on which the connection was opened.
     pub(super) fn worker(&self) -> WorkerIndex {
         self.worker
     }
 
-    /// The pool that it belongs to.
+    /// The pool to which the connection belongs.
     fn pool(&self) -> Arc<Pool> {
         Arc::clone(&self.pool)
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.pool.lock().open -= 1;
     }
 }
 
-/// Gives a connection back whose exchange has ended on both sides.
-pub(super) fn put_back(conn: Connection) {
-    conn.open().pool().put(conn);
+/// Returns a connection to its pool after the exchange on it has ended on both sides.
+pub(super) fn return_to_pool(conn: Connection) {
+    conn.open().pool().put_idle(conn);
 }
