--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -1,17 +1,17 @@
-//! Requests: the listeners for callers and for other nodes, and the way to
-//! the target.
+//! The request path: the listeners for callers and for other nodes, routing, and the
+//! connections to the target.
 //!
-//! A request takes these floors, each of which knows those below it:
+//! A request passes these layers in this order. Each uses only the layers below it:
 //!
 //! | module | what it does |
 //! |---|---|
 //! | [`listener`] | accepts connections, serves requests on them, drains |
-//! | [`outbound`] | first hop: matches the route, chooses endpoints, tries again |
-//! | [`peer`] | passes an attempt on to the node beside an endpoint, over HTTP/2 |
-//! | [`inbound`] | beside the target: quarantine, admission, the hand-over |
-//! | [`target`] | connections to the own target, over HTTP/1.1 |
+//! | [`outbound`] | first hop: matches the route, chooses endpoints, retries |
+//! | [`peer`] | forwards an attempt to the endpoint's node, over HTTP/2 |
+//! | [`inbound`] | the target's node: quarantine, admission, passing the request to the target |
+//! | [`target`] | connections to the local target, over HTTP/1.1 |
 //!
-//! The other modules are what the floors exchange: heads and bodies, answers, refusals,
+//! The other modules are shared by the layers: heads and bodies, answers, refusals,
 //! counters, and the state that the threads of a node share ([`hub`]).
 //!
 //! [`listener`]: self::listener
@@ -58,7 +58,7 @@
 pub use self::listener::listeners::TrafficAddrs;
 pub use self::listener::running::RunningTraffic;
 
-/// Why a body broke off.
+/// The error of a body that broke off.
 type BoxError = Box<dyn error::Error + Send + Sync>;
 
 /// Starts the traffic side of a node.
@@ -66,7 +66,7 @@
 pub struct Traffic;
 
 impl Traffic {
-    /// Binds the listeners and starts threads of the node's own.
+    /// Binds the listeners and starts the node's own threads.
     ///
     /// # Errors
     ///
@@ -83,8 +83,8 @@
         Ok(RunningTraffic::new(addrs, hub, threads))
     }
 
-    /// Binds the listeners and runs on `handle`, so that many nodes of one
-    /// process can share its threads.
+    /// Binds the listeners and serves them on the runtime of `handle`, so that many nodes in
+    /// one process can share its threads.
     ///
     /// # Errors
     ///
--- a/crates/node/src/traffic/counters.rs
+++ b/crates/node/src/traffic/counters.rs
@@ -1,4 +1,4 @@
-//! Counting what became of requests.
+//! Counters of the results of requests.
 
 use std::fmt;
 
@@ -9,8 +9,8 @@
 
 use crate::metrics::traffic;
 
-/// The counts of one kind of listener; made once, since looking a counter up by
-/// its name costs more than counting.
+/// The counters of one port. They are looked up once, since looking a counter up by its
+/// name costs more than incrementing it.
 pub(super) struct Counters {
     port: &'static str,
     answered: Counter,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts a request by its result.
     pub(super) fn count<T>(&self, result: &Result<T, Failure>) {
         let failure = match result {
             Ok(_) => return self.answered.increment(1),
@@ -43,7 +43,7 @@
         let labels = [
             ("port", self.port),
             ("step", failure_step(failure)),
-            ("reason", reason_of(failure)),
+            ("reason", failure_reason(failure)),
         ];
         counter!(traffic::MISSED, &labels).increment(1);
     }
@@ -57,13 +57,13 @@
     }
 }
 
-/// Counts an attempt after which the request is tried again.
+/// Counts a failed attempt that is followed by a retry.
 pub(super) fn count_retry(failure: &Failure) {
-    counter!(traffic::RETRIES, "reason" => reason_of(failure)).increment(1);
+    counter!(traffic::RETRIES, "reason" => failure_reason(failure)).increment(1);
 }
 
-/// Why a request got no answer, in one word.
-fn reason_of(failure: &Failure) -> &'static str {
+/// The value of the label `reason`: why a request got no answer.
+fn failure_reason(failure: &Failure) -> &'static str {
     match failure {
         Failure::Refused(refusal) => refusal.reason().as_str(),
         Failure::Lost(loss) => loss.cause().as_str(),
--- a/crates/node/src/traffic/head.rs
+++ b/crates/node/src/traffic/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers: what may pass from one side to the other.
+//! Heads of requests and answers: which headers are forwarded.
 
 use http::HeaderMap;
 use http::HeaderName;
@@ -8,8 +8,8 @@
 use http::header;
 use sassafrasspool_wire::header::OWN_PREFIX;
 
-/// Headers that concern one connection only and end with it.
-const CONNECTION_ONLY: [HeaderName; 7] = [
+/// Hop-by-hop headers, which apply to one connection only.
+const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
@@ -19,31 +19,31 @@
     header::UPGRADE,
 ];
 
-/// Removes what only nodes may set.
+/// Removes the headers that only nodes may set.
 ///
-/// Without this a caller or a target could forge an outcome, a deadline or a
-/// hop count: a target that said `not-run` about work that it did would have
-/// it run twice. The names are ours alone, so that nothing of theirs is lost.
+/// Otherwise a caller or a target could forge an outcome, a deadline or a hop count: work
+/// for which a target reports `not-run` although it was done would run twice. Only this
+/// project uses the prefix, so no header of callers or targets is lost.
 pub(super) fn strip_own(headers: &mut HeaderMap) {
-    while let Some(name) = find_own(headers) {
+    while let Some(name) = find_internal(headers) {
         headers.remove(name);
     }
 }
 
-fn find_own(headers: &HeaderMap) -> Option<HeaderName> {
-    let own = |name: &&HeaderName| name.as_str().starts_with(OWN_PREFIX);
-    headers.keys().find(own).cloned()
+fn find_internal(headers: &HeaderMap) -> Option<HeaderName> {
+    let is_internal = |name: &&HeaderName| name.as_str().starts_with(OWN_PREFIX);
+    headers.keys().find(is_internal).cloned()
 }
 
-/// Removes what ends with the connection that it came by.
+/// Removes the hop-by-hop headers.
 pub(super) fn strip_connection(headers: &mut HeaderMap) {
     strip_named_by_connection(headers);
-    for name in &CONNECTION_ONLY {
+    for name in &HOP_BY_HOP {
         headers.remove(name);
     }
 }
 
-/// Removes the headers that `connection` names as its own.
+/// Removes the headers that the `connection` header names as hop-by-hop.
 fn strip_named_by_connection(headers: &mut HeaderMap) {
     let Some(value) = headers.get(header::CONNECTION) else {
         return;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Puts what HTTP/2 carries as the authority into `host`, which targets read.
+/// Copies the authority of an HTTP/2 request into the `host` header, which targets read.
 pub(super) fn set_host(headers: &mut HeaderMap, uri: &Uri) {
     if headers.contains_key(header::HOST) {
         return;
@@ -73,12 +73,12 @@
     }
 }
 
-/// Reads a header that holds a number.
+/// Parses the value of a numeric header.
 pub(super) fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// The host that a request names, in its address or its header.
+/// The host of a request, from its `host` header or else its URI.
 pub(super) fn host<B>(req: &Request<B>) -> Option<&str> {
     let named = req.headers().get(header::HOST);
     let named = named.and_then(|host| host.to_str().ok());
--- a/crates/node/src/traffic/listener.rs
+++ b/crates/node/src/traffic/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections and serving the requests on them, until the node ends.
+//! Accepts connections and serves the requests on them until the node stops.
 
 pub(super) mod listeners;
 pub(super) mod running;
--- a/crates/node/src/traffic/listener/listeners.rs
+++ b/crates/node/src/traffic/listener/listeners.rs
@@ -10,18 +10,18 @@
 use crate::settings::Listen;
 use crate::traffic::listener::serve::bind;
 
-/// Where the traffic side listens.
+/// The addresses that the traffic side listens on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TrafficAddrs {
     /// For callers from outside, such as clients.
     pub ingress: SocketAddr,
-    /// For calls that the own target makes; the ingress if they share it.
+    /// For calls of the local target; the same as `ingress` if they share a listener.
     pub egress: SocketAddr,
     /// For other nodes.
     pub traffic: SocketAddr,
 }
 
-/// The sockets.
+/// The listening sockets for callers, for the local target and for other nodes.
 #[derive(Debug)]
 pub(in crate::traffic) struct Listeners {
     pub(in crate::traffic) ingress: TcpListener,
@@ -31,7 +31,7 @@
 }
 
 impl Listeners {
-    /// Opens all three.
+    /// Binds the configured addresses.
     ///
     /// # Errors
     ///
@@ -40,12 +40,12 @@
         let ingress = bind(listen.ingress)?;
         let egress = listen.egress.map(bind).transpose()?;
         let traffic = bind(listen.traffic)?;
-        let shared = addr_of(&ingress)?;
-        let own = egress.as_ref().map(addr_of).transpose()?;
+        let ingress_addr = local_addr(&ingress)?;
+        let egress_addr = egress.as_ref().map(local_addr).transpose()?;
         let addrs = TrafficAddrs {
-            ingress: shared,
-            egress: own.unwrap_or(shared),
-            traffic: addr_of(&traffic)?,
+            ingress: ingress_addr,
+            egress: egress_addr.unwrap_or(ingress_addr),
+            traffic: local_addr(&traffic)?,
         };
         Ok(Listeners {
             ingress,
@@ -60,26 +60,26 @@
         self.addrs
     }
 
-    /// The same sockets for one more thread: whichever thread is free accepts.
+    /// The same sockets for another thread. Whichever thread is idle accepts a connection.
     ///
     /// # Errors
     ///
-    /// Fails if there are no file descriptors left.
+    /// Fails if no file descriptors are left.
     pub(in crate::traffic) fn try_clone(&self) -> Result<Listeners> {
         let egress = self.egress.as_ref().map(TcpListener::try_clone);
         Ok(Listeners {
-            ingress: self.ingress.try_clone().map_err(failed)?,
-            egress: egress.transpose().map_err(failed)?,
-            traffic: self.traffic.try_clone().map_err(failed)?,
+            ingress: self.ingress.try_clone().map_err(listener_error)?,
+            egress: egress.transpose().map_err(listener_error)?,
+            traffic: self.traffic.try_clone().map_err(listener_error)?,
             addrs: self.addrs,
         })
     }
 }
 
-fn addr_of(listener: &TcpListener) -> Result<SocketAddr> {
-    listener.local_addr().map_err(failed)
+fn local_addr(listener: &TcpListener) -> Result<SocketAddr> {
+    listener.local_addr().map_err(listener_error)
 }
 
-fn failed(err: std::io::Error) -> Error {
+fn listener_error(err: std::io::Error) -> Error {
     Error::new(Step::Connect, "cannot use a listener").with_cause(err)
 }
--- a/crates/node/src/traffic/listener/running.rs
+++ b/crates/node/src/traffic/listener/running.rs
@@ -1,4 +1,4 @@
-//! A traffic side that was started.
+//! The handle of a started traffic side.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use crate::traffic::hub::Hub;
 use crate::traffic::listener::listeners::TrafficAddrs;
 
-/// A traffic side that runs until its token is cancelled.
+/// A started traffic side, which runs until its token is cancelled.
 #[derive(Debug)]
 pub struct RunningTraffic {
     addrs: TrafficAddrs,
     hub: Arc<Hub>,
-    /// Each is closed by a thread's end.
+    /// Each channel closes when its thread ends.
     threads: Vec<oneshot::Receiver<()>>,
 }
 
@@ -35,21 +35,21 @@
         self.addrs
     }
 
-    /// Waits, once its token is cancelled, until every connection was closed
-    /// gracefully and every thread has ended.
+    /// Waits until the token is cancelled, every connection is closed gracefully and every
+    /// thread has ended.
     pub async fn stopped(self) {
         self.hub.closing.cancelled().await;
         self.hub.connections.close();
         self.hub.connections.wait().await;
         self.hub.pool.clear();
         for thread in self.threads {
-            // It is closed, not sent to.
+            // The channel closes without a message.
             let _ = thread.await;
         }
     }
 
-    /// The same, but cuts what is still in flight after `bound`; returns how
-    /// many requests that were.
+    /// Like [`stopped`](RunningTraffic::stopped), but aborts the requests that are in
+    /// flight after `bound`. Returns their number.
     pub async fn stopped_within(self, bound: Duration) -> u64 {
         let in_flight = self.hub.shared.in_flight().clone();
         let cut = self.hub.cut.clone();
@@ -57,9 +57,9 @@
         if tokio::time::timeout(bound, stopped.as_mut()).await.is_ok() {
             return 0;
         }
-        let left = in_flight.count();
+        let aborted = in_flight.count();
         cut.cancel();
         stopped.await;
-        left
+        aborted
     }
 }
--- a/crates/node/src/traffic/listener/serve/shared_stream.rs
+++ b/crates/node/src/traffic/listener/serve/shared_stream.rs
@@ -1,4 +1,4 @@
-//! A connection whose end can be waited for beside the library that serves it.
+//! A connection whose end can be awaited outside of the HTTP library that serves it.
 
 use std::io;
 use std::io::IoSlice;
@@ -15,7 +15,8 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// A TCP connection that is read and written here, and whose readiness others may watch.
+/// A TCP connection for reading and writing. Other owners of the stream may wait for its
+/// readiness.
 #[derive(Debug)]
 pub(super) struct SharedStream(Arc<TcpStream>);
 
--- a/crates/node/src/traffic/missed.rs
+++ b/crates/node/src/traffic/missed.rs
@@ -1,4 +1,4 @@
-//! Attempts that brought no answer.
+//! Failed attempts.
 
 use http::Request;
 use sassafrasspool_core::Failure;
@@ -7,11 +7,10 @@
 
 use super::payload::Payload;
 
-/// What is known of the request, and the request itself if not a byte of its
-/// body was used up.
+/// The failure of an attempt, and the request itself if no byte of its body was consumed.
 ///
-/// A body that is streamed can only be sent again if it comes back here; one
-/// that is held can be sent again anyway.
+/// A request with a streamed body can only be sent again if it is returned here. One with
+/// a buffered body can be sent again in any case.
 #[derive(Debug)]
 pub(super) struct Missed {
     pub(super) failure: Failure,
@@ -19,7 +18,7 @@
 }
 
 impl Missed {
-    /// A request that was refused and comes back whole.
+    /// The failure of a request that was refused and is returned complete.
     pub(super) fn unsent(refusal: Refusal, req: Request<Payload>) -> Missed {
         Missed {
             failure: refusal.into(),
--- a/crates/node/src/traffic/peer/stall_timer.rs
+++ b/crates/node/src/traffic/peer/stall_timer.rs
@@ -1,4 +1,4 @@
-//! A timer that allows for stalls of this process.
+//! A timer that tolerates stalls of this process.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -11,17 +11,17 @@
 use hyper::rt::Sleep;
 use hyper::rt::Timer;
 
-/// How late a timer may fire in a process that has its turns.
-const LATE: Duration = Duration::from_millis(50);
+/// The most by which a timer fires late in a process that isn't short of processor time.
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(50);
 
-/// How long what has arrived during a stall may take to be read.
-const READ_WITHIN: Duration = Duration::from_millis(200);
+/// Time allowed for reading what has arrived during a stall.
+const READ_GRACE: Duration = Duration::from_millis(200);
 
-/// A timer whose sleeps last a little longer if they end late.
+/// A timer that extends a sleep by [`READ_GRACE`] if it ends late.
 ///
-/// A process that had no processor for a while finds its timers due and what peers have
-/// sent meanwhile unread. HTTP/2 looks at the timer of a probe first, and would drop the
-/// connection although the answer to the probe is there.
+/// After a process got no processor time for a while, its timers are due and the data that
+/// peers have sent are unread. HTTP/2 checks the timer of a probe first, and would drop the
+/// connection although the answer to the probe has arrived.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StallTimer;
 
@@ -55,11 +55,11 @@
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         ready!(self.sleep.as_mut().poll(cx));
         let now = Instant::now();
-        if self.is_extended || now < self.deadline + LATE {
+        if self.is_extended || now < self.deadline + MAX_TIMER_DELAY {
             return Poll::Ready(());
         }
         self.is_extended = true;
-        self.sleep.as_mut().reset((now + READ_WITHIN).into());
+        self.sleep.as_mut().reset((now + READ_GRACE).into());
         self.sleep.as_mut().poll(cx)
     }
 }
