--- a/crates/node/src/traffic/answer.rs
+++ b/crates/node/src/traffic/answer.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers on their way to a caller.
+//! Bodies of answers that are sent to a caller.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -11,23 +11,23 @@
 use hyper::body::Incoming;
 
 use super::BoxError;
-use super::listener::serve::Behind;
+use super::listener::serve::AnswerInProgress;
 use super::stall::Stall;
 use super::target::TargetBody;
 use crate::InFlightGuard;
 
-/// The body of an answer, which holds its request in flight until it ends.
+/// The body of an answer. Its request counts as in flight until the body ends.
 ///
-/// An error of a part ends the answer with an error too: over HTTP/1.1 the
-/// connection closes before the announced end, over HTTP/2 the stream is
-/// reset. A cut answer therefore never looks complete.
+/// An error of the source ends the answer with an error as well: over HTTP/1.1 the
+/// connection closes before the announced length, over HTTP/2 the stream is reset. A cut
+/// answer therefore never looks complete.
 #[derive(Debug)]
 pub(super) struct Answer {
     source: Source,
     stall: Stall,
     _in_flight: Option<InFlightGuard>,
-    /// Has the next request of the connection wait until the end.
-    _before: Option<Behind>,
+    /// Marks the answer as in progress in the connection's pipeline until it ends.
+    _pipeline_guard: Option<AnswerInProgress>,
 }
 
 #[derive(Debug)]
@@ -38,17 +38,17 @@
 }
 
 impl Answer {
-    /// A text of the node's own.
+    /// A text from this node.
     pub(super) fn text(text: impl Into<Bytes>) -> Answer {
         Answer::new(Source::Text(Some(text.into())))
     }
 
-    /// What another node passes on.
-    pub(super) fn peer(body: Incoming) -> Answer {
+    /// The body of another node's answer.
+    pub(super) fn from_peer(body: Incoming) -> Answer {
         Answer::new(Source::Peer(body))
     }
 
-    /// What the own target answers.
+    /// The body of the local target's answer.
     pub(super) fn target(body: TargetBody) -> Answer {
         Answer::new(Source::Target(body))
     }
@@ -58,19 +58,20 @@
             source,
             stall: Stall::new(),
             _in_flight: None,
-            _before: None,
+            _pipeline_guard: None,
         }
     }
 
-    /// The same, which counts as in flight until it ends.
+    /// The same body, with the guard that counts its request as in flight until it ends.
     pub(super) fn held(mut self, guard: InFlightGuard) -> Answer {
         self._in_flight = Some(guard);
         self
     }
 
-    /// The same, at whose end the next request of its connection has its turn.
-    pub(super) fn before(mut self, behind: Option<Behind>) -> Answer {
-        self._before = behind;
+    /// The same body, with the guard that records the end of the answer in the pipeline of
+    /// its connection.
+    pub(super) fn with_pipeline_guard(mut self, guard: Option<AnswerInProgress>) -> Answer {
+        self._pipeline_guard = guard;
         self
     }
 
--- a/crates/node/src/traffic/hub.rs
+++ b/crates/node/src/traffic/hub.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads of one node share.
+//! The state that the traffic threads of one node share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 use super::bodies::Bodies;
 use super::counters::Counters;
 use super::inbound::body_intake::Arrivals;
-use super::outbound::patience::Patiences;
+use super::outbound::kind_timeouts::KindTimeouts;
 use super::parents::Parents;
 use super::stages::Stages;
 use super::target::Pool;
@@ -32,44 +32,44 @@
 use crate::Settings;
 use crate::Shared;
 
-/// One node's traffic side.
+/// The shared state of a node's traffic side.
 #[derive(Debug)]
 pub(super) struct Hub {
     pub(super) shared: Arc<Shared>,
-    /// The service of the own target.
+    /// The service of the local target.
     pub(super) service: ServiceName,
-    /// Where the own target serves.
+    /// The region of the local target.
     pub(super) region: RegionName,
     pub(super) pool: Arc<Pool>,
     pub(super) own_life: OwnLife,
     pub(super) admission: Admission,
-    /// What the own target tolerates while it is cold.
+    /// The load that the local target tolerates while it is cold.
     pub(super) cold_tolerance: ColdTolerance,
     pub(super) bodies: Bodies,
     pub(super) arrivals: Arrivals,
     pub(super) crash_watch: CrashWatch,
     pub(super) parents: Parents,
-    pub(super) patience: Patiences,
+    pub(super) kind_timeouts: KindTimeouts,
     pub(super) stages: Stages,
     pub(super) ingress: Counters,
     pub(super) egress: Counters,
     pub(super) peers: Counters,
-    /// The requests with a key that the own target has run.
+    /// The requests with a key that the local target has run.
     pub(super) repeat: RepeatWindow,
-    /// Bytes of an answer that are kept for repeats.
+    /// The most bytes of an answer that are stored for repeated requests.
     pub(super) max_stored: usize,
-    /// Cancelled when the node is to stop.
+    /// Cancelled when the node's stop is requested.
     pub(super) cancel: CancellationToken,
-    /// Cancelled when connections are to close, each once it is idle.
+    /// Cancelled when connections are to close, each as soon as it is idle.
     pub(super) closing: CancellationToken,
-    /// Cancelled when connections are to be cut.
+    /// Cancelled when connections are to be aborted.
     pub(super) cut: CancellationToken,
-    /// The connections that are served.
+    /// The tasks that serve connections.
     pub(super) connections: TaskTracker,
 }
 
 impl Hub {
-    /// Puts the parts together and says where the node stands.
+    /// Creates the state, and sets the node's position and service in `shared`.
     ///
     /// # Errors
     ///
@@ -102,7 +102,7 @@
             arrivals: Arrivals::new(cfg.target.slots),
             crash_watch: CrashWatch::default(),
             parents: Parents::default(),
-            patience: Patiences::default(),
+            kind_timeouts: KindTimeouts::default(),
             stages: Stages::new(),
             ingress: Counters::new("ingress"),
             egress: Counters::new("egress"),
@@ -116,29 +116,31 @@
         })
     }
 
-    /// Closes what is idle to an earlier start of the own target.
+    /// Records the listed generation of the local target. If it is new, closes the idle
+    /// connections to the previous generation.
     ///
-    /// A target that starts again under its name is found by no refusal of its
-    /// own: a connection to the process before would take a request and stay
-    /// silent until its deadline. What is under way ends with its connection.
+    /// A target that restarts under the same name isn't detected by a refusal: a connection
+    /// to the previous process would accept a request and not answer until its deadline.
+    /// Requests in flight end with their connections.
     pub(super) fn follow_target(&self, listed: &TargetLife) {
         if self.own_life.follow(listed) {
             tracing::info!(
                 target = listed.id.as_str(),
                 born = listed.born,
-                "the own target started anew"
+                "the local target has restarted"
             );
             self.pool.clear();
         }
     }
 
-    /// For how long no target is to run a request, if targets crash under it.
+    /// The remaining time for which a request is quarantined because targets crash under
+    /// it.
     pub(super) fn quarantined_for(&self, content: Option<&Content>) -> Option<Duration> {
         let now = self.shared.clock().now();
         self.shared.quarantine().holds(now, content?)
     }
 
-    /// Waits until targets crash under a request; returns its refusal.
+    /// Waits until a request is quarantined. Returns its refusal.
     pub(super) async fn quarantined(&self, step: Step, content: Option<&Content>) -> Refusal {
         let Some(content) = content else {
             return std::future::pending().await;
@@ -148,11 +150,11 @@
         Refusal::not_run(step, Reason::Quarantined).after(left)
     }
 
-    /// Lets a request pass unless targets crash under it.
+    /// Checks that a request isn't quarantined.
     ///
     /// # Errors
     ///
-    /// Refuses it as not run, and says for how long.
+    /// Refuses it as not run, with the remaining time of the quarantine.
     pub(super) fn check_quarantine(
         &self,
         step: Step,
@@ -164,25 +166,27 @@
         }
     }
 
-    /// Whether the own target serves that service, by the settings that the process
-    /// began with and by those of now.
+    /// Whether the local target serves the service, both by the settings at the start of the
+    /// process and by the current ones.
     pub(super) fn serves(&self, service: &str) -> bool {
-        let now = self.shared.service();
-        self.service.as_str() == service && now.is_some_and(|now| now.as_str() == service)
+        let current = self.shared.service();
+        self.service.as_str() == service
+            && current.is_some_and(|current| current.as_str() == service)
     }
 
-    /// Whether callers are to open no new connection here.
-    pub(super) fn sends_callers_away(&self) -> bool {
+    /// Whether answers close their callers' connections, because callers should connect to
+    /// another node.
+    pub(super) fn closes_caller_connections(&self) -> bool {
         self.shared.is_stopping() || self.is_leaving()
     }
 
-    /// Whether the own endpoint takes no new work any more.
+    /// Whether the local endpoint accepts no new work any more.
     pub(super) fn is_leaving(&self) -> bool {
         self.shared.phase() >= Phase::Draining || self.cancel.is_cancelled()
     }
 
-    /// Whether the list took the own endpoint away too long ago for anything
-    /// new to be handed to its target.
+    /// Whether the local endpoint was removed from the list too long ago for new requests to
+    /// be passed to its target.
     pub(super) fn has_departed(&self) -> bool {
         let routes = self.shared.routes();
         let now = self.shared.clock().now();
--- a/crates/node/src/traffic/listener/serve.rs
+++ b/crates/node/src/traffic/listener/serve.rs
@@ -1,24 +1,24 @@
-//! Serving the connections that come in.
+//! Serves accepted connections.
 
 mod accept;
-mod ahead;
 mod caller;
+mod graceful_close;
 mod peer;
+mod pipelining;
 mod service;
 mod shared_stream;
-mod until_closed;
 
-use crate::traffic::outbound::caller_side::Side;
+use crate::traffic::outbound::caller_side::CallerPort;
 
 pub(in crate::traffic) use self::accept::accept;
 pub(in crate::traffic) use self::accept::bind;
-pub(in crate::traffic) use self::ahead::Behind;
+pub(in crate::traffic) use self::pipelining::AnswerInProgress;
 
-/// Who connects to a listener.
+/// Which clients connect to a listener, and by which protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::traffic) enum Port {
     /// Callers, by HTTP/1.1 or HTTP/2.
-    Caller(Side),
+    Caller(CallerPort),
     /// Other nodes, by HTTP/2.
     Peer,
 }
--- a/crates/node/src/traffic/listener/serve/accept.rs
+++ b/crates/node/src/traffic/listener/serve/accept.rs
@@ -1,4 +1,4 @@
-//! Listeners.
+//! Binds listening sockets and accepts connections.
 
 use std::net::SocketAddr;
 use std::net::TcpListener as StdListener;
@@ -17,12 +17,12 @@
 use super::peer;
 use crate::traffic::worker::Worker;
 
-/// How long accepting rests after it failed. Failures such as a want of file
-/// descriptors come back at once, and a loop without a rest would take the
-/// thread from the requests that could free some.
-const ACCEPT_REST: Duration = Duration::from_millis(50);
+/// Delay after a failed accept. Failures such as a lack of file descriptors recur at once,
+/// and a loop without a delay would keep the thread from the requests that could free
+/// some.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Opens a listening socket.
+/// Binds a non-blocking listening socket.
 ///
 /// # Errors
 ///
@@ -34,12 +34,12 @@
     Ok(listener)
 }
 
-/// Accepts until the node closes.
+/// Accepts connections until the node closes them, then those in the backlog.
 pub(in crate::traffic) async fn accept(worker: Arc<Worker>, listener: StdListener, port: Port) {
     match TcpListener::from_std(listener) {
         Ok(listener) => {
             accept_until_closed(&worker, &listener, port).await;
-            accept_rest(&worker, listener, port);
+            accept_backlog(&worker, listener, port);
         }
         Err(err) => tracing::error!(%err, ?port, "cannot listen"),
     }
@@ -57,17 +57,17 @@
             Ok((stream, _)) => serve(worker, stream, port),
             Err(err) => {
                 tracing::debug!(%err, "cannot accept");
-                tokio::time::sleep(ACCEPT_REST).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Accepts what has connected before the listener closes.
+/// Accepts the connections in the backlog before the listener closes.
 ///
-/// The kernel resets connections that it holds for a listener that closes,
-/// whatever their callers have sent. They couldn't tell that it was not run.
-fn accept_rest(worker: &Arc<Worker>, listener: TcpListener, port: Port) {
+/// When a listener closes, the kernel resets the connections in its backlog, whatever
+/// their callers have sent. The callers couldn't infer that their requests weren't run.
+fn accept_backlog(worker: &Arc<Worker>, listener: TcpListener, port: Port) {
     let Ok(listener) = listener.into_std() else {
         return;
     };
@@ -80,11 +80,11 @@
 }
 
 fn serve(worker: &Arc<Worker>, stream: TcpStream, port: Port) {
-    // Without it the kernel may hold back small answers.
+    // Without this option the kernel may delay small answers.
     let _ = stream.set_nodelay(true);
     let connections = &worker.hub.connections;
     match port {
-        Port::Caller(side) => connections.spawn(caller::serve(Arc::clone(worker), stream, side)),
+        Port::Caller(port) => connections.spawn(caller::serve(Arc::clone(worker), stream, port)),
         Port::Peer => connections.spawn(peer::serve(Arc::clone(worker), stream)),
     };
 }
--- a/crates/node/src/traffic/listener/serve/peer.rs
+++ b/crates/node/src/traffic/listener/serve/peer.rs
@@ -1,4 +1,4 @@
-//! Connections of other nodes.
+//! Serves connections of other nodes.
 
 use std::sync::Arc;
 
@@ -8,9 +8,9 @@
 use hyper_util::rt::TokioTimer;
 use tokio::net::TcpStream;
 
-use super::service::Requests;
-use super::until_closed::until_closed;
-use crate::traffic::bounds::CONNECTION_WINDOW;
+use super::graceful_close::serve_until_closed;
+use super::service::RequestService;
+use crate::traffic::bounds::CONNECTION_WINDOW_BYTES;
 use crate::traffic::bounds::MAX_HEAD_BYTES;
 use crate::traffic::bounds::MAX_STREAMS;
 use crate::traffic::bounds::UPLOAD_WINDOW;
@@ -19,13 +19,13 @@
 /// Serves a connection of another node.
 pub(super) async fn serve(worker: Arc<Worker>, stream: TcpStream) {
     let hub = Arc::clone(&worker.hub);
-    let requests = Requests::of_peer(worker);
+    let service = RequestService::for_peer(worker);
     let conn = http2::Builder::new(TokioExecutor::new())
         .timer(TokioTimer::new())
         .max_concurrent_streams(MAX_STREAMS)
         .initial_stream_window_size(UPLOAD_WINDOW)
-        .initial_connection_window_size(CONNECTION_WINDOW)
+        .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
         .max_header_list_size(u32::try_from(MAX_HEAD_BYTES).unwrap_or(u32::MAX))
-        .serve_connection(TokioIo::new(stream), requests);
-    until_closed(&hub.closing, &hub.cut, conn).await;
+        .serve_connection(TokioIo::new(stream), service);
+    serve_until_closed(&hub.closing, &hub.cut, conn).await;
 }
--- a/crates/node/src/traffic/listener/serve/service.rs
+++ b/crates/node/src/traffic/listener/serve/service.rs
@@ -1,4 +1,4 @@
-//! Requests of a connection.
+//! Answers the requests of a connection.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -12,83 +12,88 @@
 use hyper::body::Incoming;
 use hyper::service::Service;
 
-use super::ahead::Ahead;
+use super::pipelining::Pipeline;
 use crate::traffic::answer::Answer;
 use crate::traffic::inbound::peer_side;
 use crate::traffic::outbound::caller_side;
-use crate::traffic::outbound::caller_side::Side;
+use crate::traffic::outbound::caller_side::CallerPort;
 use crate::traffic::payload::Payload;
 use crate::traffic::worker::Worker;
 
 /// Answers the requests of one connection.
 #[derive(Debug)]
-pub(super) struct Requests {
+pub(super) struct RequestService {
     worker: Arc<Worker>,
-    from: Sender,
+    client: Client,
 }
 
-/// Who sends the requests.
+/// The client that sends the requests.
 #[derive(Debug)]
-enum Sender {
-    /// A caller, with what was begun before its turn.
-    Caller(Side, Ahead),
+enum Client {
+    /// A caller, with its pipelined requests that were started before their turn.
+    Caller(CallerPort, Pipeline),
     /// Another node.
     Peer,
 }
 
-impl Requests {
-    pub(super) fn of_caller(worker: Arc<Worker>, side: Side, ahead: Ahead) -> Requests {
-        let from = Sender::Caller(side, ahead);
-        Requests { worker, from }
+impl RequestService {
+    pub(super) fn for_caller(
+        worker: Arc<Worker>,
+        port: CallerPort,
+        pipeline: Pipeline,
+    ) -> RequestService {
+        let client = Client::Caller(port, pipeline);
+        RequestService { worker, client }
     }
 
-    pub(super) fn of_peer(worker: Arc<Worker>) -> Requests {
-        let from = Sender::Peer;
-        Requests { worker, from }
+    pub(super) fn for_peer(worker: Arc<Worker>) -> RequestService {
+        let client = Client::Peer;
+        RequestService { worker, client }
     }
 }
 
-impl Service<Request<Incoming>> for Requests {
+impl Service<Request<Incoming>> for RequestService {
     type Response = Response<Answer>;
     type Error = Infallible;
-    /// Boxed because HTTP/2 moves it by value, into a task of its own and out
-    /// of it, and it is large.
+    /// Boxed because it is large, and HTTP/2 moves it by value into its own task and out of
+    /// it.
     type Future = Pin<Box<dyn Future<Output = Result<Response<Answer>, Infallible>> + Send>>;
 
     fn call(&self, req: Request<Incoming>) -> Self::Future {
         let worker = Arc::clone(&self.worker);
-        match &self.from {
-            Sender::Caller(side, ahead) => {
-                let (side, ahead) = (*side, ahead.clone());
-                Box::pin(async move { Ok(answer_caller(&worker, side, ahead, req).await) })
+        match &self.client {
+            Client::Caller(port, pipeline) => {
+                let (port, pipeline) = (*port, pipeline.clone());
+                Box::pin(async move { Ok(answer_caller(&worker, port, pipeline, req).await) })
             }
-            Sender::Peer => Box::pin(async move { Ok(peer_side::serve(&worker, req).await) }),
+            Client::Peer => Box::pin(async move { Ok(peer_side::serve(&worker, req).await) }),
         }
     }
 }
 
 async fn answer_caller(
     worker: &Worker,
-    side: Side,
-    ahead: Ahead,
+    port: CallerPort,
+    pipeline: Pipeline,
     req: Request<Incoming>,
 ) -> Response<Answer> {
-    // Over HTTP/2 requests don't wait for one another.
-    let taken = (req.version() != Version::HTTP_2).then(|| ahead.take());
-    let (begun, behind) = taken.map_or((None, None), |(begun, behind)| (begun, Some(behind)));
-    let begun = match begun {
-        // One that ended without an answer may run again.
-        Some(begun) => begun.await.ok(),
+    // Over HTTP/2, requests don't wait for one another.
+    let taken = (req.version() != Version::HTTP_2).then(|| pipeline.take_next());
+    let (started, answer_guard) =
+        taken.map_or((None, None), |(started, guard)| (started, Some(guard)));
+    let early_answer = match started {
+        // A started request that ended without an answer may run again.
+        Some(started) => started.await.ok(),
         None => None,
     };
-    let mut res = match begun {
+    let mut res = match early_answer {
         Some(res) => res,
-        None => caller_side::serve(worker, side, req.map(Payload::stream)).await,
+        None => caller_side::serve(worker, port, req.map(Payload::stream)).await,
     };
-    if worker.hub.sends_callers_away() && !ahead.has_begun() {
-        // Over HTTP/2 the header is left out and the connection told by itself.
+    if worker.hub.closes_caller_connections() && !pipeline.has_started() {
+        // Over HTTP/2 the library omits the header and shuts the connection down itself.
         let close = HeaderValue::from_static("close");
         res.headers_mut().insert(header::CONNECTION, close);
     }
-    res.map(|body| body.before(behind))
+    res.map(|body| body.with_pipeline_guard(answer_guard))
 }
--- a/crates/node/src/traffic/listener/threads.rs
+++ b/crates/node/src/traffic/listener/threads.rs
@@ -1,4 +1,4 @@
-//! The traffic threads.
+//! Starts the traffic threads and closes their connections at the node's stop.
 
 use std::sync::Arc;
 use std::thread;
@@ -12,17 +12,17 @@
 use tokio::runtime::Handle;
 use tokio::sync::oneshot;
 
-use crate::traffic::bounds::LINGER;
+use crate::traffic::bounds::CLOSE_DELAY;
 use crate::traffic::hub::Hub;
 use crate::traffic::listener::listeners::Listeners;
 use crate::traffic::listener::serve;
 use crate::traffic::listener::serve::Port;
-use crate::traffic::outbound::caller_side::Side;
+use crate::traffic::outbound::caller_side::CallerPort;
 use crate::traffic::target::WorkerIndex;
 use crate::traffic::worker::Worker;
 
-/// Starts `count` threads, each with a runtime of its own: a request stays on
-/// the thread that accepted it, so that no wake-up crosses threads.
+/// Starts `count` threads, each with its own runtime. A request stays on the thread that
+/// accepted it, so no wake-up crosses threads.
 ///
 /// # Errors
 ///
@@ -40,17 +40,17 @@
     Ok(threads)
 }
 
-/// Does a thread's work as a task on `handle`. What is returned is closed once
-/// the listeners are, so that a node that ends leaves its ports free.
+/// Serves the listeners in a task on `handle`. The returned channel closes once the
+/// listeners are closed, so that a stopped node has freed its ports.
 pub(in crate::traffic) fn start_on(
     handle: &Handle,
     hub: &Arc<Hub>,
     listeners: Listeners,
 ) -> oneshot::Receiver<()> {
     let (ended_tx, ended_rx) = oneshot::channel();
-    let work = work(Arc::clone(hub), 0, listeners);
+    let serve = serve_listeners(Arc::clone(hub), 0, listeners);
     handle.spawn(async move {
-        work.await;
+        serve.await;
         drop(ended_tx);
     });
     ended_rx
@@ -64,27 +64,31 @@
     let runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(failed)?;
+        .map_err(thread_error)?;
     let (ended_tx, ended_rx) = oneshot::channel();
     thread::Builder::new()
         .name(format!("traffic-{index}"))
         .spawn(move || {
             runtime.block_on(async move {
-                work(Arc::clone(&hub), index, listeners).await;
+                serve_listeners(Arc::clone(&hub), index, listeners).await;
                 hub.connections.wait().await;
             });
             drop(ended_tx);
         })
-        .map_err(failed)?;
+        .map_err(thread_error)?;
     Ok(ended_rx)
 }
 
-fn failed(err: std::io::Error) -> Error {
+fn thread_error(err: std::io::Error) -> Error {
     Error::new(Step::Connect, "cannot start a traffic thread").with_cause(err)
 }
 
-/// Serves the three listeners until the node closes.
-pub(in crate::traffic) async fn work(hub: Arc<Hub>, index: WorkerIndex, listeners: Listeners) {
+/// Serves the three listeners until the node closes them.
+pub(in crate::traffic) async fn serve_listeners(
+    hub: Arc<Hub>,
+    index: WorkerIndex,
+    listeners: Listeners,
+) {
     let worker = Arc::new(Worker::new(Arc::clone(&hub), index));
     let Listeners {
         ingress,
@@ -93,56 +97,66 @@
         ..
     } = listeners;
     tokio::join!(
-        serve::accept(Arc::clone(&worker), ingress, Port::Caller(Side::Ingress)),
+        serve::accept(
+            Arc::clone(&worker),
+            ingress,
+            Port::Caller(CallerPort::Ingress)
+        ),
         async {
             if let Some(egress) = egress {
-                serve::accept(Arc::clone(&worker), egress, Port::Caller(Side::Egress)).await;
+                serve::accept(
+                    Arc::clone(&worker),
+                    egress,
+                    Port::Caller(CallerPort::Egress),
+                )
+                .await;
             }
         },
         serve::accept(Arc::clone(&worker), traffic, Port::Peer),
-        close_admission(&hub),
-        follow_evacuation(&hub),
-        close(&hub),
+        close_admission_on_drain(&hub),
+        apply_evacuation(&hub),
+        close_after_stop(&hub),
     );
 }
 
-/// Closes connections some time after the node was told to stop.
-async fn close(hub: &Hub) {
+/// Starts closing connections [`CLOSE_DELAY`] after the node's stop was requested, or at once
+/// if there are none.
+async fn close_after_stop(hub: &Hub) {
     hub.cancel.cancelled().await;
     if !hub.connections.is_empty() {
-        tokio::time::sleep(LINGER).await;
+        tokio::time::sleep(CLOSE_DELAY).await;
     }
     hub.closing.cancel();
 }
 
-/// Refuses what waits for a slot as soon as the own failure domain is evacuated, and
-/// takes work again when it no longer is.
-async fn follow_evacuation(hub: &Hub) {
+/// Refuses requests that wait for a slot as soon as the node's failure domain is evacuated,
+/// and admits requests again when the evacuation ends.
+async fn apply_evacuation(hub: &Hub) {
     let mut evacuated = hub.shared.watch_evacuated();
-    let follow = async {
+    let apply_changes = async {
         loop {
             match *evacuated.borrow_and_update() {
                 true => hub.admission.close(Reason::Evacuated),
                 false => hub.admission.open(Reason::Evacuated),
             }
-            // It changes only while the node runs.
+            // The sender is dropped when the node ends.
             if evacuated.changed().await.is_err() {
                 return;
             }
         }
     };
-    hub.cancel.run_until_cancelled(follow).await;
+    hub.cancel.run_until_cancelled(apply_changes).await;
 }
 
-/// Refuses what waits for a slot as soon as the own endpoint leaves: others
-/// may take it while there is time.
-async fn close_admission(hub: &Hub) {
+/// Refuses requests that wait for a slot as soon as the node's endpoint drains, while there
+/// is time for other endpoints to run them.
+async fn close_admission_on_drain(hub: &Hub) {
     let mut phase = hub.shared.watch_phase();
-    let leaving = async {
-        // The phase goes on only while the node runs.
+    let draining = async {
+        // An error means that the sender was dropped: the node has ended.
         let _ = phase.wait_for(|phase| *phase >= Phase::Draining).await;
     };
-    if hub.cancel.run_until_cancelled(leaving).await.is_none() {
+    if hub.cancel.run_until_cancelled(draining).await.is_none() {
         return;
     }
     hub.admission.close(Reason::Draining);
--- a/crates/node/src/traffic/outbound/access_log.rs
+++ b/crates/node/src/traffic/outbound/access_log.rs
@@ -1,4 +1,4 @@
-//! The log's lines of one request on the node that took it from its caller.
+//! Access log lines of one request on the caller's node.
 
 use http::HeaderValue;
 use http::Request;
@@ -30,174 +30,183 @@
 use crate::traffic::outbound::first_hop::FirstHop;
 use crate::traffic::worker::Worker;
 
-/// What a request's decisions are made from.
+/// The inputs that a request is routed by.
 #[derive(Debug)]
-pub(in crate::traffic) struct Facts<'a> {
+pub(in crate::traffic) struct RequestContext<'a> {
     pub(in crate::traffic) worker: &'a Worker,
     pub(in crate::traffic) routes: &'a Routes,
     pub(in crate::traffic) route: &'a Route,
     pub(in crate::traffic) deadline: Deadline,
-    /// Until when the answer is worth most.
-    pub(in crate::traffic) aim: Option<Tick>,
-    /// What it asks for.
+    /// Soft deadline: the moment until which the answer is worth most.
+    pub(in crate::traffic) soft_deadline: Option<Tick>,
+    /// Fingerprint of the request's content.
     pub(in crate::traffic) content: Option<&'a Content>,
 }
 
-/// What happened to a request so far.
+/// Logs the attempts and the end of one request.
 ///
-/// A request whose task is dropped, as when its caller leaves, has its line as
-/// well: the trail writes it when it is dropped without an end.
+/// Dropping a value whose end hasn't been logged writes the end line. So a request whose
+/// task is dropped, for example because its caller disconnects, is logged as well.
 #[derive(Debug)]
-pub(in crate::traffic) struct Trail<'a> {
+pub(in crate::traffic) struct RequestLogger<'a> {
     first: &'a FirstHop<'a>,
-    /// Nothing if nothing is written, or everything is.
+    /// `None` if the log is silent or the end line was written.
     id: Option<HeaderValue>,
-    begun: Tick,
-    tries: u32,
-    picked: Option<Chosen>,
+    started_at: Tick,
+    attempts: u32,
+    picked: Option<PickedEndpoint>,
 }
 
-/// The endpoint of the present try.
+/// The endpoint of the current attempt.
 #[derive(Debug)]
-struct Chosen {
+struct PickedEndpoint {
     endpoint: EndpointKey,
     load_percent: u32,
-    since: Tick,
+    picked_at: Tick,
 }
 
-impl<'a> Trail<'a> {
-    pub(in crate::traffic) fn new<B>(first: &'a FirstHop<'a>, req: &Request<B>) -> Trail<'a> {
-        let worker = first.facts().worker;
-        Trail {
+impl<'a> RequestLogger<'a> {
+    pub(in crate::traffic) fn new<B>(
+        first: &'a FirstHop<'a>,
+        req: &Request<B>,
+    ) -> RequestLogger<'a> {
+        let worker = first.context().worker;
+        RequestLogger {
             first,
-            id: written_id(worker, req),
-            begun: worker.hub.shared.clock().now(),
-            tries: 0,
+            id: logged_request_id(worker, req),
+            started_at: worker.hub.shared.clock().now(),
+            attempts: 0,
             picked: None,
         }
     }
 
-    /// Notes the endpoint of the next try.
-    pub(in crate::traffic) fn pick(&mut self, picked: &Picked) {
-        self.tries += 1;
-        self.picked = Some(Chosen {
+    /// Records the endpoint of the next attempt.
+    pub(in crate::traffic) fn record_pick(&mut self, picked: &Picked) {
+        self.attempts += 1;
+        self.picked = Some(PickedEndpoint {
             endpoint: picked.endpoint(),
             load_percent: picked.load_percent(),
-            since: picked.since(),
+            picked_at: picked.since(),
         });
     }
 
-    /// Tells of a try that brought no answer.
-    pub(in crate::traffic) fn miss(&mut self, failure: &Failure) {
+    /// Logs an attempt that got no answer.
+    pub(in crate::traffic) fn log_failed_attempt(&mut self, failure: &Failure) {
         let since = self
             .picked
             .as_ref()
-            .map_or(self.begun, |picked| picked.since);
+            .map_or(self.started_at, |picked| picked.picked_at);
         if let Some(line) = self.line(TRIED, since) {
-            let log = self.first.facts().worker.hub.shared.log();
+            let log = self.first.context().worker.hub.shared.log();
             log.write(Rank::Failure, &with_outcome(line, failure.into()));
         }
     }
 
-    /// Tells how the request ended.
-    pub(in crate::traffic) fn end(mut self, ended: &Result<Response<Answer>, Failure>) {
-        if let Some(mut line) = self.line(ENDED, self.begun) {
-            let plain = ended
+    /// Logs the end of the request.
+    pub(in crate::traffic) fn log_end(mut self, ended: &Result<Response<Answer>, Failure>) {
+        if let Some(mut line) = self.line(ENDED, self.started_at) {
+            let is_success = ended
                 .as_ref()
                 .is_ok_and(|res| !res.status().is_server_error());
-            let rank = match plain && self.tries <= 1 {
+            let rank = match is_success && self.attempts <= 1 {
                 true => Rank::Success,
                 false => Rank::Failure,
             };
             line.status = ended.as_ref().ok().map(|res| res.status().as_u16());
-            let how = ended.as_ref().map_or_else(Told::from, |_| Told::ANSWERED);
-            let log = self.first.facts().worker.hub.shared.log();
-            log.write(rank, &with_outcome(line, how));
+            let outcome = ended.as_ref().map_or_else(Told::from, |_| Told::ANSWERED);
+            let log = self.first.context().worker.hub.shared.log();
+            log.write(rank, &with_outcome(line, outcome));
         }
         self.id = None;
     }
 
     fn line(&self, event: &'static str, since: Tick) -> Option<RequestLine<'_>> {
         let id = self.id.as_ref()?;
-        let facts = self.first.facts();
-        let shared = &facts.worker.hub.shared;
+        let context = self.first.context();
+        let shared = &context.worker.hub.shared;
         let now = shared.clock().now();
-        let snapshot = &facts.routes.view.snapshot;
+        let snapshot = &context.routes.view.snapshot;
         let picked = self.picked.as_ref();
         let endpoint = picked.and_then(|picked| snapshot.endpoint(picked.endpoint));
         let instance = endpoint.map(|endpoint| &endpoint.instance);
-        let life = instance.and_then(|instance| instance.target.as_ref());
+        let generation = instance.and_then(|instance| instance.target.as_ref());
         Some(RequestLine {
             unix_ms: unix_ms(),
             node: shared.me().as_str().into(),
             event: event.into(),
             request: String::from_utf8_lossy(id.as_bytes()),
-            content: facts.content.map(|content| content.to_string().into()),
-            kind: Some(facts.route.kind.as_str().into()),
-            class: Some(facts.route.class.as_str().into()),
+            content: context.content.map(|content| content.to_string().into()),
+            kind: Some(context.route.kind.as_str().into()),
+            class: Some(context.route.class.as_str().into()),
             instance: instance.map(|instance| instance.id.as_str().into()),
-            life: life.map(|life| life.id.as_str().into()),
-            try_number: Some(self.tries),
+            life: generation.map(|generation| generation.id.as_str().into()),
+            try_number: Some(self.attempts),
             load_percent: picked.map(|picked| picked.load_percent),
             took_us: micros(now.since(since)),
-            left_us: micros(facts.deadline.remaining(now)),
-            aim_left_us: facts.aim.map(|aim| micros(aim.since(now))),
-            ..versions(shared, Some(facts.routes))
+            left_us: micros(context.deadline.remaining(now)),
+            aim_left_us: context
+                .soft_deadline
+                .map(|deadline| micros(deadline.since(now))),
+            ..version_fields(shared, Some(context.routes))
         })
     }
 }
 
-impl Drop for Trail<'_> {
+impl Drop for RequestLogger<'_> {
     fn drop(&mut self) {
-        if let Some(line) = self.line(ENDED, self.begun) {
-            let gone = Failure::from(Loss::new(Step::Forward, LossCause::CallerGone));
-            let log = self.first.facts().worker.hub.shared.log();
-            log.write(Rank::Failure, &with_outcome(line, (&gone).into()));
+        if let Some(line) = self.line(ENDED, self.started_at) {
+            let caller_gone = Failure::from(Loss::new(Step::Forward, LossCause::CallerGone));
+            let log = self.first.context().worker.hub.shared.log();
+            log.write(Rank::Failure, &with_outcome(line, (&caller_gone).into()));
         }
     }
 }
 
-/// The id under which the log tells of a request, if anything is written.
-pub(in crate::traffic) fn written_id<B>(worker: &Worker, req: &Request<B>) -> Option<HeaderValue> {
+/// The request id for log lines; `None` if the log is silent or the request has no id.
+pub(in crate::traffic) fn logged_request_id<B>(
+    worker: &Worker,
+    req: &Request<B>,
+) -> Option<HeaderValue> {
     let id = req.headers().get(REQUEST_ID);
     id.filter(|_| !worker.hub.shared.log().is_silent()).cloned()
 }
 
-/// What a request was routed by, how new that was, and what the node had heard of.
+/// The versions that a request was routed by, their ages, and the newest advertised
+/// catalogue.
 ///
-/// A caller that is told that its route doesn't exist, or that waits past the time
-/// of its route, may have met a node that was behind. The line shows it: the node
-/// has heard of a newer catalogue than the one in force, or of nothing for long.
+/// A request without a matching route, or one that exceeds the timeout of its route, may
+/// have reached a stale node. The line shows this: a newer catalogue than the one in force
+/// has been advertised to the node, or nothing has been for a long time.
 ///
-/// Contact with the platform alone doesn't show it, since each stream is read by
-/// itself: a list that nobody has vouched for in long may stand beside a catalogue of
-/// this moment.
-fn versions<'a>(shared: &Shared, routes: Option<&Routes>) -> RequestLine<'a> {
+/// The time since the last contact with the platform isn't enough, since each stream is
+/// read separately. A list that hasn't been confirmed for a long time may be in force
+/// together with a current catalogue.
+fn version_fields<'a>(shared: &Shared, routes: Option<&Routes>) -> RequestLine<'a> {
     let now = shared.clock().now();
     let millis = |age| micros(age) / 1_000;
     let snapshot = routes.map(|routes| &routes.view.snapshot);
     let catalogue = snapshot.map(|snapshot| snapshot.catalogue().revision().get());
     let in_force = shared.in_force().current(now);
     let in_force = in_force.filter(|(revision, _)| Some(*revision) == catalogue);
-    let heard = shared.heard().current(now);
-    let heard = heard.filter(|(revision, _)| Some(*revision) != catalogue);
+    let advertised = shared.heard().current(now);
+    let advertised = advertised.filter(|(revision, _)| Some(*revision) != catalogue);
     let list = snapshot.map(|snapshot| snapshot.instances().revision().get());
-    let proved = shared.proved_list().current(now);
-    let proved = proved.filter(|(revision, _)| Some(*revision) == list);
+    let confirmed = shared.proved_list().current(now);
+    let confirmed = confirmed.filter(|(revision, _)| Some(*revision) == list);
     RequestLine {
         catalogue,
         catalogue_ms: in_force.map(|(_, age)| millis(age)),
-        heard: heard.map(|(revision, _)| revision),
-        heard_ms: heard.map(|(_, age)| millis(age)),
+        heard: advertised.map(|(revision, _)| revision),
+        heard_ms: advertised.map(|(_, age)| millis(age)),
         list,
-        list_ms: proved.map(|(_, age)| millis(age)),
+        list_ms: confirmed.map(|(_, age)| millis(age)),
         contact_ms: shared.contact().age(now).map(millis),
         ..RequestLine::default()
     }
 }
 
-/// Tells of a request that was refused before it had a route, or as one that has
-/// none by the `routes` in force.
+/// Logs a request that was refused before a route was matched, or because none matches in
+/// the `routes` in force.
 pub(in crate::traffic) fn log_unrouted(
     worker: &Worker,
     id: Option<&HeaderValue>,
@@ -211,7 +220,7 @@
         node: shared.me().as_str().into(),
         event: ENDED.into(),
         request: String::from_utf8_lossy(id.as_bytes()),
-        ..versions(shared, routes)
+        ..version_fields(shared, routes)
     };
     let failure = Failure::from(refusal);
     shared
--- a/crates/node/src/traffic/outbound/attempt.rs
+++ b/crates/node/src/traffic/outbound/attempt.rs
@@ -37,139 +37,142 @@
 use crate::traffic::inbound::forward::Call;
 use crate::traffic::missed::Missed;
 use crate::traffic::payload::Payload;
-use crate::traffic::peer::LinkFailure;
+use crate::traffic::peer::SendError;
 use crate::traffic::refusal;
 use crate::traffic::worker::Worker;
 
-/// One attempt.
+/// One attempt of a request at one endpoint.
 #[derive(Debug)]
 pub(in crate::traffic) struct Attempt<'a> {
     pub(in crate::traffic) worker: &'a Worker,
     pub(in crate::traffic) routes: &'a Routes,
-    /// Where it goes.
+    /// The endpoint's instance.
     pub(in crate::traffic) instance: &'a Instance,
     pub(in crate::traffic) deadline: Deadline,
     pub(in crate::traffic) hop: u32,
     pub(in crate::traffic) class: Class,
     pub(in crate::traffic) kind: &'a KindName,
-    /// Until when the answer is worth most.
-    pub(in crate::traffic) aim: Option<Tick>,
-    /// Whether nobody else is asked for room after this.
-    pub(in crate::traffic) settles: bool,
-    /// What it asks for.
+    /// Soft deadline: the moment until which the answer is worth most.
+    pub(in crate::traffic) soft_deadline: Option<Tick>,
+    /// Whether this attempt is the last resort: no other endpoint is asked for capacity
+    /// after it.
+    pub(in crate::traffic) last_resort: bool,
+    /// Fingerprint of the request's content.
     pub(in crate::traffic) content: Option<&'a Content>,
 }
 
 impl Attempt<'_> {
-    /// Gets the answer of the endpoint, and notes what it says of it.
+    /// Sends the request to the endpoint and records the outcome at the picker.
     ///
     /// # Errors
     ///
-    /// Says what is known of the request if there is none.
+    /// Returns what is known of the request if there is no answer.
     pub(in crate::traffic) async fn run(
         &self,
         picked: Picked,
         req: Request<Payload>,
     ) -> Result<Response<Answer>, Missed> {
         let result = if self.instance.id == *self.worker.hub.shared.me() {
-            forward::run(self.worker, req, self.call()).await
+            forward::run(self.worker, req, self.call_context()).await
         } else {
-            self.run_at_peer(&picked, req).await
+            self.send_to_peer(&picked, req).await
         };
         let now = self.worker.hub.shared.clock().now();
-        let verdict = match &result {
+        let outcome = match &result {
             Ok(res) if is_unavailable(res) => Verdict::Failed,
             Ok(_) => Verdict::Answered(now.since(picked.since())),
-            Err(missed) => verdict_of(&missed.failure),
+            Err(failed) => outcome_of(&failed.failure),
         };
-        if let Verdict::Answered(took) = verdict {
+        if let Verdict::Answered(took) = outcome {
             picked.timed(self.kind, took);
         }
-        picked.finish(now, verdict);
+        picked.finish(now, outcome);
         result
     }
 
-    fn call(&self) -> Call<'_> {
+    fn call_context(&self) -> Call<'_> {
         Call {
             routes: self.routes,
             deadline: self.deadline,
             hop: self.hop,
             class: Some(self.class),
             kind: Some(self.kind.clone()),
-            aim: self.aim,
-            settles: self.settles,
+            aim: self.soft_deadline,
+            settles: self.last_resort,
             content: self.content.copied(),
-            life: self.life(),
+            life: self.generation(),
             for_own_service: self.worker.hub.serves(self.instance.service.as_str()),
             origin: self.origin(),
         }
     }
 
-    /// Milliseconds within which the answer is worth most.
-    fn aim_left(&self) -> Option<u64> {
+    /// Milliseconds until the soft deadline.
+    fn soft_deadline_left_ms(&self) -> Option<u64> {
         let now = self.worker.hub.shared.clock().now();
-        let left = self.aim?.since(now).as_millis();
+        let left = self.soft_deadline?.since(now).as_millis();
         Some(u64::try_from(left).unwrap_or(u64::MAX))
     }
 
-    /// The life that the list gives the target, where lives are told apart.
-    fn life(&self) -> Option<HeaderValue> {
-        let life = self.instance.target.as_ref()?;
+    /// The listed generation of the target, if the dialect has generations.
+    fn generation(&self) -> Option<HeaderValue> {
+        let generation = self.instance.target.as_ref()?;
         self.worker.hub.shared.dialect().target_life.as_ref()?;
-        HeaderValue::from_str(life.id.as_str()).ok()
+        HeaderValue::from_str(generation.id.as_str()).ok()
     }
 
-    /// The service beside whose target the request began, where targets are
-    /// told of it.
+    /// The service of the local target, where the request began, if the dialect passes it
+    /// to targets.
     fn origin(&self) -> Option<HeaderValue> {
         self.worker.hub.shared.dialect().origin.as_ref()?;
         let service = self.worker.hub.shared.service()?;
         HeaderValue::from_str(service.as_str()).ok()
     }
 
-    async fn run_at_peer(
+    async fn send_to_peer(
         &self,
         picked: &Picked,
         req: Request<Payload>,
     ) -> Result<Response<Answer>, Missed> {
         if !req.body().is_short()
-            && let Err(refusal) = self.ask_for_room(picked, &req).await
+            && let Err(refusal) = self.check_capacity(picked, &req).await
         {
             return Err(Missed::unsent(refusal, req));
         }
-        let res = self.pass_on(picked, req).await?;
+        let res = self.exchange_with_peer(picked, req).await?;
         match refusal::failure_of(&res) {
             Some(failure) => Err(failure.into()),
-            None => Ok(from_peer(res.map(Answer::peer))),
+            None => Ok(clean_peer_response(res.map(Answer::from_peer))),
         }
     }
 
-    /// Asks whether there would be room for a request with a long body.
+    /// Checks whether the endpoint has capacity for a request with a long body, without
+    /// sending the body.
     ///
-    /// A body that is sent along takes the link of a target that may have no room:
-    /// uploads that were refused everywhere took more of slow links than those that
-    /// were served, and kept lookups on the way.
-    async fn ask_for_room(&self, picked: &Picked, req: &Request<Payload>) -> Result<(), Refusal> {
-        let mut ask = Request::new(Payload::empty());
-        *ask.method_mut() = req.method().clone();
-        *ask.uri_mut() = req.uri().clone();
-        ask.headers_mut()
+    /// A body sent at once uses the network link of a target that may have no capacity.
+    /// Uploads that were refused everywhere used more of slow links than uploads that were
+    /// served, and delayed lookups.
+    async fn check_capacity(&self, picked: &Picked, req: &Request<Payload>) -> Result<(), Refusal> {
+        let mut probe = Request::new(Payload::empty());
+        *probe.method_mut() = req.method().clone();
+        *probe.uri_mut() = req.uri().clone();
+        probe
+            .headers_mut()
             .insert(names::ROOM, HeaderValue::from_static("1"));
-        let answered = self.pass_on(picked, ask).await;
-        let told = match answered {
+        let answered = self.exchange_with_peer(picked, probe).await;
+        let failure = match answered {
             Ok(res) => refusal::failure_of(&res),
-            Err(missed) => Some(missed.failure),
+            Err(failed) => Some(failed.failure),
         };
-        match told {
+        match failure {
             None => Ok(()),
             Some(Failure::Refused(refusal)) if refusal.outcome() == Outcome::NotRun => Err(refusal),
-            // Whatever became of the question, the request itself wasn't sent.
+            // Whatever the outcome of the check, the request itself wasn't sent.
             Some(_) => Err(Refusal::not_run(Step::Forward, Reason::Connect)),
         }
     }
 
-    /// Passes a request on, and takes in the load that its answer tells.
-    async fn pass_on(
+    /// Sends a request to the endpoint's node and records the load that the answer reports.
+    async fn exchange_with_peer(
         &self,
         picked: &Picked,
         req: Request<Payload>,
@@ -179,24 +182,25 @@
         if left == 0 {
             return Err(Refusal::not_run(Step::Forward, Reason::DeadlinePassed).into());
         }
-        let req = self.for_peer(req, u64::try_from(left).unwrap_or(u64::MAX));
-        let link = self.worker.links.to(self.instance.traffic);
+        let req = self.peer_request(req, u64::try_from(left).unwrap_or(u64::MAX));
+        let connections = &self.worker.peer_connections;
+        let connection = connections.connection_to(self.instance.traffic);
         let until = clock.instant(self.deadline.tick());
-        let sent = tokio::time::timeout_at(until.into(), link.send(req)).await;
+        let sent = tokio::time::timeout_at(until.into(), connection.send(req)).await;
         let res = match sent {
             Ok(Ok(res)) => res,
-            Ok(Err(LinkFailure::NotSent(err, req))) => {
-                tracing::debug!(%err, "not passed on");
+            Ok(Err(SendError::NotSent(err, req))) => {
+                tracing::debug!(%err, "not sent to the peer");
                 let refusal = Refusal::not_run(Step::Forward, Reason::Connect);
                 return Err(Missed::unsent(refusal, *req));
             }
-            Ok(Err(LinkFailure::Sent(err))) => {
+            Ok(Err(SendError::Sent(err))) => {
                 tracing::debug!(%err, "lost");
                 return Err(Loss::new(Step::Forward, LossCause::ConnectionLost).into());
             }
             Err(_) => return Err(Loss::new(Step::Forward, LossCause::Timeout).into()),
         };
-        if let Some(load) = load_of(&res) {
+        if let Some(load) = parse_load(&res) {
             picked.report(clock.now(), load);
             let cold_ms = head::number(res.headers(), &names::COLD_MS).unwrap_or(0);
             picked.cold_for(clock.now(), Duration::from_millis(cold_ms));
@@ -204,9 +208,10 @@
         Ok(res)
     }
 
-    fn for_peer(&self, mut req: Request<Payload>, left_ms: u64) -> Request<Payload> {
+    /// The request with the headers, version and address for a peer.
+    fn peer_request(&self, mut req: Request<Payload>, left_ms: u64) -> Request<Payload> {
         let headers = req.headers_mut();
-        headers.insert(names::DEADLINE_MS, once(HeaderValue::from(left_ms)));
+        headers.insert(names::DEADLINE_MS, unindexed(HeaderValue::from(left_ms)));
         if let Some(id) = headers.get_mut(names::REQUEST_ID) {
             id.set_sensitive(true);
         }
@@ -214,38 +219,40 @@
         headers.insert(names::CLASS, HeaderValue::from_static(self.class.as_str()));
         let content = self.content.map(Content::to_string);
         let content = content.and_then(|text| HeaderValue::try_from(text).ok());
-        let told = [
-            (names::CONTENT, content.map(once)),
-            (names::LIFE, self.life()),
+        let optional = [
+            (names::CONTENT, content.map(unindexed)),
+            (names::LIFE, self.generation()),
             (names::ORIGIN, self.origin()),
             (names::KIND, HeaderValue::from_str(self.kind.as_str()).ok()),
             (
                 names::AIM_MS,
-                self.aim_left().map(HeaderValue::from).map(once),
+                self.soft_deadline_left_ms()
+                    .map(HeaderValue::from)
+                    .map(unindexed),
             ),
         ];
-        if self.settles {
+        if self.last_resort {
             headers.insert(names::SETTLES, HeaderValue::from_static("1"));
         }
-        for (name, value) in told {
+        for (name, value) in optional {
             if let Some(value) = value {
                 headers.insert(name, value);
             }
         }
-        self.add_service(headers);
+        self.insert_service(headers);
         *req.version_mut() = Version::HTTP_2;
         let mut uri = std::mem::take(req.uri_mut()).into_parts();
         uri.scheme = Some(Scheme::HTTP);
         if uri.authority.is_none() {
             uri.authority = Some(Authority::from_static("node"));
         }
-        // Scheme, authority and path are all there, so that it can't fail; a
-        // request for the root would be the worst case.
+        // Scheme, authority and path are all present, so this can't fail. The default would
+        // be a request for the root.
         *req.uri_mut() = Uri::from_parts(uri).unwrap_or_default();
         req
     }
 
-    fn add_service(&self, headers: &mut HeaderMap) {
+    fn insert_service(&self, headers: &mut HeaderMap) {
         let name = self.instance.service.as_str();
         if let Ok(value) = HeaderValue::from_str(name) {
             headers.insert(names::SERVICE, value);
@@ -253,44 +260,45 @@
     }
 }
 
-fn from_peer(mut res: Response<Answer>) -> Response<Answer> {
+fn clean_peer_response(mut res: Response<Answer>) -> Response<Answer> {
     head::strip_connection(res.headers_mut());
     *res.version_mut() = Version::HTTP_11;
     res
 }
 
-fn load_of<B>(res: &Response<B>) -> Option<LoadReport> {
+fn parse_load<B>(res: &Response<B>) -> Option<LoadReport> {
     let value = res.headers().get(names::LOAD)?;
     LoadReport::parse(value.to_str().ok()?).ok()
 }
 
-/// Whether the target itself says that it takes no work.
+/// Whether the target itself answers that it is unavailable.
 ///
-/// A target that drains or starts cold by itself answers 503 in no time. As a
-/// good answer that would make its endpoint the least loaded and the fastest
-/// of its service, and draw nearly all requests to it, to fail.
+/// A target that drains or starts cold on its own answers 503 at once. Counted as a
+/// success, this would make its endpoint the least loaded and fastest of its service,
+/// and nearly all requests would be sent to it and fail.
 fn is_unavailable<B>(res: &Response<B>) -> bool {
     res.status() == StatusCode::SERVICE_UNAVAILABLE
 }
 
-/// What a failure says of the endpoint.
-fn verdict_of(failure: &Failure) -> Verdict {
+/// The outcome that a failed attempt counts as for the endpoint.
+fn outcome_of(failure: &Failure) -> Verdict {
     match failure {
         Failure::Lost(_) => Verdict::Failed,
         Failure::Refused(refusal) => match refusal.reason() {
             Reason::Connect => Verdict::NoConnection,
             Reason::Draining | Reason::Starting | Reason::Evacuated => Verdict::Draining,
             Reason::ColdStart => Verdict::Cold(refusal.retry_after().unwrap_or_default()),
-            // None of them says anything of the endpoint.
+            // These depend on the request, not on the endpoint.
             Reason::DeadlinePassed | Reason::Quarantined | Reason::NotAtHome => Verdict::Cancelled,
             _ => Verdict::Shed,
         },
     }
 }
 
-/// Keeps a value that doesn't come again out of the table of the connection's
-/// headers, where looking for it and putting it in costs more than it saves.
-fn once(mut value: HeaderValue) -> HeaderValue {
+/// Marks a value that won't recur as never indexed, which keeps it out of the header
+/// compression table of the connection. Looking it up and inserting it costs more than it
+/// saves.
+fn unindexed(mut value: HeaderValue) -> HeaderValue {
     value.set_sensitive(true);
     value
 }
--- a/crates/node/src/traffic/outbound/caller_side.rs
+++ b/crates/node/src/traffic/outbound/caller_side.rs
@@ -1,4 +1,4 @@
-//! Requests of callers: the first hop, which routes and may try again.
+//! Serves requests of callers: the first hop, which routes and may retry.
 
 use std::sync::Arc;
 
@@ -25,53 +25,53 @@
 use crate::traffic::refusal;
 use crate::traffic::worker::Worker;
 
-/// Which listener a caller came by.
+/// The listener that a caller connected to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::traffic) enum Side {
-    /// Callers from outside.
+pub(in crate::traffic) enum CallerPort {
+    /// For callers from outside.
     Ingress,
-    /// The own target.
+    /// For the local target.
     Egress,
 }
 
 /// Answers a request of a caller.
 pub(in crate::traffic) async fn serve(
     worker: &Worker,
-    side: Side,
+    port: CallerPort,
     req: Request<Payload>,
 ) -> Response<Answer> {
     let guard = worker.hub.shared.in_flight().enter();
-    let may_follow = keyed::may_follow_another(req.headers());
-    let taken = req.body().taken();
-    let mut result = run(worker, side, req).await;
-    if may_follow {
+    let may_follow_another = keyed::may_follow_another(req.headers());
+    let read_status = req.body().taken();
+    let mut result = run(worker, port, req).await;
+    if may_follow_another {
         result = result.map_err(keyed::unknown);
     }
-    match side {
-        Side::Ingress => worker.hub.ingress.count(&result),
-        Side::Egress => worker.hub.egress.count(&result),
+    match port {
+        CallerPort::Ingress => worker.hub.ingress.count(&result),
+        CallerPort::Egress => worker.hub.egress.count(&result),
     }
     let dialect = worker.hub.shared.dialect();
-    let is_own = result.is_err();
+    let is_node_response = result.is_err();
     let res = result.unwrap_or_else(|failure| refusal::respond(&failure, dialect));
-    let mut res = for_caller(res, dialect);
-    if is_own && taken.is_some_and(|taken| !taken.is_whole()) {
+    let mut res = strip_internal(res, dialect);
+    if is_node_response && read_status.is_some_and(|status| !status.is_whole()) {
         announce_close(res.headers_mut());
     }
     res.map(|body| body.held(guard))
 }
 
-/// Says that the connection ends with this answer.
+/// Announces that the connection closes after this answer.
 ///
-/// The library closes one whose request was answered with a part of its body
-/// unread, and doesn't say so. The next request on it was then cut: a caller
-/// that hears of it opens another.
+/// The HTTP library closes a connection if a request was answered while a part of its body
+/// was unread, but doesn't announce it. The caller's next request on it was then cut. With
+/// the header, the caller opens another connection.
 fn announce_close(headers: &mut HeaderMap) {
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// Takes off what concerns nodes alone, but for the outcome.
-fn for_caller(mut res: Response<Answer>, dialect: &Dialect) -> Response<Answer> {
+/// Removes the headers that only nodes use, except the outcome if the dialect passes it on.
+fn strip_internal(mut res: Response<Answer>, dialect: &Dialect) -> Response<Answer> {
     let outcome = res.headers_mut().remove(names::OUTCOME);
     head::strip_own(res.headers_mut());
     if let Some(outcome) = outcome.filter(|_| dialect.tells_outcome) {
@@ -80,8 +80,8 @@
     res
 }
 
-/// Whether a request's route lets it run twice, by what is in force now.
-pub(in crate::traffic) fn may_repeat<B>(worker: &Worker, req: &Request<B>) -> bool {
+/// Whether the request's route is idempotent in the snapshot in force.
+pub(in crate::traffic) fn is_idempotent<B>(worker: &Worker, req: &Request<B>) -> bool {
     let Some(routes) = worker.hub.shared.routes() else {
         return false;
     };
@@ -92,41 +92,41 @@
 
 async fn run(
     worker: &Worker,
-    side: Side,
+    port: CallerPort,
     req: Request<Payload>,
 ) -> Result<Response<Answer>, Failure> {
-    let id = access_log::written_id(worker, &req);
+    let id = access_log::logged_request_id(worker, &req);
     let unrouted = |routes: Option<&Routes>, refusal: Refusal| {
         access_log::log_unrouted(worker, id.as_ref(), routes, refusal);
         Failure::from(refusal)
     };
-    // INVARIANT: The request is routed by these alone; newer ones only take
-    // endpoints away from it.
-    let routes = routes(worker, side).map_err(|refusal| unrouted(None, refusal))?;
-    let prepared = prepare(worker, side, &routes, req).await;
+    // INVARIANT: The request is routed by these alone; newer ones only remove endpoints
+    // from the choice.
+    let routes = routes_in_force(worker, port).map_err(|refusal| unrouted(None, refusal))?;
+    let prepared = prepare(worker, port, &routes, req).await;
     let (first, req) = prepared.map_err(|refusal| unrouted(Some(&routes), refusal))?;
     first.run(req).await
 }
 
-/// The routes in force, if callers of that side are served.
-fn routes(worker: &Worker, side: Side) -> Result<Arc<Routes>, Refusal> {
-    if side == Side::Ingress && worker.hub.is_leaving() {
-        // The own target's calls go on: what is in flight needs them.
+/// The routes in force, unless callers of that port are refused.
+fn routes_in_force(worker: &Worker, port: CallerPort) -> Result<Arc<Routes>, Refusal> {
+    if port == CallerPort::Ingress && worker.hub.is_leaving() {
+        // Calls of the local target are still served: requests in flight need them.
         return Err(refuse(Reason::Draining));
     }
     let routes = worker.hub.shared.routes();
     routes.ok_or_else(|| refuse(Reason::NoConfiguration))
 }
 
-/// Routes a request and holds its body, if there is room for it.
+/// Routes a request, and buffers its body if there is memory for it.
 async fn prepare<'a>(
     worker: &'a Worker,
-    side: Side,
+    port: CallerPort,
     routes: &'a Routes,
     mut req: Request<Payload>,
 ) -> Result<(FirstHop<'a>, Request<Payload>), Refusal> {
     head::strip_own(req.headers_mut());
-    let first = FirstHop::new(worker, side, routes, &req)?;
+    let first = FirstHop::new(worker, port, routes, &req)?;
     let (parts, body) = req.into_parts();
     let bound = routes.view.snapshot.callers().body_bytes;
     let Ok(body) = body.bounded(bound) else {
@@ -135,7 +135,7 @@
     let until = worker.hub.shared.clock().instant(first.deadline().tick());
     let body = match tokio::time::timeout_at(until.into(), body.hold(&worker.hub.bodies)).await {
         Ok(Ok(body)) => body,
-        // The caller broke off; nobody reads this answer.
+        // The caller disconnected; this answer isn't read.
         Ok(Err(_)) => return Err(refuse(Reason::CallerGone)),
         Err(_) => return Err(refuse(Reason::DeadlinePassed)),
     };
@@ -144,7 +144,7 @@
     head::set_host(req.headers_mut(), &uri);
     head::strip_connection(req.headers_mut());
     let content = content::of(&req);
-    Ok((first.asking(content), req))
+    Ok((first.with_content(content), req))
 }
 
 fn refuse(reason: Reason) -> Refusal {
--- a/crates/node/src/traffic/outbound/departed.rs
+++ b/crates/node/src/traffic/outbound/departed.rs
@@ -1,4 +1,4 @@
-//! Endpoints that have left the list since a request was routed.
+//! Endpoints that were removed from the list after a request was routed.
 
 use std::sync::Arc;
 
@@ -8,39 +8,39 @@
 use sassafrasspool_core::Instance;
 use sassafrasspool_core::Snapshot;
 
-/// The endpoints of a service of the snapshot `held` that get no new work by
-/// the `newest` one.
+/// The endpoints of a service in the snapshot `routed_by` that accept no new work
+/// according to the `newest` snapshot.
 ///
-/// A request is routed by one snapshot from its arrival on, and may be sent
-/// again seconds later. A target that began to leave meanwhile would get the
-/// later try past its bound, and be cut with the request on it.
-pub(in crate::traffic) fn departed(
-    held: &Arc<Snapshot>,
+/// A request keeps the snapshot of its arrival, and may be retried seconds later. A target
+/// that began to drain in between would receive the retry after its drain bound, and would
+/// be stopped with the request on it.
+pub(in crate::traffic) fn departed_endpoints(
+    routed_by: &Arc<Snapshot>,
     service: &BoundService,
     newest: &Arc<Snapshot>,
 ) -> Vec<EndpointKey> {
-    if Arc::ptr_eq(held, newest) {
+    if Arc::ptr_eq(routed_by, newest) {
         return Vec::new();
     }
-    let endpoints = held.endpoints_of(service);
-    let gone = endpoints.filter(|(_, endpoint)| !takes_work(endpoint, newest));
-    gone.map(|(key, _)| key).collect()
+    let endpoints = routed_by.endpoints_of(service);
+    let departed = endpoints.filter(|(_, endpoint)| !accepts_work(endpoint, newest));
+    departed.map(|(key, _)| key).collect()
 }
 
-/// Whether the same target, not another one in its place, takes new work.
-fn takes_work(endpoint: &Endpoint, newest: &Snapshot) -> bool {
+/// Whether the same generation of the target, not a successor, accepts new work.
+fn accepts_work(endpoint: &Endpoint, newest: &Snapshot) -> bool {
     let instance = &endpoint.instance;
     let found = newest.find_endpoint(&instance.id);
-    let Some(now) = found.and_then(|key| newest.endpoint(key)) else {
+    let Some(current) = found.and_then(|key| newest.endpoint(key)) else {
         return false;
     };
-    newest.takes_work(&now.instance) && is_same_target(&now.instance, instance)
+    newest.takes_work(&current.instance) && is_same_generation(&current.instance, instance)
 }
 
-/// Whether both name one start of one target, where starts are told apart.
-fn is_same_target(now: &Instance, before: &Instance) -> bool {
-    match (&now.target, &before.target) {
-        (Some(now), Some(before)) => now.is_same(before),
+/// Whether both name the same generation of a target; without generations they always do.
+fn is_same_generation(current: &Instance, earlier: &Instance) -> bool {
+    match (&current.target, &earlier.target) {
+        (Some(current), Some(earlier)) => current.is_same(earlier),
         (None, None) => true,
         _ => false,
     }
--- a/crates/node/src/traffic/outbound/first_hop.rs
+++ b/crates/node/src/traffic/outbound/first_hop.rs
@@ -1,4 +1,4 @@
-//! The first hop of a request: where it goes, and whether it goes again.
+//! The first hop of a request: routing, the choice of an endpoint, and retries.
 
 use std::time::Duration;
 
@@ -31,34 +31,34 @@
 use crate::traffic::head;
 use crate::traffic::keyed::Keyed;
 use crate::traffic::missed::Missed;
-use crate::traffic::outbound::access_log::Facts;
-use crate::traffic::outbound::access_log::Trail;
+use crate::traffic::outbound::access_log::RequestContext;
+use crate::traffic::outbound::access_log::RequestLogger;
 use crate::traffic::outbound::attempt::Attempt;
-use crate::traffic::outbound::caller_side::Side;
-use crate::traffic::outbound::departed::departed;
+use crate::traffic::outbound::caller_side::CallerPort;
+use crate::traffic::outbound::departed::departed_endpoints;
 use crate::traffic::payload::Payload;
 use crate::traffic::worker::Worker;
 
-/// What a request's way from its caller and the answer's way back take: up to
-/// 8 ms each at the deployments of today, and the time to read and write them.
-const WAY_OF_CALLER: Duration = Duration::from_millis(20);
+/// Time that a request takes from its caller to this node, and the answer back: up to 8 ms
+/// each in current deployments, plus the time to read and write them.
+const CALLER_ROUND_TRIP: Duration = Duration::from_millis(20);
 
-/// A request that is routed.
+/// A routed request on its caller's node.
 #[derive(Debug)]
 pub(in crate::traffic) struct FirstHop<'a> {
     worker: &'a Worker,
     routes: &'a Routes,
     route: &'a BoundRoute,
-    to: ServiceKey,
+    service_key: ServiceKey,
     service: &'a BoundService,
     budget: &'a Budget,
     keyed: Option<Keyed>,
-    begun: Tick,
+    arrived: Tick,
     deadline: Deadline,
-    /// Until when the answer is worth most to the caller.
-    aim: Option<Tick>,
+    /// Soft deadline: the moment until which the answer is worth most to the caller.
+    soft_deadline: Option<Tick>,
     hop: u32,
-    /// What the request asks for, once its body was taken in as far as it is held.
+    /// Fingerprint of the request's content, set after the body was buffered as far as it is.
     content: Option<Content>,
 }
 
@@ -67,10 +67,11 @@
     ///
     /// # Errors
     ///
-    /// Refuses it if no route takes its path or it has passed too many nodes.
+    /// Refuses it if no route matches its path, it has passed too many nodes, or its
+    /// request key is invalid.
     pub(in crate::traffic) fn new<B>(
         worker: &'a Worker,
-        side: Side,
+        port: CallerPort,
         routes: &'a Routes,
         req: &Request<B>,
     ) -> Result<FirstHop<'a>, Refusal> {
@@ -78,32 +79,32 @@
         let no_route = || refuse(Reason::NoRoute);
         let route = snapshot.match_route(head::host(req), req.uri().path());
         let route = route.ok_or_else(no_route)?;
-        let to = route.choose(rand::rng().next_u64());
-        let service = snapshot.service(to).ok_or_else(no_route)?;
-        let budget = routes.picker.budget(to);
+        let service_key = route.choose(rand::rng().next_u64());
+        let service = snapshot.service(service_key).ok_or_else(no_route)?;
+        let budget = routes.picker.budget(service_key);
         let keyed = match route.route.idempotent {
             true => None,
             false => Keyed::of(&service.entry.name, req)?,
         };
-        let asked = head::number(req.headers(), &names::REQUEST_TIMEOUT_MS);
-        let asked = asked.map(Duration::from_millis);
+        let caller_timeout = head::number(req.headers(), &names::REQUEST_TIMEOUT_MS);
+        let caller_timeout = caller_timeout.map(Duration::from_millis);
         let arrived = now(worker);
         let mut first = FirstHop {
             worker,
             routes,
             route,
-            to,
+            service_key,
             service,
             budget: budget.ok_or_else(no_route)?,
             keyed,
-            begun: arrived,
-            deadline: Deadline::within(arrived, timeout(&route.route, service, asked)),
-            aim: aim(worker, &route.route, arrived, asked),
+            arrived,
+            deadline: Deadline::within(arrived, timeout(&route.route, service, caller_timeout)),
+            soft_deadline: soft_deadline(worker, &route.route, arrived, caller_timeout),
             hop: 1,
             content: None,
         };
-        if side == Side::Egress {
-            first.belong_to_parent(req);
+        if port == CallerPort::Egress {
+            first.inherit_from_parent(req);
         }
         match first.hop > MAX_HOPS {
             true => Err(refuse(Reason::TooManyHops)),
@@ -111,132 +112,134 @@
         }
     }
 
-    /// When the request is given up.
+    /// When the request times out.
     pub(in crate::traffic) fn deadline(&self) -> Deadline {
         self.deadline
     }
 
-    /// The same for a request that asks for that.
-    pub(in crate::traffic) fn asking(mut self, content: Content) -> FirstHop<'a> {
+    /// The same with the fingerprint of the request's content.
+    pub(in crate::traffic) fn with_content(mut self, content: Content) -> FirstHop<'a> {
         self.content = Some(content);
         self
     }
 
-    /// Goes on where the request that the own target runs has come to.
-    fn belong_to_parent<B>(&mut self, req: &Request<B>) {
+    /// Bounds the deadline by that of the request for which the local target makes this
+    /// call, and continues its hop count.
+    fn inherit_from_parent<B>(&mut self, req: &Request<B>) {
         if let Some(parent) = self.worker.hub.parents.of(req.headers()) {
             self.deadline = self.deadline.min(parent.deadline);
             self.hop = parent.hop + 1;
         }
     }
 
-    /// Tries until there is an answer or a failure that stands.
+    /// Attempts the request until there is an answer or a final failure.
     ///
     /// # Errors
     ///
-    /// Says what is known of the request if there is no answer.
+    /// Returns what is known of the request if there is no answer.
     pub(in crate::traffic) async fn run(
         &self,
         req: Request<Payload>,
     ) -> Result<Response<Answer>, Failure> {
-        let mut trail = Trail::new(self, &req);
-        let ended = self.run_traced(req, &mut trail).await;
-        let took = now(self.worker).since(self.begun);
+        let mut logger = RequestLogger::new(self, &req);
+        let ended = self.run_attempts(req, &mut logger).await;
+        let took = now(self.worker).since(self.arrived);
         let class = self.route.route.class;
         self.worker.hub.stages.whole.took(class, took);
-        trail.end(&ended);
+        logger.log_end(&ended);
         ended
     }
 
-    async fn run_traced(
+    async fn run_attempts(
         &self,
         mut req: Request<Payload>,
-        trail: &mut Trail<'_>,
+        logger: &mut RequestLogger<'_>,
     ) -> Result<Response<Answer>, Failure> {
-        let mut tries = self.tries();
+        let mut retry = self.retry_state();
         let mut avoid = Vec::new();
         let mut last: Option<Failure> = None;
         loop {
-            avoid.extend(self.departed());
+            avoid.extend(self.departed_endpoints());
             let picked = match self.pick(&avoid) {
                 Ok(picked) => picked,
-                // What the last endpoint said tells more than that there is
-                // no other one.
-                Err(refusal) => return Err(tries.final_failure(last.unwrap_or(refusal.into()))),
+                // The failure of the last endpoint is more specific than the absence of
+                // another one.
+                Err(refusal) => return Err(retry.final_failure(last.unwrap_or(refusal.into()))),
             };
             avoid.push(picked.endpoint());
-            trail.pick(&picked);
-            let again = repeat(&req);
+            logger.record_pick(&picked);
+            let copy = try_clone(&req);
             let at = now(self.worker);
             let homes = &self.route.route.homes;
-            let others = self.routes.picker.has_other(self.to, homes, at, &avoid);
-            let settles = again.is_none() || !others || !tries.may_ask_more(at);
-            let missed = match self.attempt(picked, req, settles).await {
+            let picker = &self.routes.picker;
+            let has_other = picker.has_other(self.service_key, homes, at, &avoid);
+            let last_resort = copy.is_none() || !has_other || !retry.may_ask_more(at);
+            let failed = match self.attempt(picked, req, last_resort).await {
                 Ok(res) => return Ok(res),
-                Err(missed) => missed,
+                Err(failed) => failed,
             };
-            trail.miss(&missed.failure);
-            let failure = match tries.after(now(self.worker), missed.failure, self.budget) {
-                Next::Again => missed.failure,
+            logger.log_failed_attempt(&failed.failure);
+            let failure = match retry.after(now(self.worker), failed.failure, self.budget) {
+                Next::Again => failed.failure,
                 Next::Stop(failure) => return Err(failure),
             };
-            req = match again.or(missed.unsent.map(|req| *req)) {
-                Some(same) => same,
-                // A part of the body is used up.
-                None => return Err(tries.final_failure(failure)),
+            req = match copy.or(failed.unsent.map(|req| *req)) {
+                Some(req) => req,
+                // A part of the body was consumed.
+                None => return Err(retry.final_failure(failure)),
             };
             count_retry(&failure);
             last = Some(failure);
         }
     }
 
-    /// What is known of the request and of what it is routed by.
-    pub(in crate::traffic) fn facts(&self) -> Facts<'_> {
-        Facts {
+    /// The inputs that the request is routed by.
+    pub(in crate::traffic) fn context(&self) -> RequestContext<'_> {
+        RequestContext {
             worker: self.worker,
             routes: self.routes,
             route: &self.route.route,
             deadline: self.deadline,
-            aim: self.aim,
+            soft_deadline: self.soft_deadline,
             content: self.content.as_ref(),
         }
     }
 
-    fn tries(&self) -> Tries {
-        // A chain of nineteen calls in which each hop runs twice what may run
-        // twice would make half a million runs out of one. Calls that a target
-        // makes for a request are therefore only tried again on the proof that
-        // nothing ran, which multiplies nothing.
+    fn retry_state(&self) -> Tries {
+        // In a chain of nineteen calls, running idempotent requests twice at each hop would
+        // turn one run into half a million. Calls that a target makes for a request are
+        // therefore retried only if it is proved that nothing ran, which doesn't multiply
+        // runs.
         let idempotent = self.route.route.idempotent && self.hop == 1;
         let mut limits = self.service.entry.limits.retry;
         limits.attempts = self.route.route.attempts.unwrap_or(limits.attempts);
-        let tries = Tries::first(Hop::First, idempotent, &limits, self.deadline, self.budget);
-        tries.until(self.aim)
+        let retry = Tries::first(Hop::First, idempotent, &limits, self.deadline, self.budget);
+        retry.until(self.soft_deadline)
     }
 
-    /// The endpoints that the list in force by now has no new work for.
-    fn departed(&self) -> Vec<EndpointKey> {
+    /// The endpoints that accept no new work according to the list in force now.
+    fn departed_endpoints(&self) -> Vec<EndpointKey> {
         let newest = self.worker.hub.shared.routes();
         let newest = newest.as_ref().map(|routes| &routes.view.snapshot);
         newest.map_or_else(Vec::new, |newest| {
-            departed(&self.routes.view.snapshot, self.service, newest)
+            departed_endpoints(&self.routes.view.snapshot, self.service, newest)
         })
     }
 
     fn pick(&self, avoid: &[EndpointKey]) -> Result<Picked, Refusal> {
-        // Also before a later try: the one before may have been the third under which a
-        // target crashed.
+        // Also checked before a retry: the attempt before may have been the third under
+        // which a target crashed.
         let hub = &self.worker.hub;
         hub.check_quarantine(Step::Route, self.content.as_ref())?;
         let picker = &self.routes.picker;
-        let service = self.to;
+        let service = self.service_key;
         let homes = &self.route.route.homes;
         let now = now(self.worker);
         let Some(keyed) = &self.keyed else {
             return picker.pick(service, homes, now, avoid, &mut rand::rng());
         };
-        // Only the owner can tell whether it ran before: there is nowhere else
-        // to try.
+        // Only the owner of the key knows whether the request ran before, so no other
+        // endpoint is tried.
         let owner = picker.pick_owner(service, homes, now, &keyed.key)?;
         match avoid.contains(&owner.endpoint()) {
             true => Err(refuse(Reason::NoEndpoint)),
@@ -248,7 +251,7 @@
         &self,
         picked: Picked,
         req: Request<Payload>,
-        settles: bool,
+        last_resort: bool,
     ) -> Result<Response<Answer>, Missed> {
         let snapshot = &self.routes.view.snapshot;
         let Some(endpoint) = snapshot.endpoint(picked.endpoint()) else {
@@ -263,8 +266,8 @@
             hop: self.hop,
             class: self.route.route.class,
             kind: &self.route.route.kind,
-            aim: self.aim,
-            settles,
+            soft_deadline: self.soft_deadline,
+            last_resort,
             content: self.content.as_ref(),
         };
         attempt.run(picked, req).await
@@ -279,30 +282,36 @@
     Refusal::not_run(Step::Route, reason)
 }
 
-/// How long the caller waits, at most what the route or the entry allows.
-fn timeout(route: &Route, service: &BoundService, asked: Option<Duration>) -> Duration {
+/// The timeout that the caller sent, bounded by that of the route or else of the
+/// catalogue entry.
+fn timeout(route: &Route, service: &BoundService, caller_timeout: Option<Duration>) -> Duration {
     let limit = route.timeout.unwrap_or(service.entry.limits.deadline);
-    asked.map_or(limit, |asked| limit.min(asked))
+    caller_timeout.map_or(limit, |timeout| limit.min(timeout))
 }
 
-/// Until when the answer is worth most, counted from the first attempt of its
-/// caller.
-fn aim(worker: &Worker, route: &Route, arrived: Tick, asked: Option<Duration>) -> Option<Tick> {
+/// The soft deadline, counted from the first attempt of the caller.
+fn soft_deadline(
+    worker: &Worker,
+    route: &Route,
+    arrived: Tick,
+    caller_timeout: Option<Duration>,
+) -> Option<Tick> {
     let target = route.latency_target?;
-    let passed = asked.map_or(Duration::ZERO, |asked| {
-        worker.hub.patience.age(&route.kind, asked)
+    let passed = caller_timeout.map_or(Duration::ZERO, |timeout| {
+        let timeouts = &worker.hub.kind_timeouts;
+        timeouts.record_and_infer_elapsed(&route.kind, timeout)
     });
-    let left = target.saturating_sub(passed + WAY_OF_CALLER);
+    let left = target.saturating_sub(passed + CALLER_ROUND_TRIP);
     Some(arrived + left)
 }
 
-/// The same request once more, if its body is held.
-fn repeat(req: &Request<Payload>) -> Option<Request<Payload>> {
+/// A copy of the request, if its body is buffered.
+fn try_clone(req: &Request<Payload>) -> Option<Request<Payload>> {
     let body = req.body().again()?;
-    let mut same = Request::new(body);
-    *same.method_mut() = req.method().clone();
-    *same.uri_mut() = req.uri().clone();
-    *same.version_mut() = req.version();
-    *same.headers_mut() = req.headers().clone();
-    Some(same)
+    let mut copy = Request::new(body);
+    *copy.method_mut() = req.method().clone();
+    *copy.uri_mut() = req.uri().clone();
+    *copy.version_mut() = req.version();
+    *copy.headers_mut() = req.headers().clone();
+    Some(copy)
 }
--- a/crates/node/src/traffic/peer.rs
+++ b/crates/node/src/traffic/peer.rs
@@ -1,10 +1,10 @@
-//! The way from a node to another: HTTP/2 over few lasting connections.
+//! Connections to other nodes: HTTP/2 over few long-lived connections.
 
-mod link;
-mod links;
+mod connection;
+mod connections;
 mod stall_timer;
 #[cfg(test)]
 mod tests;
 
-pub(super) use self::link::LinkFailure;
-pub(super) use self::links::Links;
+pub(super) use self::connection::SendError;
+pub(super) use self::connections::PeerConnections;
--- a/crates/node/src/traffic/peer/link.rs
+++ b/crates/node/src/traffic/peer/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to another node.
+//! A connection to one other node.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -23,59 +23,59 @@
 use crate::metrics::traffic;
 use crate::reach::Reach;
 use crate::traffic::bounds::CONNECT_TIMEOUT;
-use crate::traffic::bounds::CONNECTION_WINDOW;
+use crate::traffic::bounds::CONNECTION_WINDOW_BYTES;
 use crate::traffic::bounds::MAX_HEAD_BYTES;
 use crate::traffic::bounds::PING_INTERVAL;
 use crate::traffic::bounds::PING_TIMEOUT;
-use crate::traffic::bounds::STREAM_WINDOW;
-use crate::traffic::bounds::UNACKNOWLEDGED;
+use crate::traffic::bounds::STREAM_WINDOW_BYTES;
+use crate::traffic::bounds::UNACKNOWLEDGED_TIMEOUT;
 use crate::traffic::payload::Payload;
 
 type Sender = http2::SendRequest<Payload>;
 
-/// A connection that is opened when it is needed and again when it broke.
+/// A connection to one node, opened on first use and reopened after it broke.
 #[derive(Debug)]
-pub(in crate::traffic) struct Link {
+pub(in crate::traffic) struct PeerConnection {
     addr: SocketAddr,
     reach: Reach,
     sender: Mutex<Option<Sender>>,
-    /// Held by the one who connects, so that a herd opens one connection; when
-    /// that failed last.
-    connecting: tokio::sync::Mutex<Option<Instant>>,
+    /// Time of the last failed attempt to connect. Locked while connecting, so that
+    /// concurrent requests open a single connection.
+    last_connect_failure: tokio::sync::Mutex<Option<Instant>>,
 }
 
-/// How passing a request to another node failed.
+/// The failure of sending a request to another node.
 #[derive(Debug)]
-pub(in crate::traffic) enum LinkFailure {
-    /// The other node has not seen the request, which comes back.
+pub(in crate::traffic) enum SendError {
+    /// The other node hasn't received the request, which is returned.
     NotSent(Error, Box<Request<Payload>>),
-    /// The other node may have passed it on.
+    /// The other node may have received the request and forwarded it.
     Sent(Error),
 }
 
-impl Link {
-    pub(super) fn new(addr: SocketAddr) -> Link {
-        Link {
+impl PeerConnection {
+    pub(super) fn new(addr: SocketAddr) -> PeerConnection {
+        PeerConnection {
             addr,
             reach: Reach::new("peer"),
             sender: Mutex::new(None),
-            connecting: tokio::sync::Mutex::new(None),
+            last_connect_failure: tokio::sync::Mutex::new(None),
         }
     }
 
-    /// Passes a request on and waits for the head of its answer. Dropping the
-    /// future, or the body of the answer, resets the stream.
+    /// Sends a request and waits for the head of its answer. Dropping the future, or the
+    /// body of the answer, resets the stream.
     ///
     /// # Errors
     ///
-    /// Says whether the other node can have seen the request.
+    /// Returns whether the other node may have received the request.
     pub(in crate::traffic) async fn send(
         &self,
         req: Request<Payload>,
-    ) -> Result<Response<Incoming>, LinkFailure> {
+    ) -> Result<Response<Incoming>, SendError> {
         let mut sender = match self.sender().await {
             Ok(sender) => sender,
-            Err(err) => return Err(LinkFailure::NotSent(err, Box::new(req))),
+            Err(err) => return Err(SendError::NotSent(err, Box::new(req))),
         };
         sender.try_send_request(req).await.map_err(|mut failed| {
             let message = failed.take_message();
@@ -83,10 +83,10 @@
             if sender.is_closed() {
                 self.reach.missed(self.addr, error_chain(&cause));
             }
-            let error = self.error("the exchange failed").with_cause(cause);
+            let error = self.error("request to the peer failed").with_cause(cause);
             match message {
-                Some(req) => LinkFailure::NotSent(error, Box::new(req)),
-                None => LinkFailure::Sent(error),
+                Some(req) => SendError::NotSent(error, Box::new(req)),
+                None => SendError::Sent(error),
             }
         })
     }
@@ -95,25 +95,25 @@
         if let Some(sender) = self.open_sender() {
             return Ok(sender);
         }
-        let asked = Instant::now();
-        let mut failed = self.connecting.lock().await;
+        let requested_at = Instant::now();
+        let mut last_failure = self.last_connect_failure.lock().await;
         if let Some(sender) = self.open_sender() {
             return Ok(sender);
         }
-        // Whoever waited for a connection that didn't come is told so. Were
-        // each to try anew, the last of a herd would have waited for all.
-        if failed.is_some_and(|failed| failed >= asked) {
-            return Err(self.error("connecting has just failed"));
+        // A request that waited for a failed attempt to connect fails as well. If each
+        // tried again, the last of many concurrent requests would wait for all attempts.
+        if last_failure.is_some_and(|failed_at| failed_at >= requested_at) {
+            return Err(self.error("the connection attempt of another request failed"));
         }
         let connect = tokio::time::timeout(CONNECT_TIMEOUT, self.connect());
         let connected = connect
             .await
-            .unwrap_or_else(|_| Err(self.error("connecting took too long")));
+            .unwrap_or_else(|_| Err(self.error("timed out while connecting")));
         match &connected {
             Ok(_) => self.reach.found(self.addr),
             Err(err) => self.reach.missed(self.addr, err),
         };
-        *failed = connected.is_err().then(Instant::now);
+        *last_failure = connected.is_err().then(Instant::now);
         let sender = connected?;
         *self.sender.lock().unwrap_or_else(PoisonError::into_inner) = Some(sender.clone());
         Ok(sender)
@@ -134,14 +134,14 @@
         let socket = SockRef::from(&stream);
         socket
             .set_tcp_nodelay(true)
-            .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED)))
+            .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)))
             .map_err(|e| self.error("cannot connect").with_cause(e))?;
         let handshake = http2::Builder::new(TokioExecutor::new())
             .timer(StallTimer)
-            .initial_stream_window_size(STREAM_WINDOW)
-            .initial_connection_window_size(CONNECTION_WINDOW)
+            .initial_stream_window_size(STREAM_WINDOW_BYTES)
+            .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
             .max_header_list_size(u32::try_from(MAX_HEAD_BYTES).unwrap_or(u32::MAX))
-            // A peer that was paused or cut off without a reset is noticed.
+            // Detects a peer that was paused, or cut off without a reset.
             .keep_alive_interval(PING_INTERVAL)
             .keep_alive_timeout(PING_TIMEOUT)
             .handshake(TokioIo::new(stream));
@@ -150,7 +150,7 @@
             .map_err(|e| self.error("cannot connect").with_cause(e))?;
         counter!(traffic::PEER_CONNECTIONS).increment(1);
         tokio::spawn(async move {
-            // Requests on it learn of a failure by themselves.
+            // The requests on the connection get its failure as their own error.
             let _ = connection.await;
         });
         Ok(sender)
--- a/crates/node/src/traffic/worker.rs
+++ b/crates/node/src/traffic/worker.rs
@@ -1,18 +1,18 @@
-//! One traffic thread's own state.
+//! The state of one traffic thread.
 
 use std::sync::Arc;
 
 use super::hub::Hub;
-use super::peer::Links;
+use super::peer::PeerConnections;
 use super::target::WorkerIndex;
 
-/// A traffic thread: it has its own connections to other nodes, so that a
-/// request needs no other thread on its way.
+/// The state of one traffic thread. Each thread has its own connections to other nodes, so
+/// that a request is served without another thread.
 #[derive(Debug)]
 pub(super) struct Worker {
     pub(super) hub: Arc<Hub>,
     pub(super) index: WorkerIndex,
-    pub(super) links: Links,
+    pub(super) peer_connections: PeerConnections,
 }
 
 impl Worker {
@@ -20,7 +20,7 @@
         Worker {
             hub,
             index,
-            links: Links::default(),
+            peer_connections: PeerConnections::default(),
         }
     }
 }
