--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin address: HTTP on loopback for operators.
+//! The admin endpoint: HTTP on loopback for operators.
 
 pub(crate) use self::server::Admin;
 
--- a/crates/node/src/admin/answers.rs
+++ b/crates/node/src/admin/answers.rs
@@ -1,4 +1,4 @@
-//! Answers put together from what the node knows.
+//! Builds the response bodies of the admin endpoint from the node's state.
 
 use sassafrasspool_core::BoundRoute;
 use sassafrasspool_core::BoundService;
@@ -22,7 +22,7 @@
 use super::Admin;
 use crate::View;
 
-/// The node in short.
+/// A summary of the node's state.
 pub(super) fn status(admin: &Admin, spread: &SpreadStatus) -> Status {
     let settings = &admin.settings;
     let shared = &admin.outside.shared;
@@ -36,7 +36,7 @@
         phase: shared.phase(),
         joined: spread.joined,
         reading: spread.reading,
-        held: in_force(admin),
+        held: versions_in_force(admin),
         evacuations: evacuations(admin),
         in_flight: shared.in_flight().count(),
         peers: spread.peers as u64,
@@ -56,7 +56,7 @@
     found.map(info).collect()
 }
 
-/// What the node keeps from targets.
+/// The requests in quarantine.
 pub(super) fn quarantine(admin: &Admin) -> QuarantineInfo {
     let shared = &admin.outside.shared;
     let held = shared.quarantine().list(shared.clock().now());
@@ -70,30 +70,30 @@
     }
 }
 
-/// What the node holds and what it heard of.
+/// The versions in force and the newest advertised versions.
 pub(super) fn versions(admin: &Admin, spread: &SpreadStatus) -> Versions {
     Versions {
         instance: admin.settings.instance.clone(),
-        held: in_force(admin),
-        heard: heads(&spread.heard),
+        held: versions_in_force(admin),
+        heard: advertised_versions(&spread.heard),
         refused: spread.refused.map(Into::into),
         refusals: spread.refusals,
         conflicts: spread.conflicts,
     }
 }
 
-/// All that is in force.
+/// The services and routes in force.
 pub(super) fn snapshot(view: &View) -> SnapshotInfo {
     let services = view.snapshot.services();
     SnapshotInfo {
-        held: held(view),
+        held: held_versions(view),
         services: services.map(|(_, it)| service(view, it)).collect(),
         routes: view.snapshot.routes().map(route).collect(),
     }
 }
 
 /// The versions that a view was built from.
-pub(super) fn held(view: &View) -> Held {
+pub(super) fn held_versions(view: &View) -> Held {
     Held {
         catalogue: Some(view.snapshot.catalogue().into()),
         instances: Some(view.snapshot.instances().into()),
@@ -119,7 +119,7 @@
     }
 }
 
-/// A service of the snapshot with what is known of its endpoints.
+/// A service of the snapshot with the known phases of its endpoints.
 pub(super) fn service(view: &View, bound: &BoundService) -> ServiceInfo {
     let endpoints = view.snapshot.endpoints_of(bound);
     ServiceInfo {
@@ -144,13 +144,13 @@
     }
 }
 
-/// What requests are routed by now, which is what operators ask for.
-fn in_force(admin: &Admin) -> Held {
+/// The versions that requests are routed by now.
+fn versions_in_force(admin: &Admin) -> Held {
     let view = admin.outside.shared.view();
-    view.map(|view| held(&view)).unwrap_or_default()
+    view.map(|view| held_versions(&view)).unwrap_or_default()
 }
 
-fn heads(heads: &Heads) -> Held {
+fn advertised_versions(heads: &Heads) -> Held {
     Held {
         catalogue: heads.catalogue.map(Into::into),
         instances: heads.instances.map(Into::into),
--- a/crates/node/src/admin/explain.rs
+++ b/crates/node/src/admin/explain.rs
@@ -1,4 +1,4 @@
-//! Why a request goes where it goes.
+//! Explains which route and service a request is matched to.
 
 use sassafrasspool_core::BoundRoute;
 use sassafrasspool_core::BoundService;
@@ -12,7 +12,7 @@
 use super::answers;
 use crate::View;
 
-/// Explains a service, a path, or what a path leads to within a service.
+/// Explains the service that `path` is routed to, or else the service that was named.
 pub(super) fn explain(
     view: &View,
     service: Option<&ServiceName>,
@@ -26,7 +26,7 @@
     let bound = by_route.or_else(|| by_name.map(|(_, bound)| bound));
     let info = bound.map(|bound| answers::service(view, bound));
     Explanation {
-        held: answers::held(view),
+        held: answers::held_versions(view),
         route: route.map(answers::route),
         reason: reason(service, path, route, bound, info.as_ref()),
         service: info,
@@ -47,27 +47,30 @@
             (None, None) => "neither a service nor a path was named".to_owned(),
         };
     };
-    let led = match (path, route) {
+    let matched = match (path, route) {
         (Some(path), Some(route)) => format!("{path} falls under {}", route.route.path),
         (Some(path), None) => format!("no route takes {path}"),
         (None, _) => "the service was named".to_owned(),
     };
     let name = &bound.entry.name;
     let elsewhere = match service {
-        Some(asked) if asked != name => format!(", not to {asked}"),
+        Some(named) if named != name => format!(", not to {named}"),
         _ => String::new(),
     };
-    let open = info
+    let accepting = info
         .endpoints
         .iter()
-        .filter(|it| takes_requests(it))
+        .filter(|it| accepts_requests(it))
         .count();
-    let all = info.endpoints.len();
-    format!("{led}, which leads to {name}{elsewhere}; {open} of {all} endpoints take requests")
+    let total = info.endpoints.len();
+    format!(
+        "{matched}, which leads to {name}{elsewhere}; {accepting} of {total} endpoints take requests"
+    )
 }
 
-/// Whether an endpoint may be sent requests, as far as this node knows.
-fn takes_requests(endpoint: &EndpointInfo) -> bool {
+/// Whether an endpoint is sent requests: it is listed as live, not evacuated, and the
+/// newest phase received for it is `ready`.
+fn accepts_requests(endpoint: &EndpointInfo) -> bool {
     let listed = endpoint.listed == InstanceState::Live && !endpoint.evacuated;
     listed && endpoint.phase == Some(Phase::Ready)
 }
--- a/crates/node/src/admin/server.rs
+++ b/crates/node/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! Routes and handlers.
+//! The HTTP routes and handlers of the admin endpoint.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,27 +38,27 @@
 use crate::metrics;
 use crate::metrics::Report;
 
-/// How long a node that ends waits for the last answers to operators.
-const CLOSE_LIMIT: Duration = Duration::from_millis(500);
+/// How long a stopping node waits for the last responses to operators.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The content type of the metrics page.
-const METRICS_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
 
-/// What the admin address answers from.
+/// The server of the admin endpoint.
 #[derive(Debug)]
 pub(crate) struct Admin {
     pub(super) settings: Arc<Settings>,
     pub(super) outside: Outside,
 }
 
-/// What the audit trail is asked for.
+/// The query of the audit trail: records numbered above `after`.
 #[derive(Debug, Deserialize)]
 struct AuditQuery {
     #[serde(default)]
     after: u64,
 }
 
-/// What is to be explained.
+/// The query of an explanation.
 #[derive(Debug, Deserialize)]
 struct ExplainQuery {
     service: Option<String>,
@@ -66,15 +66,15 @@
     path: Option<String>,
 }
 
-/// What is to run again.
+/// The query of a release from quarantine.
 #[derive(Debug, Deserialize)]
 struct ReleaseQuery {
     content: String,
 }
 
-/// An error as operators get it.
+/// An error response to an operator.
 #[derive(Debug)]
-struct Refused {
+struct ErrorResponse {
     status: StatusCode,
     reason: String,
 }
@@ -84,7 +84,7 @@
         Admin { settings, outside }
     }
 
-    /// Answers until `cancel` is cancelled.
+    /// Serves all routes until `cancel` is cancelled.
     pub(crate) async fn serve(self, listener: TcpListener, cancel: CancellationToken) {
         let stop = cancel.clone();
         let serving = axum::serve(listener, self.router())
@@ -95,11 +95,11 @@
             _ = &mut serving => return,
             () = cancel.cancelled() => {}
         }
-        // A client that keeps its connection open must not hold the node up.
-        let _ = timeout(CLOSE_LIMIT, serving).await;
+        // A client that keeps its connection open must not delay the node's stop.
+        let _ = timeout(CLOSE_TIMEOUT, serving).await;
     }
 
-    /// Answers with the metrics alone until `cancel` is cancelled.
+    /// Serves only the metrics page until `cancel` is cancelled.
     pub(crate) async fn serve_metrics(self, listener: TcpListener, cancel: CancellationToken) {
         let router = Router::new()
             .route(admin::METRICS_PATH, get(metrics_page))
@@ -122,21 +122,25 @@
             .with_state(Arc::new(self))
     }
 
-    /// What is in force.
-    fn view(&self) -> Result<Arc<View>, Refused> {
-        self.outside.shared.view().ok_or_else(|| Refused {
+    /// The view in force.
+    ///
+    /// # Errors
+    ///
+    /// Fails with 503 before the first snapshot.
+    fn view(&self) -> Result<Arc<View>, ErrorResponse> {
+        self.outside.shared.view().ok_or_else(|| ErrorResponse {
             status: StatusCode::SERVICE_UNAVAILABLE,
             reason: "nothing is in force yet".to_owned(),
         })
     }
 }
 
-async fn status(State(admin): State<Arc<Admin>>) -> Result<Json<Status>, Refused> {
+async fn status(State(admin): State<Arc<Admin>>) -> Result<Json<Status>, ErrorResponse> {
     let spread = admin.outside.control.status().await?;
     Ok(Json(answers::status(&admin, &spread)))
 }
 
-async fn versions(State(admin): State<Arc<Admin>>) -> Result<Json<Versions>, Refused> {
+async fn versions(State(admin): State<Arc<Admin>>) -> Result<Json<Versions>, ErrorResponse> {
     let spread = admin.outside.control.status().await?;
     Ok(Json(answers::versions(&admin, &spread)))
 }
@@ -144,9 +148,9 @@
 async fn explain_route(
     State(admin): State<Arc<Admin>>,
     Query(query): Query<ExplainQuery>,
-) -> Result<Response, Refused> {
+) -> Result<Response, ErrorResponse> {
     let service = query.service.as_deref().map(ServiceName::new).transpose();
-    let service = service.map_err(|err| Refused {
+    let service = service.map_err(|err| ErrorResponse {
         status: StatusCode::BAD_REQUEST,
         reason: err.to_string(),
     })?;
@@ -160,7 +164,7 @@
     Json(admin.outside.audit.page(query.after)).into_response()
 }
 
-async fn metrics_page(State(admin): State<Arc<Admin>>) -> Result<Response, Refused> {
+async fn metrics_page(State(admin): State<Arc<Admin>>) -> Result<Response, ErrorResponse> {
     let spread = admin.outside.control.status().await?;
     let report = Report {
         shared: &admin.outside.shared,
@@ -168,11 +172,11 @@
         control: admin.outside.counts.stats(),
     };
     report.publish();
-    let headers = [(CONTENT_TYPE, METRICS_TYPE)];
+    let headers = [(CONTENT_TYPE, METRICS_CONTENT_TYPE)];
     Ok((headers, metrics::render()).into_response())
 }
 
-async fn snapshot(State(admin): State<Arc<Admin>>) -> Result<Response, Refused> {
+async fn snapshot(State(admin): State<Arc<Admin>>) -> Result<Response, ErrorResponse> {
     let view = admin.view()?;
     Ok(Json(answers::snapshot(&view)).into_response())
 }
@@ -184,22 +188,22 @@
 async fn release(
     State(admin): State<Arc<Admin>>,
     Query(query): Query<ReleaseQuery>,
-) -> Result<Json<ReleaseAnswer>, Refused> {
-    let content = Content::parse(&query.content).map_err(|err| Refused {
+) -> Result<Json<ReleaseAnswer>, ErrorResponse> {
+    let content = Content::parse(&query.content).map_err(|err| ErrorResponse {
         status: StatusCode::BAD_REQUEST,
         reason: err.to_string(),
     })?;
     let shared = &admin.outside.shared;
-    let held = shared.quarantine().holds(shared.clock().now(), &content);
+    let left = shared.quarantine().holds(shared.clock().now(), &content);
     if !shared.quarantine().release(&content).await {
-        return Err(Refused {
+        return Err(ErrorResponse {
             status: StatusCode::SERVICE_UNAVAILABLE,
             reason: "the node has ended".to_owned(),
         });
     }
     Ok(Json(ReleaseAnswer {
         instance: shared.me().clone(),
-        was_held: held.is_some(),
+        was_held: left.is_some(),
     }))
 }
 
@@ -207,7 +211,7 @@
     let shared = &admin.outside.shared;
     admin.outside.control.send(ControlEvent::Drain).await;
     let mut phase = shared.watch_phase();
-    // It ends with the node at the latest, which drops this handler.
+    // The wait ends at the latest when the node stops, which drops this handler.
     let _ = phase.wait_for(|phase| *phase >= Phase::Draining).await;
     Json(DrainAnswer {
         instance: shared.me().clone(),
@@ -216,16 +220,16 @@
     })
 }
 
-impl From<Error> for Refused {
-    fn from(err: Error) -> Refused {
-        Refused {
+impl From<Error> for ErrorResponse {
+    fn from(err: Error) -> ErrorResponse {
+        ErrorResponse {
             status: StatusCode::SERVICE_UNAVAILABLE,
             reason: err.to_string(),
         }
     }
 }
 
-impl IntoResponse for Refused {
+impl IntoResponse for ErrorResponse {
     fn into_response(self) -> Response {
         (self.status, self.reason).into_response()
     }
--- a/crates/node/src/audit.rs
+++ b/crates/node/src/audit.rs
@@ -1,5 +1,5 @@
-//! The audit trail: every change of state, in a bounded ring for operators
-//! and as a structured log line.
+//! The audit trail: every state change, in bounded rings for operators and as
+//! a structured log line.
 
 pub use self::trail::AuditTrail;
 
--- a/crates/node/src/audit/record.rs
+++ b/crates/node/src/audit/record.rs
@@ -1,4 +1,4 @@
-//! From the core's events to records.
+//! Converts the core's audit events to records.
 
 use sassafrasspool_core::AuditEvent;
 use sassafrasspool_core::Content;
@@ -7,17 +7,17 @@
 use sassafrasspool_core::Version;
 use sassafrasspool_wire::admin::AuditRecord;
 
-/// The event of records that tell of endpoints.
+/// The event name of records about an endpoint's phase.
 pub(super) const ENDPOINT: &str = "endpoint";
 
-/// The longest reason that is kept, in characters.
+/// Maximum length of a stored reason, in characters.
 const MAX_REASON_CHARS: usize = 2_000;
 
-/// Requests of a crash that a record tells of.
-const MAX_CONTENTS: usize = 32;
+/// Maximum number of requests that the record of a crash lists.
+const MAX_CRASH_CONTENTS: usize = 32;
 
 /// The record of an event, without number and time.
-pub(super) fn of(event: &AuditEvent) -> AuditRecord {
+pub(super) fn from_event(event: &AuditEvent) -> AuditRecord {
     match event {
         AuditEvent::Applied {
             stream,
@@ -29,13 +29,13 @@
             version,
             origin,
             reason,
-        } => because(versioned("refused", *stream, *version, origin), reason),
+        } => with_reason(versioned("refused", *stream, *version, origin), reason),
         AuditEvent::BodyRefused {
             stream,
             version,
             origin,
             reason,
-        } => because(versioned("body-refused", *stream, *version, origin), reason),
+        } => with_reason(versioned("body-refused", *stream, *version, origin), reason),
         AuditEvent::Conflict {
             stream,
             held,
@@ -54,7 +54,7 @@
             stream: Some(*stream),
             kept: Some((*held).into()),
             reason: Some(format!("revision {offered} was offered")),
-            ..named("older-ignored", origin)
+            ..with_origin("older-ignored", origin)
         },
         AuditEvent::Endpoint {
             state,
@@ -64,7 +64,7 @@
             instance: Some(state.instance.clone()),
             phase: Some(state.phase),
             reason: before.map(|before| format!("was {before}")),
-            ..named(ENDPOINT, origin)
+            ..with_origin(ENDPOINT, origin)
         },
         AuditEvent::Evacuated {
             domain,
@@ -72,11 +72,11 @@
             origin,
         } => AuditRecord {
             reason: Some(format!("{domain}, with {instances} listed instances")),
-            ..named("evacuated", origin)
+            ..with_origin("evacuated", origin)
         },
         AuditEvent::EvacuationEnded { domain, origin } => AuditRecord {
             reason: Some(domain.to_string()),
-            ..named("evacuation-ended", origin)
+            ..with_origin("evacuation-ended", origin)
         },
         AuditEvent::Replaced { state } => AuditRecord {
             event: "replaced".to_owned(),
@@ -85,12 +85,12 @@
             reason: Some(format!("by incarnation {}", state.incarnation)),
             ..AuditRecord::default()
         },
-        other => own(other),
+        other => from_node_event(other),
     }
 }
 
-/// Events of the node itself, which came from nobody.
-fn own(event: &AuditEvent) -> AuditRecord {
+/// The record of an event of the node itself, which has no origin.
+fn from_node_event(event: &AuditEvent) -> AuditRecord {
     let (name, reason) = match event {
         AuditEvent::Joined {
             peers,
@@ -116,7 +116,7 @@
             ("list-waits", reason)
         }
         AuditEvent::TargetCrashed { ran } => {
-            let shown = ran.iter().take(MAX_CONTENTS).map(Content::to_string);
+            let shown = ran.iter().take(MAX_CRASH_CONTENTS).map(Content::to_string);
             let shown: Vec<String> = shown.collect();
             let reason = format!("it ran {}: {}", ran.len(), shown.join(" "));
             ("target-crashed", reason)
@@ -141,12 +141,12 @@
     AuditRecord {
         stream: Some(stream),
         version: Some(version.into()),
-        ..named(event, origin)
+        ..with_origin(event, origin)
     }
 }
 
-/// A record of something that came from somewhere.
-fn named(event: &str, origin: &Origin) -> AuditRecord {
+/// A record of an event with an origin.
+fn with_origin(event: &str, origin: &Origin) -> AuditRecord {
     AuditRecord {
         event: event.to_owned(),
         from: Some(origin.to_string()),
@@ -154,8 +154,8 @@
     }
 }
 
-/// A record with its reason, which is cut if it is long.
-fn because(record: AuditRecord, reason: &str) -> AuditRecord {
+/// A record with its reason, truncated to [`MAX_REASON_CHARS`].
+fn with_reason(record: AuditRecord, reason: &str) -> AuditRecord {
     AuditRecord {
         reason: Some(reason.chars().take(MAX_REASON_CHARS).collect()),
         ..record
--- a/crates/node/src/audit/tests.rs
+++ b/crates/node/src/audit/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn page_begins_after_the_number_asked_for() {
+fn page_starts_after_the_requested_number() {
     let trail = trail();
     for phase in [Phase::Starting, Phase::Ready, Phase::Draining] {
         trail.write_phase(phase, "a test");
@@ -44,10 +44,10 @@
     assert_eq!(page.records[0].number, 7);
 }
 
-// An operator looks for the reason of a refusal after a fleet has restarted,
-// which wrote more records of endpoints than are kept.
+// Guards against losing the reason of a refusal after a fleet restart, which writes
+// more records of endpoints than a ring holds.
 #[test]
-fn endpoints_do_not_push_out_versions() {
+fn endpoint_records_do_not_evict_version_records() {
     let trail = trail();
     trail.write(&AuditEvent::Refused {
         stream: Stream::Catalogue,
@@ -75,13 +75,13 @@
 }
 
 #[derive(Debug)]
-struct Written {
+struct RecordCase {
     event: AuditEvent,
     json: &'static str,
 }
 
 #[rstest]
-#[case::applied(Written {
+#[case::applied(RecordCase {
     event: AuditEvent::Applied {
         stream: Stream::Catalogue,
         version: version(7),
@@ -89,7 +89,7 @@
     },
     json: r#""event":"applied","stream":"catalogue","version":{"revision":7,"#,
 })]
-#[case::refused(Written {
+#[case::refused(RecordCase {
     event: AuditEvent::Refused {
         stream: Stream::Catalogue,
         version: version(8),
@@ -98,7 +98,7 @@
     },
     json: r#""from":"source","reason":"route /a: no service b""#,
 })]
-#[case::conflict(Written {
+#[case::conflict(RecordCase {
     event: AuditEvent::Conflict {
         stream: Stream::Instances,
         held: version(3),
@@ -107,7 +107,7 @@
     },
     json: r#""kept":{"revision":3"#,
 })]
-#[case::older(Written {
+#[case::older(RecordCase {
     event: AuditEvent::OlderIgnored {
         stream: Stream::Instances,
         held: version(3),
@@ -116,7 +116,7 @@
     },
     json: r#""reason":"revision 2 was offered""#,
 })]
-fn records_tell_what_changed(#[case] case: Written) {
+fn record_contains_the_fields_of_its_event(#[case] case: RecordCase) {
     let trail = trail();
     trail.write(&case.event);
     let page = serde_json::to_string(&trail.page(0)).expect("a page");
--- a/crates/node/src/audit/trail.rs
+++ b/crates/node/src/audit/trail.rs
@@ -1,4 +1,4 @@
-//! The ring of records.
+//! The bounded rings of audit records.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -13,19 +13,19 @@
 
 use super::record;
 
-/// Records that are kept of endpoints, and as many of all else.
-const KEPT: usize = 1_024;
+/// Maximum number of records in each ring: one for endpoints, one for all other events.
+const MAX_RECORDS_PER_RING: usize = 1_024;
 
-/// One node's trail.
+/// One node's audit trail.
 ///
-/// A fleet that restarts changes thousands of endpoints within seconds.
-/// Records of endpoints have a ring of their own, so that they don't push out
-/// what tells which version came into force or was refused, and why.
+/// A fleet restart changes thousands of endpoints within seconds. Records of
+/// endpoints have a ring of their own, so that they don't evict the records that
+/// show which version came into force or was refused, and why.
 ///
 /// # Invariants
 ///
-/// Records are numbered from 1 in the order of writing, across both rings. In
-/// each the newest 1,024 are held.
+/// Records are numbered from 1 in the order of writing, across both rings. Each
+/// ring holds its newest 1,024 records.
 #[derive(Debug)]
 pub struct AuditTrail {
     me: InstanceId,
@@ -40,7 +40,7 @@
 }
 
 impl AuditTrail {
-    /// A trail without records.
+    /// An empty trail.
     pub(crate) fn new(me: InstanceId) -> AuditTrail {
         AuditTrail {
             me,
@@ -48,14 +48,14 @@
         }
     }
 
-    /// Writes what the spreading of versions reports.
+    /// Writes an event of the dissemination of versions.
     pub(crate) fn write(&self, event: &AuditEvent) {
-        self.put(record::of(event));
+        self.append(record::from_event(event));
     }
 
-    /// Writes a phase of this node's own endpoint.
+    /// Writes a phase change of this node's own endpoint.
     pub(crate) fn write_phase(&self, phase: Phase, reason: &str) {
-        self.put(AuditRecord {
+        self.append(AuditRecord {
             event: "phase".to_owned(),
             instance: Some(self.me.clone()),
             phase: Some(phase),
@@ -64,21 +64,21 @@
         });
     }
 
-    /// The records after number `after` that are still kept, oldest first.
+    /// The retained records numbered above `after`, oldest first.
     pub fn page(&self, after: u64) -> AuditPage {
         let rings = self.lock();
-        let kept = rings.endpoints.iter().chain(&rings.others);
-        let mut records: Vec<_> = kept.filter(|it| it.number > after).cloned().collect();
+        let retained = rings.endpoints.iter().chain(&rings.others);
+        let mut records: Vec<_> = retained.filter(|it| it.number > after).cloned().collect();
         records.sort_unstable_by_key(|record| record.number);
-        let held = rings.endpoints.len() + rings.others.len();
+        let retained_count = rings.endpoints.len() + rings.others.len();
         AuditPage {
             instance: self.me.clone(),
             records,
-            dropped: rings.written - held as u64,
+            dropped: rings.written - retained_count as u64,
         }
     }
 
-    fn put(&self, mut record: AuditRecord) {
+    fn append(&self, mut record: AuditRecord) {
         let mut rings = self.lock();
         rings.written += 1;
         record.number = rings.written;
@@ -88,10 +88,11 @@
             record::ENDPOINT => &mut rings.endpoints,
             _ => &mut rings.others,
         };
-        if ring.len() == KEPT {
+        if ring.len() == MAX_RECORDS_PER_RING {
             ring.pop_front();
         }
-        // INVARIANT: Room was made above, and the number is the next one.
+        // INVARIANT: A full ring lost its oldest record above, so its length stays
+        // bounded; the record has the next number.
         ring.push_back(record);
     }
 
