--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,10 +1,11 @@
-//! Log lines on standard output, bounded, and never in the way of a request.
+//! The log on standard output: bounded, and written without blocking requests.
 //!
-//! Changes of state come through `tracing`, what is decided about requests as
-//! [`RequestLine`]s. Both go into one buffer that a thread of its own writes: a
-//! reader that stands still costs lines and not requests. Each second has a
-//! budget of bytes, of which failures may use more than successes; what is left
-//! out is counted and told with the next line.
+//! State changes are logged through `tracing`, decisions about requests as
+//! [`RequestLine`]s. Both go into one buffer that a dedicated thread writes, so
+//! that a stalled reader of the log drops lines and doesn't delay requests. A
+//! byte budget per second limits the output; failures may use more of it than
+//! successes. Dropped lines are counted, and the counts are logged before the
+//! next line.
 //!
 //! [`RequestLine`]: sassafrasspool_wire::log::RequestLine
 
@@ -12,9 +13,9 @@
 mod buffer;
 mod request;
 mod sink;
+mod state_writer;
 #[cfg(test)]
 mod tests;
-mod writer;
 
 pub(crate) use self::budget::Rank;
 pub(crate) use self::request::Told;
@@ -22,4 +23,4 @@
 pub(crate) use self::request::unix_ms;
 pub(crate) use self::request::with_outcome;
 pub use self::sink::LogSink;
-pub(crate) use self::writer::StateWriter;
+pub(crate) use self::state_writer::StateWriter;
--- a/crates/node/src/log/budget.rs
+++ b/crates/node/src/log/budget.rs
@@ -1,4 +1,4 @@
-//! How many bytes of lines may be written.
+//! The byte budget of the log, by rank of the line.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use super::request::micros;
 
-/// What a line is about, the least dispensable first.
+/// The importance of a line, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Rank {
-    /// A change of state.
+    /// A state change.
     State,
-    /// A request that failed, or was tried more than once.
+    /// A request that failed or took more than one attempt.
     Failure,
     /// A request that was answered.
     Success,
@@ -21,7 +21,7 @@
     /// Every rank, in the order of its index.
     pub(super) const ALL: [Rank; 3] = [Rank::State, Rank::Failure, Rank::Success];
 
-    /// The part of a second's budget that is left for ranks above, in percent.
+    /// The share of a second's budget reserved for higher ranks, in percent.
     const fn reserve_percent(self) -> u64 {
         match self {
             Rank::State => 0,
@@ -31,42 +31,42 @@
     }
 }
 
-/// A bucket that a second's bytes fit into.
+/// A token bucket of bytes whose capacity is one second's budget.
 ///
 /// # Invariants
 ///
-/// At most `per_s` bytes are held, so that within any second no more than twice
-/// that is written.
+/// At most `bytes_per_s` bytes are available, so that within any second at most
+/// twice that is written.
 #[derive(Debug)]
 pub(super) struct ByteBudget {
-    per_s: u64,
-    held: u64,
-    at: Tick,
+    bytes_per_s: u64,
+    available: u64,
+    refilled_at: Tick,
 }
 
 impl ByteBudget {
     /// A full bucket.
-    pub(super) const fn new(per_s: u64) -> ByteBudget {
+    pub(super) const fn new(bytes_per_s: u64) -> ByteBudget {
         ByteBudget {
-            per_s,
-            held: per_s,
-            at: Tick::ZERO,
+            bytes_per_s,
+            available: bytes_per_s,
+            refilled_at: Tick::ZERO,
         }
     }
 
     /// Whether a line of that rank may be written now.
     pub(super) fn allows(&mut self, now: Tick, rank: Rank) -> bool {
-        let passed = now.since(self.at).min(Duration::from_secs(1));
-        let gained = self.per_s.saturating_mul(micros(passed)) / 1_000_000;
-        if gained > 0 {
-            self.held = (self.held + gained).min(self.per_s);
-            self.at = now;
+        let elapsed = now.since(self.refilled_at).min(Duration::from_secs(1));
+        let refill_bytes = self.bytes_per_s.saturating_mul(micros(elapsed)) / 1_000_000;
+        if refill_bytes > 0 {
+            self.available = (self.available + refill_bytes).min(self.bytes_per_s);
+            self.refilled_at = now;
         }
-        self.held > self.per_s * rank.reserve_percent() / 100
+        self.available > self.bytes_per_s * rank.reserve_percent() / 100
     }
 
-    /// Takes the bytes of a line that was written.
-    pub(super) fn take(&mut self, bytes: usize) {
-        self.held = self.held.saturating_sub(bytes as u64);
+    /// Deducts the bytes of a line that was written.
+    pub(super) fn consume(&mut self, bytes: usize) {
+        self.available = self.available.saturating_sub(bytes as u64);
     }
 }
--- a/crates/node/src/log/buffer.rs
+++ b/crates/node/src/log/buffer.rs
@@ -1,4 +1,4 @@
-//! Lines that wait to be written.
+//! The buffer of lines that are not written yet.
 
 use std::time::Duration;
 
@@ -8,92 +8,98 @@
 use super::budget::ByteBudget;
 use super::budget::Rank;
 
-/// Bytes that wait at most, should nobody read what is written.
-const MAX_WAITING: usize = 256 * 1024;
+/// Maximum bytes of pending lines, reached when the log's output isn't read.
+const MAX_PENDING_BYTES: usize = 256 * 1024;
 
-/// Time between two lines that tell what was left out: told with each line, they
-/// would use up the budget that was too small for the lines themselves.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+/// Minimum time between two lines that report dropped lines. Written before each
+/// line, such reports would use up the budget that was too small for the lines
+/// themselves.
+const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What was left out since that was told last.
+/// The number of lines dropped since the last such report, by rank.
 #[derive(Debug, Serialize)]
-struct LeftOut {
+struct DroppedLines {
     event: &'static str,
     states: u64,
     failures: u64,
     successes: u64,
 }
 
-/// Lines until they are written, with the budget and what didn't fit.
+/// Pending lines, the byte budget, and the counts of dropped lines.
 #[derive(Debug)]
 pub(super) struct Buffer {
     budget: ByteBudget,
-    waiting: Vec<u8>,
-    left_out: [u64; Rank::ALL.len()],
-    /// When that was told last.
-    told: Option<Tick>,
-    /// All that was left out since the start, by rank.
-    total_left_out: [u64; Rank::ALL.len()],
+    pending: Vec<u8>,
+    /// Lines dropped since the last report, by rank.
+    dropped: [u64; Rank::ALL.len()],
+    /// When dropped lines were reported last.
+    reported_at: Option<Tick>,
+    /// Lines dropped since the start, by rank.
+    total_dropped: [u64; Rank::ALL.len()],
 }
 
 impl Buffer {
     pub(super) fn new(bytes_per_s: u64) -> Buffer {
         Buffer {
             budget: ByteBudget::new(bytes_per_s),
-            waiting: Vec::new(),
-            left_out: [0; Rank::ALL.len()],
-            told: None,
-            total_left_out: [0; Rank::ALL.len()],
+            pending: Vec::new(),
+            dropped: [0; Rank::ALL.len()],
+            reported_at: None,
+            total_dropped: [0; Rank::ALL.len()],
         }
     }
 
-    /// Adds a line, which `write` appends with its line feed, if there is room.
+    /// Adds a line, which `write` appends with its line feed, if the buffer and the
+    /// budget allow it; returns whether it was added.
     pub(super) fn add(&mut self, now: Tick, rank: Rank, write: impl FnOnce(&mut Vec<u8>)) -> bool {
-        let room = self.waiting.len() < MAX_WAITING;
-        if !room || !self.budget.allows(now, rank) {
-            self.left_out[rank as usize] += 1;
-            self.total_left_out[rank as usize] += 1;
+        let has_room = self.pending.len() < MAX_PENDING_BYTES;
+        if !has_room || !self.budget.allows(now, rank) {
+            self.dropped[rank as usize] += 1;
+            self.total_dropped[rank as usize] += 1;
             return false;
         }
-        let before = self.waiting.len();
+        let len_before = self.pending.len();
         self.report_dropped(now);
-        write(&mut self.waiting);
-        self.budget.take(self.waiting.len() - before);
+        write(&mut self.pending);
+        self.budget.consume(self.pending.len() - len_before);
         true
     }
 
     fn report_dropped(&mut self, now: Tick) {
-        if self.told.is_some_and(|told| now.since(told) < TELL_EVERY) {
+        if self
+            .reported_at
+            .is_some_and(|at| now.since(at) < DROP_REPORT_INTERVAL)
+        {
             return;
         }
-        let [states, failures, successes] = std::mem::take(&mut self.left_out);
+        let [states, failures, successes] = std::mem::take(&mut self.dropped);
         if states + failures + successes == 0 {
             return;
         }
-        self.told = Some(now);
-        let line = LeftOut {
+        self.reported_at = Some(now);
+        let line = DroppedLines {
             event: "lines-left-out",
             states,
             failures,
             successes,
         };
-        // Numbers always serialise.
-        let _ = serde_json::to_writer(&mut self.waiting, &line);
-        self.waiting.push(b'\n');
+        // Serialising integers can't fail.
+        let _ = serde_json::to_writer(&mut self.pending, &line);
+        self.pending.push(b'\n');
     }
 
-    /// Takes all lines out.
+    /// Removes and returns all pending lines.
     pub(super) fn take(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.waiting)
+        std::mem::take(&mut self.pending)
     }
 
-    /// Whether there is nothing to write.
+    /// Whether no line is pending.
     pub(super) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
-    /// How many lines of each rank were left out since the start.
-    pub(super) fn total_left_out(&self) -> [u64; Rank::ALL.len()] {
-        self.total_left_out
+    /// The number of lines dropped since the start, by rank.
+    pub(super) fn total_dropped(&self) -> [u64; Rank::ALL.len()] {
+        self.total_dropped
     }
 }
--- a/crates/node/src/log/request.rs
+++ b/crates/node/src/log/request.rs
@@ -1,4 +1,4 @@
-//! What is written of a request.
+//! The outcome fields of a request's log line, and time in the log's units.
 
 use std::borrow::Cow;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use sassafrasspool_core::Failure;
 use sassafrasspool_wire::log::RequestLine;
 
-/// How something ended, in the words of the log.
+/// The outcome of a request, as values of the log's fields.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Told {
     pub(crate) outcome: &'static str,
@@ -17,7 +17,7 @@
 }
 
 impl Told {
-    /// What is told of an answer.
+    /// A request that was answered.
     pub(crate) const ANSWERED: Told = Told {
         outcome: "answered",
         step: None,
@@ -39,22 +39,23 @@
     }
 }
 
-/// The same line with how it ended.
-pub(crate) fn with_outcome(mut line: RequestLine<'_>, told: Told) -> RequestLine<'_> {
-    line.outcome = told.outcome.into();
-    line.step = told.step.map(Cow::from);
-    line.reason = told.reason.map(Cow::from);
+/// The line with the fields of its outcome set.
+pub(crate) fn with_outcome(mut line: RequestLine<'_>, logged: Told) -> RequestLine<'_> {
+    line.outcome = logged.outcome.into();
+    line.step = logged.step.map(Cow::from);
+    line.reason = logged.reason.map(Cow::from);
     line
 }
 
-/// The wall clock, for people alone: nothing is decided by it.
+/// Milliseconds since the Unix epoch by the wall clock, for readers of the log:
+/// no decision is based on it.
 pub(crate) fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    let ms = since.map_or(0, |since| since.as_millis());
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    let ms = since_epoch.map_or(0, |time| time.as_millis());
     u64::try_from(ms).unwrap_or(u64::MAX)
 }
 
-/// A time in whole microseconds.
+/// A duration in whole microseconds.
 pub(crate) fn micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/node/src/log/sink.rs
+++ b/crates/node/src/log/sink.rs
@@ -1,4 +1,4 @@
-//! The buffer and the thread that writes it.
+//! The log's sink: the shared buffer and the thread that writes it out.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -15,14 +15,14 @@
 use super::buffer::Buffer;
 use crate::Clock;
 
-/// How long lines are collected before they are written together: each write
-/// wakes a thread, which costs a request's worth of processor time.
+/// How long lines are collected before they are written together. Each write wakes
+/// a thread, which costs about as much processor time as a request.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long the end of the process waits for its last lines to be written.
-const LAST_LINES: Duration = Duration::from_millis(300);
+const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Where log lines go; cloning it gives another handle to the same.
+/// The destination of log lines; a clone is another handle to the same sink.
 #[derive(Debug, Clone, Default)]
 pub struct LogSink(Option<Arc<Inner>>);
 
@@ -30,26 +30,27 @@
 struct Inner {
     clock: Clock,
     lines: Mutex<Lines>,
-    /// Rung when there is something to write, and when all of it was written.
-    rung: Condvar,
+    /// Notified when the buffer gets its first line, when the writer has written the
+    /// lines that it took, and by a flush.
+    changed: Condvar,
 }
 
 #[derive(Debug)]
 struct Lines {
     buffer: Buffer,
-    /// The writer has taken lines and not written all of them yet.
+    /// The writer has taken lines out of the buffer and not written all of them yet.
     writing: bool,
-    /// Lines are to be written at once.
+    /// The writer no longer waits for [`FLUSH_INTERVAL`] between two writes.
     ending: bool,
 }
 
 impl LogSink {
-    /// A sink that writes nothing, for nodes within another program.
+    /// A sink that discards all lines, for nodes within another program.
     pub const fn silent() -> LogSink {
         LogSink(None)
     }
 
-    /// Starts to write to `out`, at most about `bytes_per_s`.
+    /// Starts a thread that writes to `out`, at most about `bytes_per_s`.
     ///
     /// # Errors
     ///
@@ -62,7 +63,7 @@
                 writing: false,
                 ending: false,
             }),
-            rung: Condvar::new(),
+            changed: Condvar::new(),
         });
         let writer = Arc::clone(&inner);
         thread::Builder::new()
@@ -71,23 +72,24 @@
         Ok(LogSink(Some(inner)))
     }
 
-    /// Whether anything is written.
+    /// Whether the sink discards all lines.
     pub fn is_silent(&self) -> bool {
         self.0.is_none()
     }
 
-    /// Writes a line of JSON, unless the budget is used up.
+    /// Writes a line of JSON, unless the budget or the buffer is exhausted.
     pub(crate) fn write(&self, rank: Rank, line: &impl Serialize) {
-        self.add(rank, |waiting| {
-            // What is told serialises; half a line would show as such.
-            let _ = serde_json::to_writer(&mut *waiting, line);
-            waiting.push(b'\n');
+        self.add(rank, |pending| {
+            // The types of log lines always serialise. A failure would leave a
+            // truncated line in the log.
+            let _ = serde_json::to_writer(&mut *pending, line);
+            pending.push(b'\n');
         });
     }
 
-    /// Writes a line that is formatted already and ends with a line feed.
+    /// Writes a formatted line, which ends with a line feed.
     pub(crate) fn write_text(&self, rank: Rank, line: &[u8]) {
-        self.add(rank, |waiting| waiting.extend_from_slice(line));
+        self.add(rank, |pending| pending.extend_from_slice(line));
     }
 
     fn add(&self, rank: Rank, write: impl FnOnce(&mut Vec<u8>)) {
@@ -96,30 +98,33 @@
         };
         let now = inner.clock.now();
         let mut lines = inner.lock();
-        let first = lines.buffer.is_empty();
+        let was_empty = lines.buffer.is_empty();
         let added = lines.buffer.add(now, rank, write);
-        if first && added {
-            inner.rung.notify_all();
+        if was_empty && added {
+            inner.changed.notify_all();
         }
     }
 
-    /// Lines that were left out so far: of state, of failures, of successes.
-    pub(crate) fn left_out(&self) -> [u64; 3] {
+    /// The number of lines dropped since the start, in the order of [`Rank::ALL`]:
+    /// state changes, failures, successes.
+    pub(crate) fn dropped_lines(&self) -> [u64; 3] {
         let inner = self.0.as_ref();
-        inner.map_or([0; 3], |inner| inner.lock().buffer.total_left_out())
+        inner.map_or([0; 3], |inner| inner.lock().buffer.total_dropped())
     }
 
-    /// Waits a moment for what was told to be written.
+    /// Waits until all lines are written, at most for [`FINAL_FLUSH_TIMEOUT`].
     pub fn flush(&self) {
         let Some(inner) = &self.0 else {
             return;
         };
         let mut lines = inner.lock();
         lines.ending = true;
-        inner.rung.notify_all();
+        inner.changed.notify_all();
         let pending = |lines: &mut Lines| lines.writing || !lines.buffer.is_empty();
-        let waited = inner.rung.wait_timeout_while(lines, LAST_LINES, pending);
-        // A reader that stands still must not keep the process from ending.
+        let waited = inner
+            .changed
+            .wait_timeout_while(lines, FINAL_FLUSH_TIMEOUT, pending);
+        // A stalled reader of the log must not keep the process from ending.
         drop(waited);
     }
 }
@@ -127,32 +132,32 @@
 impl Inner {
     fn write_to(&self, mut out: impl Write) {
         loop {
-            let bytes = self.next();
-            // Nobody can be told that the log can't be written.
+            let bytes = self.take_lines();
+            // A failure of the log itself can't be logged.
             let _ = out.write_all(&bytes).and_then(|()| out.flush());
             let mut lines = self.lock();
             lines.writing = false;
             let ending = lines.ending;
             drop(lines);
-            self.rung.notify_all();
+            self.changed.notify_all();
             if !ending {
                 thread::sleep(FLUSH_INTERVAL);
             }
         }
     }
 
-    /// Waits for lines and takes them.
-    fn next(&self) -> Vec<u8> {
+    /// Waits for pending lines and takes them out of the buffer.
+    fn take_lines(&self) -> Vec<u8> {
         let lines = self.lock();
-        let nothing = |lines: &mut Lines| lines.buffer.is_empty();
-        let waited = self.rung.wait_while(lines, nothing);
+        let is_empty = |lines: &mut Lines| lines.buffer.is_empty();
+        let waited = self.changed.wait_while(lines, is_empty);
         let mut lines = waited.unwrap_or_else(PoisonError::into_inner);
         lines.writing = true;
         lines.buffer.take()
     }
 
     fn lock(&self) -> MutexGuard<'_, Lines> {
-        // A line that panicked halfway is at worst a broken line.
+        // A panic while a line is added leaves at worst a truncated line.
         self.lines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/log/state_writer.rs
+++ b/crates/node/src/log/state_writer.rs
@@ -1,4 +1,4 @@
-//! Lines of `tracing` on their way to the sink.
+//! Passes the lines that `tracing` formats to the sink.
 
 use std::io;
 
@@ -7,7 +7,7 @@
 use super::LogSink;
 use super::Rank;
 
-/// Gives each line of `tracing` to the sink as a change of state.
+/// Writes each line of `tracing` to the sink as a state change.
 #[derive(Debug)]
 pub(crate) struct StateWriter(pub(crate) LogSink);
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// One line, which is whole when it is dropped.
+/// One line, which is complete and goes to the sink when this is dropped.
 #[derive(Debug)]
 pub(crate) struct StateLine<'a> {
     sink: &'a LogSink,
--- a/crates/node/src/log/tests.rs
+++ b/crates/node/src/log/tests.rs
@@ -11,11 +11,11 @@
 use super::budget::ByteBudget;
 use super::buffer::Buffer;
 
-/// Stands still until its sender is dropped.
+/// An output that blocks until its sender is dropped.
 #[derive(Debug)]
-struct Stuck(mpsc::Receiver<()>);
+struct StalledOutput(mpsc::Receiver<()>);
 
-impl Write for Stuck {
+impl Write for StalledOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.0.recv();
         Ok(bytes.len())
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn successes_leave_room_for_failures_and_these_for_states() {
+fn lower_ranks_leave_a_reserve_for_higher_ranks() {
     let mut budget = ByteBudget::new(1_000);
     let now = Tick::from_millis(1);
     let mut written = [0; 3];
     for rank in [Rank::Success, Rank::Failure, Rank::State] {
         while budget.allows(now, rank) {
-            budget.take(10);
+            budget.consume(10);
             written[rank as usize] += 10;
         }
     }
@@ -44,9 +44,9 @@
 }
 
 #[test]
-fn what_is_left_out_is_told_with_the_next_line() {
+fn dropped_lines_are_reported_before_the_next_line() {
     let mut buffer = Buffer::new(100);
-    let line = |waiting: &mut Vec<u8>| waiting.extend_from_slice(&[b'x'; 50]);
+    let line = |pending: &mut Vec<u8>| pending.extend_from_slice(&[b'x'; 50]);
     let now = Tick::from_millis(1);
     let added: Vec<bool> = (0..4)
         .map(|_| buffer.add(now, Rank::Success, line))
@@ -55,8 +55,8 @@
     buffer.take();
     assert!(buffer.add(now + Duration::from_secs(1), Rank::Success, line));
     let text = String::from_utf8(buffer.take()).expect("text");
-    let told = r#"{"event":"lines-left-out","states":0,"failures":0,"successes":3}"#;
-    assert!(text.starts_with(told), "{text}");
+    let report = r#"{"event":"lines-left-out","states":0,"failures":0,"successes":3}"#;
+    assert!(text.starts_with(report), "{text}");
 }
 
 #[test]
@@ -75,17 +75,17 @@
     assert!(numbers.into_iter().eq(0..100));
 }
 
-/// Guards against a node that waits for whoever reads its log.
+/// Guards against a node that blocks on a stalled reader of its log.
 #[test]
-fn a_reader_that_stands_still_costs_lines_alone() {
-    let (reader, stuck) = mpsc::channel();
-    let sink = LogSink::start(u64::from(u32::MAX), Stuck(stuck)).expect("a thread");
+fn stalled_output_drops_lines_without_blocking() {
+    let (reader, stalled) = mpsc::channel();
+    let sink = LogSink::start(u64::from(u32::MAX), StalledOutput(stalled)).expect("a thread");
     let line = "x".repeat(1_000);
     for _ in 0..2_000 {
         sink.write(Rank::Failure, &line);
     }
-    let left_out = sink.left_out()[Rank::Failure as usize];
-    assert!(left_out >= 1_400, "{left_out}");
+    let dropped = sink.dropped_lines()[Rank::Failure as usize];
+    assert!(dropped >= 1_400, "{dropped}");
     sink.flush();
     drop(reader);
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,9 +1,9 @@
-//! Counters and gauges for operators, under names that begin with
+//! Prometheus metrics for operators, under names that begin with
 //! `sassafrasspool_`.
 //!
-//! They go through the process's one recorder. Where many nodes run in one
-//! process, as in tests, their figures add up there; each node's own are in
-//! its status.
+//! All metrics go through the single recorder of the process. Where many nodes
+//! run in one process, as in tests, the recorder sums their counters; the
+//! figures of a single node are in its status.
 
 use std::sync::OnceLock;
 
@@ -17,14 +17,14 @@
 mod report;
 pub(crate) mod traffic;
 
-/// Bounds of the histograms' buckets, in seconds: from what two hops add up to
-/// the longest timeouts of today. Counted in buckets, a request costs a node no
-/// memory.
+/// Upper bounds of the histograms' buckets, in seconds: from the latency that two
+/// hops add up to the longest timeouts in use. Counts in fixed buckets need no
+/// memory per request.
 const SECONDS_BUCKETS: [f64; 12] = [
     0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 8.0,
 ];
 
-/// What the names of the process's figures begin with.
+/// The prefix of the names of the process metrics.
 const PROCESS_PREFIX: &str = "sassafrasspool_";
 
 static RECORDER: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
@@ -34,7 +34,7 @@
     let _ = recorder();
 }
 
-/// The page of all metrics, or nothing if another recorder was installed.
+/// The page of all metrics; empty if the process has another recorder.
 pub(crate) fn render() -> String {
     match recorder() {
         Some(handle) => {
@@ -46,13 +46,13 @@
     }
 }
 
-/// The process's processor time, memory, threads and descriptors.
+/// Collects the process's CPU time, memory, threads and file descriptors.
 fn process() -> Collector {
     Collector::new(PROCESS_PREFIX)
 }
 
 fn recorder() -> Option<&'static PrometheusHandle> {
-    let made = RECORDER.get_or_init(|| {
+    let installed = RECORDER.get_or_init(|| {
         let builder = PrometheusBuilder::new()
             .set_buckets(&SECONDS_BUCKETS)
             .ok()?;
@@ -62,5 +62,5 @@
         process().describe();
         Some(handle)
     });
-    made.as_ref()
+    installed.as_ref()
 }
--- a/crates/node/src/metrics/names.rs
+++ b/crates/node/src/metrics/names.rs
@@ -1,4 +1,4 @@
-//! Names of the control side's metrics, with what they count.
+//! Names and help texts of the control side's metrics.
 
 use metrics::Unit;
 use metrics::describe_counter;
@@ -6,49 +6,51 @@
 
 /// Versions that came into force, by `stream` and `origin`.
 pub(crate) const APPLIED: &str = "sassafrasspool_versions_applied_total";
-/// Versions refused whole, by `stream`.
+/// Versions rejected as a whole, by `stream`.
 pub(crate) const REFUSED: &str = "sassafrasspool_versions_refused_total";
-/// Revisions that came with two contents, by `stream`.
+/// Revisions received with two different contents, by `stream`.
 pub(crate) const CONFLICTS: &str = "sassafrasspool_version_conflicts_total";
-/// Bodies that didn't decode or hadn't the digest announced, by `stream`.
+/// Bodies that didn't decode or didn't match the announced digest, by `stream`.
 pub(crate) const BODIES_REFUSED: &str = "sassafrasspool_bodies_refused_total";
-/// Older versions offered as the newest, by `stream`.
+/// Ignored versions that were offered as the newest and are older than the held one,
+/// by `stream`.
 pub(crate) const OLDER: &str = "sassafrasspool_older_versions_ignored_total";
 /// The revision in force, by `stream`.
 pub(crate) const REVISION: &str = "sassafrasspool_revision";
-/// Messages between nodes, by `kind` and `direction`.
+/// Messages to and from peers, by `kind` and `direction`.
 pub(crate) const MESSAGES: &str = "sassafrasspool_peer_messages_total";
-/// Calls to nodes that failed, by `step`.
+/// Calls to peers that failed, by `step`.
 pub(crate) const CALLS_FAILED: &str = "sassafrasspool_peer_calls_failed_total";
-/// Faults of nodes that called, by `step`.
+/// Failed connections and invalid messages from calling peers, by `step`.
 pub(crate) const PEER_FAULTS: &str = "sassafrasspool_peer_faults_total";
 /// Reads of the platform, by `stream` and `result`.
 pub(crate) const READS: &str = "sassafrasspool_source_reads_total";
-/// Seconds since the newest proof that a node reached the platform.
+/// Seconds since the newest contact of any node with the platform that this node
+/// has proof of.
 pub(crate) const SOURCE_AGE: &str = "sassafrasspool_source_age_seconds";
-/// Bytes of control connections, by `direction`.
+/// Bytes sent and received on control connections, by `direction`.
 pub(crate) const CONTROL_BYTES: &str = "sassafrasspool_control_bytes_total";
-/// Requests that the node works on.
+/// Requests in flight at the node.
 pub(crate) const IN_FLIGHT: &str = "sassafrasspool_requests_in_flight";
-/// Nodes that this one may talk to.
+/// Peers that this node may call.
 pub(crate) const PEERS: &str = "sassafrasspool_peers";
 /// The phase of the node's endpoint: 0 starting, 1 ready, 2 draining, 3 gone.
 pub(crate) const PHASE: &str = "sassafrasspool_phase";
 /// Whether the node reads the platform for its failure domain.
 pub(crate) const READING: &str = "sassafrasspool_reading";
-/// Times that another process was found in this one's place.
+/// Times that another process was found running for this node's instance.
 pub(crate) const REPLACED: &str = "sassafrasspool_replaced_total";
-/// Times that the process was found to have been paused.
+/// Times that the process was detected to have been paused.
 pub(crate) const PAUSES: &str = "sassafrasspool_pauses_total";
-/// Times that the own target crashed.
+/// Crashes of the local target.
 pub(crate) const TARGET_CRASHES: &str = "sassafrasspool_target_crashes_total";
-/// Requests that came into quarantine, since targets crash under them.
+/// Requests put into quarantine because targets crash while they run them.
 pub(crate) const QUARANTINED: &str = "sassafrasspool_quarantined_total";
 
-/// Log lines left out for want of budget or because nobody reads, by `rank`.
+/// Log lines dropped because the byte budget or the buffer was exhausted, by `rank`.
 pub(crate) const LOG_LEFT_OUT: &str = "sassafrasspool_log_lines_left_out_total";
 
-/// Gives the recorder the texts of the metrics' help lines.
+/// Registers the help texts of the metrics with the recorder.
 pub(super) fn describe() {
     describe_counter!(APPLIED, "Versions that came into force");
     describe_counter!(REFUSED, "Versions refused whole");
--- a/crates/node/src/metrics/report.rs
+++ b/crates/node/src/metrics/report.rs
@@ -1,4 +1,5 @@
-//! Figures that are kept elsewhere and are copied when the page is read.
+//! Metrics whose values are kept elsewhere and copied to the recorder when the
+//! page is requested.
 
 use metrics::counter;
 use metrics::gauge;
@@ -9,19 +10,19 @@
 use super::names;
 use crate::Shared;
 
-/// What a node's page shows besides its counters.
+/// The sources of the values that are copied to the recorder.
 #[derive(Debug)]
 pub(crate) struct Report<'a> {
-    /// What both sides share.
+    /// The state shared by the control side and the traffic side.
     pub(crate) shared: &'a Shared,
-    /// The state of spreading.
+    /// The status of the dissemination.
     pub(crate) spread: &'a SpreadStatus,
-    /// The node's control traffic.
+    /// The counts of the node's control traffic.
     pub(crate) control: ControlStats,
 }
 
 impl Report<'_> {
-    /// Copies the figures to the recorder.
+    /// Copies the values to the recorder.
     pub(crate) fn publish(&self) {
         for stream in Stream::ALL {
             let held = self.spread.held.of(stream);
@@ -35,7 +36,7 @@
         gauge!(names::PEERS).set(self.spread.peers as f64);
         gauge!(names::PHASE).set(f64::from(self.shared.phase() as u8));
         gauge!(names::READING).set(f64::from(u8::from(self.spread.reading)));
-        let [states, failures, successes] = self.shared.log().left_out();
+        let [states, failures, successes] = self.shared.log().dropped_lines();
         counter!(names::LOG_LEFT_OUT, "rank" => "state").absolute(states);
         counter!(names::LOG_LEFT_OUT, "rank" => "failure").absolute(failures);
         counter!(names::LOG_LEFT_OUT, "rank" => "success").absolute(successes);
--- a/crates/node/src/metrics/traffic.rs
+++ b/crates/node/src/metrics/traffic.rs
@@ -1,4 +1,4 @@
-//! Names of the traffic side's metrics, with what they count.
+//! Names and help texts of the traffic side's metrics.
 
 use metrics::Unit;
 use metrics::describe_counter;
@@ -8,22 +8,22 @@
 pub(crate) const REQUESTS: &str = "sassafrasspool_requests_total";
 /// Requests that were refused or lost, by `port`, `step` and `reason`.
 pub(crate) const MISSED: &str = "sassafrasspool_requests_missed_total";
-/// Attempts after which a request was tried again, by `reason`.
+/// Attempts that were followed by a retry, by `reason`.
 pub(crate) const RETRIES: &str = "sassafrasspool_retries_total";
-/// Connections to other nodes that were opened.
+/// Connections opened to other nodes.
 pub(crate) const PEER_CONNECTIONS: &str = "sassafrasspool_peer_connections_opened_total";
-/// Connections to the target that were opened.
+/// Connections opened to the local target.
 pub(crate) const TARGET_CONNECTIONS: &str = "sassafrasspool_target_connections_opened_total";
 
-/// Seconds from a request's arrival at its first node to the head of its
-/// answer, by `class`.
+/// Seconds from a request's arrival at its caller's node to the head of its
+/// response, by `class`.
 pub(crate) const WHOLE: &str = "sassafrasspool_request_seconds";
-/// Seconds that a request waited for a slot beside its target, by `class`.
+/// Seconds that a request waited for a slot of its target, by `class`.
 pub(crate) const QUEUE: &str = "sassafrasspool_queue_seconds";
-/// Seconds from the hand-over to a target to the head of its answer, by `class`.
+/// Seconds from the hand-over to a target to the head of its response, by `class`.
 pub(crate) const TARGET: &str = "sassafrasspool_target_seconds";
 
-/// Gives the recorder the texts of the metrics' help lines.
+/// Registers the help texts of the metrics with the recorder.
 pub(super) fn describe() {
     describe_counter!(REQUESTS, "Requests that ended");
     describe_counter!(MISSED, "Requests that got no answer of a target");
