--- a/crates/node/src/log/sink.rs
+++ b/crates/node/src/log/sink.rs
@@ -112,7 +112,7 @@
         inner.map_or([0; 3], |inner| inner.lock().buffer.total_dropped())
     }
 
-    /// Waits until all lines are written, at most for [`FINAL_FLUSH_TIMEOUT`].
+    /// Waits until all lines are written, at most for 300 ms.
     pub fn flush(&self) {
         let Some(inner) = &self.0 else {
             return;
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,8 +1,8 @@
-//! What the control thread and the traffic threads share.
+//! The state shared by the control thread and the traffic threads.
 //!
-//! The control thread writes and the traffic threads read, each without
-//! waiting for the other: a request pins one [`View`] for its whole life, so
-//! that it never sees half of a change.
+//! The control thread writes and the traffic threads read, neither waiting for
+//! the other. A request keeps one [`View`] from start to end, so that it never
+//! sees half of a change.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -24,32 +24,32 @@
 use crate::log::LogSink;
 
 pub use self::clock::Clock;
-pub(crate) use self::coldness::OwnColdness;
-pub use self::contact::ContactAge;
+pub use self::contact_age::ContactAge;
 pub use self::in_flight::InFlight;
 pub use self::in_flight::InFlightGuard;
-pub use self::newest::Newest;
+pub(crate) use self::local_cold_tracker::LocalColdTracker;
+pub use self::newest_revision::Newest;
 pub(crate) use self::quarantine::Quarantine;
 pub use self::routing::Routes;
 pub use self::view::View;
 
 mod clock;
-mod coldness;
-mod contact;
+mod contact_age;
 mod in_flight;
-mod newest;
+mod local_cold_tracker;
+mod newest_revision;
 mod quarantine;
 mod routing;
 #[cfg(test)]
 mod tests;
 mod view;
 
-/// One node's state that both sides read.
+/// One node's state that the control side and the traffic side share.
 ///
 /// # Invariants
 ///
-/// Only the control thread puts views and changes the phase, and the phase
-/// only goes forward.
+/// Only the control thread sets views and changes the phase, and the phase only
+/// moves forward.
 #[derive(Debug)]
 pub struct Shared {
     me: InstanceId,
@@ -61,26 +61,26 @@
     view: ArcSwapOption<View>,
     routing: Routing,
     phase: watch::Sender<Phase>,
-    /// The node was told to stop: callers are to go elsewhere.
+    /// The node was ordered to stop; callers are to use other nodes.
     stopping: AtomicBool,
     in_flight: InFlight,
     contact: ContactAge,
-    heard: Newest,
-    in_force: Newest,
-    proved_list: Newest,
+    advertised_catalogue: Newest,
+    catalogue_in_force: Newest,
+    list_proof: Newest,
     quarantine: Quarantine,
-    coldness: OwnColdness,
-    /// Whether the own failure domain is evacuated.
+    cold_tracker: LocalColdTracker,
+    /// Whether the local target's failure domain is evacuated.
     evacuated: watch::Sender<bool>,
 }
 
 impl Shared {
-    /// The state of a node that holds nothing yet and is starting.
+    /// The state of a starting node, which has no view yet and doesn't log requests.
     pub fn new(me: InstanceId, incarnation: Incarnation) -> Shared {
         Shared::speaking(Dialect::OWN, LogSink::silent(), me, incarnation)
     }
 
-    /// The same for a node that speaks the words of another platform.
+    /// The same with a log, for a node that uses the dialect of another platform.
     pub fn speaking(
         dialect: Dialect,
         log: LogSink,
@@ -100,125 +100,130 @@
             stopping: AtomicBool::new(false),
             in_flight: InFlight::new(),
             contact: ContactAge::new(),
-            heard: Newest::default(),
-            in_force: Newest::default(),
-            proved_list: Newest::default(),
+            advertised_catalogue: Newest::default(),
+            catalogue_in_force: Newest::default(),
+            list_proof: Newest::default(),
             quarantine: Quarantine::default(),
-            coldness: OwnColdness::default(),
+            cold_tracker: LocalColdTracker::default(),
             evacuated: watch::Sender::new(false),
         }
     }
 
-    /// The instance beside which this node runs.
+    /// The id of this node's instance.
     pub fn me(&self) -> &InstanceId {
         &self.me
     }
 
-    /// Which life of this instance's node this is; a later one is higher.
+    /// The incarnation of this node's process; a later process has a higher one.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The service of the target beside this node, by the settings.
+    /// The service of the local target, by the settings.
     pub fn service(&self) -> Option<Arc<ServiceName>> {
         self.service.load_full()
     }
 
-    /// Says of which service the target is: an instance may be given another.
+    /// Sets the service of the local target: an instance may be assigned to another
+    /// service.
     pub fn set_service(&self, service: ServiceName) {
         self.service.store(Some(Arc::new(service)));
     }
 
-    /// Where it is written what is decided about requests.
+    /// The log of the decisions about requests.
     pub fn log(&self) -> &LogSink {
         &self.log
     }
 
-    /// What callers and the target call things.
+    /// The names that callers and the target use on the wire.
     pub fn dialect(&self) -> &Dialect {
         &self.dialect
     }
 
-    /// The node's clock, which every tick given to the core comes from.
+    /// The node's clock. Every tick that is passed to the core comes from it.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// What is in force now, or nothing before the first snapshot.
+    /// The view in force; `None` before the first snapshot.
     ///
-    /// The caller keeps what it gets for the whole of a request.
+    /// A request uses the returned view from start to end.
     pub fn view(&self) -> Option<Arc<View>> {
         self.view.load_full()
     }
 
-    /// Puts another view in force, whole and at once.
+    /// Puts another view in force, atomically.
     pub fn set_view(&self, view: View) {
         let view = Arc::new(view);
         let now = self.clock.now();
         self.routing.bind(&view, now);
         if let Some(routes) = self.routing.routes() {
-            self.coldness.follow(now, &routes);
-            self.follow_evacuation(&routes);
+            self.cold_tracker.update(now, &routes);
+            self.update_evacuated(&routes);
         }
         let revision = view.snapshot.catalogue().revision();
         self.view.store(Some(view));
-        self.in_force.note(now, revision);
+        self.catalogue_in_force.note(now, revision);
     }
 
-    fn follow_evacuation(&self, routes: &Routes) {
-        let changed = self.evacuated.send_if_modified(|held| {
-            let before = std::mem::replace(held, routes.evacuated);
-            before != *held
+    fn update_evacuated(&self, routes: &Routes) {
+        let changed = self.evacuated.send_if_modified(|current| {
+            let before = std::mem::replace(current, routes.evacuated);
+            before != *current
         });
         if changed {
             let revision = routes.view.snapshot.catalogue().revision().get();
             let evacuated = routes.evacuated;
-            tracing::info!(evacuated, revision, "the own failure domain's evacuation");
+            tracing::info!(
+                evacuated,
+                revision,
+                "evacuation of the local failure domain changed"
+            );
         }
     }
 
-    /// Whether operators have evacuated the failure domain of the own target.
+    /// Whether operators have evacuated the failure domain of the local target.
     pub fn is_evacuated(&self) -> bool {
         *self.evacuated.borrow()
     }
 
-    /// Follows whether it is.
+    /// A receiver that is notified when [`Shared::is_evacuated`] changes.
     pub(crate) fn watch_evacuated(&self) -> watch::Receiver<bool> {
         self.evacuated.subscribe()
     }
 
-    /// How cold the own target is.
-    pub(crate) fn coldness(&self) -> &OwnColdness {
-        &self.coldness
+    /// The tracker of the local target's cold time.
+    pub(crate) fn coldness(&self) -> &LocalColdTracker {
+        &self.cold_tracker
     }
 
-    /// Says where the node stands in the fleet, before the first view, and
-    /// which window remembers the requests with a key that it runs.
-    pub fn place(&self, position: Position, repeat: RepeatWindow) {
-        self.routing.place(position, repeat);
+    /// Sets the node's locality and its deduplication window of keyed requests.
+    ///
+    /// Routes are built only after this was called, so it precedes the first view.
+    pub fn place(&self, locality: Position, dedup: RepeatWindow) {
+        self.routing.configure(locality, dedup);
     }
 
-    /// Passes on a proof that the instance list of `revision` was the newest
-    /// that the platform had at `at`. Without one that is recent enough no
-    /// request with a key is run here.
+    /// Records a proof that the instance list of `revision` was the platform's
+    /// newest at `at`. Without a recent proof this node runs no request with a key.
     pub fn prove_instances(&self, at: Tick, revision: Revision) {
-        self.proved_list.renew(at, revision);
-        self.routing.prove(at, revision);
+        self.list_proof.record_latest(at, revision);
+        self.routing.record_list_proof(at, revision);
     }
 
-    /// The newest instance list that was proved to be the newest, and how long
-    /// ago it was.
+    /// The revision of the newest instance list that was proved to be the platform's
+    /// newest, and the time of the latest such proof.
     pub fn proved_list(&self) -> &Newest {
-        &self.proved_list
+        &self.list_proof
     }
 
-    /// What is in force now together with what chooses among its endpoints, or
-    /// nothing before the first snapshot.
+    /// The view in force with the picker of its endpoints; `None` before the first
+    /// snapshot.
     pub fn routes(&self) -> Option<Arc<Routes>> {
         self.routing.routes()
     }
 
-    /// Requests that no target is to run.
+    /// The quarantine of requests that no target is to run.
     pub(crate) fn quarantine(&self) -> &Quarantine {
         &self.quarantine
     }
@@ -228,55 +233,55 @@
         *self.phase.borrow()
     }
 
-    /// Whether the node takes callers.
+    /// Whether the node accepts requests of callers.
     pub fn takes_callers(&self) -> bool {
         self.phase() == Phase::Ready && !self.is_stopping()
     }
 
-    /// Whether the node was told to stop.
+    /// Whether the node was ordered to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Notes that the node was told to stop.
+    /// Records that the node was ordered to stop.
     pub fn set_stopping(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Follows the phase of this node's own endpoint.
+    /// A receiver that is notified when the phase of this node's own endpoint changes.
     pub fn watch_phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Goes on to `phase`; returns whether that was a step forward.
+    /// Advances to `phase`; returns whether that changed the phase.
     pub fn advance(&self, phase: Phase) -> bool {
-        // INVARIANT: A phase that isn't later than the present one is dropped,
-        // so that a late probe can't make a draining endpoint ready again.
-        self.phase.send_if_modified(|now| {
-            let forward = phase > *now;
-            if forward {
-                *now = phase;
+        // INVARIANT: A phase that isn't later than the current one is ignored, so
+        // that a late probe can't make a draining endpoint ready again.
+        self.phase.send_if_modified(|current| {
+            let is_later = phase > *current;
+            if is_later {
+                *current = phase;
             }
-            forward
+            is_later
         })
     }
 
-    /// Counts the requests that this node works on.
+    /// The counter of requests in flight at this node.
     pub fn in_flight(&self) -> &InFlight {
         &self.in_flight
     }
 
-    /// The newest catalogue that this node has heard of, held or not.
+    /// The newest catalogue revision advertised to this node, held or not.
     pub fn heard(&self) -> &Newest {
-        &self.heard
+        &self.advertised_catalogue
     }
 
-    /// The catalogue in force.
+    /// The revision of the catalogue in force.
     pub fn in_force(&self) -> &Newest {
-        &self.in_force
+        &self.catalogue_in_force
     }
 
-    /// How old this node's newest proof of contact with the platform is.
+    /// The age of the newest proof of contact with the platform.
     pub fn contact(&self) -> &ContactAge {
         &self.contact
     }
--- a/crates/node/src/shared/clock.rs
+++ b/crates/node/src/shared/clock.rs
@@ -1,4 +1,4 @@
-//! The node's one clock.
+//! The node's clock, which keeps counting while the machine is suspended.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,29 +8,29 @@
 use rustix::time::clock_gettime;
 use sassafrasspool_core::Tick;
 
-/// Ticks since the node's start, on a clock that also counts the time for
-/// which the machine was suspended.
+/// Counts ticks since the node's start, including the time for which the machine
+/// was suspended.
 ///
-/// The usual monotonic clock stands still meanwhile: a request that a suspended
-/// machine held would be handed to its target long after its caller gave it up,
-/// with a time that is left by that clock alone.
+/// The usual monotonic clock stops during a suspend. By that clock a request held
+/// by a suspended machine would still have time left, and would be handed to its
+/// target long after its caller gave it up.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock(Duration);
 
 impl Clock {
-    /// Starts to count now.
+    /// A clock that starts at tick zero now.
     pub fn start() -> Clock {
         Clock(since_boot())
     }
 
-    /// The present tick.
+    /// The current tick.
     pub fn now(&self) -> Tick {
         let us = since_boot().saturating_sub(self.0).as_micros();
         Tick::from_micros(u64::try_from(us).unwrap_or(u64::MAX))
     }
 
-    /// The instant of `tick`, for timers; they stand still while the machine is
-    /// suspended, so that whoever is woken by one looks at the tick again.
+    /// The instant of `tick`, for timers. Timers stop while the machine is suspended,
+    /// so code that a timer wakes compares the current tick again.
     pub fn instant(&self, tick: Tick) -> Instant {
         Instant::now() + tick.since(self.now())
     }
--- a/crates/node/src/shared/coldness.rs
+++ b/crates/node/src/shared/local_cold_tracker.rs
@@ -1,4 +1,4 @@
-//! How cold the own target is, as both sides of the node see it.
+//! Tracks how long the local target stays cold, for both sides of the node.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -14,17 +14,17 @@
 
 use super::Routes;
 
-/// What is known of how cold the own target is.
+/// The tracked cold time of the local target.
 #[derive(Debug, Default)]
-pub(crate) struct OwnColdness {
+pub(crate) struct LocalColdTracker {
     state: Mutex<Coldness>,
-    /// The target may be warm earlier than is known.
-    unproved: Notify,
+    /// Notified when the target may be warm before the tracked end of its cold time.
+    unconfirmed: Notify,
 }
 
-impl OwnColdness {
-    /// Takes over what the view in force tells.
-    pub(super) fn follow(&self, now: Tick, routes: &Routes) {
+impl LocalColdTracker {
+    /// Applies the instance list and the evacuations of the routes in force.
+    pub(super) fn update(&self, now: Tick, routes: &Routes) {
         let Some((endpoint, service)) = routes.own() else {
             return;
         };
@@ -32,66 +32,68 @@
             return;
         };
         let instance = &endpoint.instance;
-        self.change(|state| {
-            if let Some(life) = &instance.target {
-                state.follow_list(now, start, life, instance.cold_for);
+        self.update_state(|state| {
+            if let Some(generation) = &instance.target {
+                state.follow_list(now, start, generation, instance.cold_for);
             }
             let evacuated = routes.view.snapshot.is_evacuated(&instance.domain);
             state.follow_evacuation(now, start, evacuated);
         });
     }
 
-    /// What the target bears of a request that is meant for that start of it.
+    /// The limit on requests to the target, if it is cold. A request meant for an unknown
+    /// `generation` of the target counts as the start of a cold time.
     pub(crate) fn limit(
         &self,
         now: Tick,
         start: Option<&ColdStart>,
         tolerance: ColdTolerance,
-        life: Option<&str>,
+        generation: Option<&str>,
     ) -> Option<ColdLimit> {
         let start = start?;
-        let until = self.change(|state| {
-            if let Some(life) = life {
-                state.follow_request(now, start, life);
+        let until = self.update_state(|state| {
+            if let Some(generation) = generation {
+                state.follow_request(now, start, generation);
             }
             state.until()
         });
         (now < until).then(|| tolerance.limit(start.per_s, until))
     }
 
-    /// For how much longer the target is cold, as far as is known.
+    /// The remaining cold time of the target, as tracked.
     pub(crate) fn left(&self, now: Tick) -> Duration {
         self.lock().until().since(now)
     }
 
-    /// Waits until the target may be warm earlier than is known.
+    /// Waits until the target may be warm before the tracked end of its cold time.
     pub(crate) async fn unproved(&self) {
-        self.unproved.notified().await;
+        self.unconfirmed.notified().await;
     }
 
-    /// Whether that is still so.
+    /// Whether the target may be warm before the tracked end of its cold time.
     pub(crate) fn is_unproved(&self, now: Tick) -> bool {
         let state = self.lock();
         state.is_unproved() && now < state.until()
     }
 
-    /// Takes over what the target said.
+    /// Records the remaining cold time that the target reported to a probe.
     pub(crate) fn probed(&self, now: Tick, left: Duration) {
         self.lock().probed(now, left);
     }
 
-    fn change<T>(&self, change: impl FnOnce(&mut Coldness) -> T) -> T {
+    /// Updates the state; notifies if it has become unconfirmed.
+    fn update_state<T>(&self, update: impl FnOnce(&mut Coldness) -> T) -> T {
         let mut state = self.lock();
-        let before = state.is_unproved();
-        let result = change(&mut state);
-        if state.is_unproved() && !before {
-            self.unproved.notify_one();
+        let was_unconfirmed = state.is_unproved();
+        let result = update(&mut state);
+        if state.is_unproved() && !was_unconfirmed {
+            self.unconfirmed.notify_one();
         }
         result
     }
 
     fn lock(&self) -> MutexGuard<'_, Coldness> {
-        // Nothing can panic halfway through a change of it.
+        // No update of the state can panic halfway.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/shared/newest.rs
+++ b/crates/node/src/shared/newest_revision.rs
@@ -1,4 +1,4 @@
-//! Revisions of a stream and when they met a condition.
+//! The newest revision of a stream that met a condition, with the time.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -7,30 +7,33 @@
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::Tick;
 
-/// The newest revision of a stream that met one condition, and when it did.
+/// The newest revision of a stream that met one condition, and the time at which it
+/// did.
 ///
-/// Only log lines are made of it, so that a reader may see one of the two from a
-/// moment later than the other.
+/// The two values are stored separately, so a reader may see one of them from a
+/// later update than the other. That is acceptable because only log lines use them.
 #[derive(Debug, Default)]
 pub struct Newest {
-    /// 0: none so far.
+    /// 0 before the first revision.
     revision: AtomicU64,
     at_us: AtomicU64,
 }
 
 impl Newest {
-    /// Notes a revision at `at`; one that isn't newer changes nothing.
+    /// Records a revision at `at`. One that isn't newer is ignored, so that a revision
+    /// keeps its first time.
     pub fn note(&self, at: Tick, revision: Revision) {
         if self.revision.load(Ordering::Relaxed) < revision.get() {
             self.set(at, revision);
         }
     }
 
-    /// Notes a revision at `at`; of the same one the latest time counts.
-    pub fn renew(&self, at: Tick, revision: Revision) {
+    /// Records a revision at `at`. The same revision at a later time updates the time;
+    /// an older revision is ignored.
+    pub fn record_latest(&self, at: Tick, revision: Revision) {
         let held = self.revision.load(Ordering::Relaxed);
-        let later = self.at_us.load(Ordering::Relaxed) < at.as_micros();
-        if held < revision.get() || (held == revision.get() && later) {
+        let is_later = self.at_us.load(Ordering::Relaxed) < at.as_micros();
+        if held < revision.get() || (held == revision.get() && is_later) {
             self.set(at, revision);
         }
     }
@@ -40,7 +43,7 @@
         self.revision.store(revision.get(), Ordering::Relaxed);
     }
 
-    /// The revision and how long before `now` it was noted, if there is one.
+    /// The recorded revision and its age at `now`, if there is one.
     pub fn current(&self, now: Tick) -> Option<(u64, Duration)> {
         let revision = self.revision.load(Ordering::Relaxed);
         let at = Tick::from_micros(self.at_us.load(Ordering::Relaxed));
--- a/crates/node/src/shared/quarantine.rs
+++ b/crates/node/src/shared/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash targets, as the traffic side sees and is told of them.
+//! The traffic side's view of the quarantine of requests that crash targets.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,64 +21,66 @@
 use crate::control::ControlEvent;
 use crate::control::ControlHandle;
 
-/// Answers in one half at most, which bounds the memory of the busiest nodes.
-const MOST_ANSWERS: usize = 4_096;
+/// Maximum number of answers recorded in each half. It bounds the memory of the
+/// busiest nodes.
+const MAX_ANSWERS_PER_HALF: usize = 4_096;
 
-/// What is in quarantine, and what this node's own target did.
+/// The requests in quarantine, and the recent answers of the local target.
 #[derive(Debug, Default)]
 pub(crate) struct Quarantine {
-    verdicts: ArcSwap<Verdicts>,
-    /// Told after other verdicts are in force.
-    judged: watch::Sender<()>,
-    answered: Mutex<Answered>,
-    /// Whom sightings are told; nobody in a node without a control side.
+    state: ArcSwap<Verdicts>,
+    /// Notified after another state is in force.
+    updated: watch::Sender<()>,
+    recent_answers: Mutex<RecentAnswers>,
+    /// Receives the observations; unset in a node without a control side.
     control: OnceLock<ControlHandle>,
 }
 
 impl Quarantine {
-    /// Says whom sightings are told.
+    /// Sets the control side, which receives the observations.
     pub(crate) fn set_control(&self, control: ControlHandle) {
         // A node has one control side from its start to its end.
         let _ = self.control.set(control);
     }
 
-    /// How long no target is to run a request from `now` on, if it is in quarantine.
+    /// How much longer no target is to run a request, if it is in quarantine at `now`.
     pub(crate) fn holds(&self, now: Tick, content: &Content) -> Option<Duration> {
-        let until = self.verdicts.load().held_until(now, content)?;
+        let until = self.state.load().held_until(now, content)?;
         Some(until.since(now))
     }
 
-    /// Waits until a request is in quarantine; returns for how long it is.
+    /// Waits until a request is in quarantine; returns how much longer it is.
     pub(crate) async fn entered(&self, clock: &Clock, content: &Content) -> Duration {
-        let mut judged = self.judged.subscribe();
+        let mut updates = self.updated.subscribe();
         loop {
             if let Some(left) = self.holds(clock.now(), content) {
                 return left;
             }
-            // The sender is a part of this, and outlives the wait.
-            let _ = judged.changed().await;
+            // It can't fail: `self` owns the sender and outlives the wait.
+            let _ = updates.changed().await;
         }
     }
 
-    /// All that is in quarantine, and for how long.
+    /// All requests in quarantine, and how much longer each is.
     pub(crate) fn list(&self, now: Tick) -> Vec<(Fingerprint, Duration)> {
-        let verdicts = self.verdicts.load();
-        let held = verdicts.held_at(now);
-        held.map(|(content, until)| (content, until.since(now)))
+        let state = self.state.load();
+        let quarantined = state.held_at(now);
+        quarantined
+            .map(|(content, until)| (content, until.since(now)))
             .collect()
     }
 
-    /// Puts other verdicts in force, and tells of what they doubt and the own target has
-    /// answered lately.
-    pub(crate) fn judge(&self, now: Tick, verdicts: Arc<Verdicts>) {
+    /// Puts another state in force, and reports the recent answers of the local target to
+    /// requests that have become suspect with it.
+    pub(crate) fn judge(&self, now: Tick, state: Arc<Verdicts>) {
         let answered: Vec<(Fingerprint, Tick)> = {
-            let answered = self.answered.lock();
-            let answered = answered.unwrap_or_else(PoisonError::into_inner);
-            let at = |content| Some((content, answered.find(content)?));
-            verdicts.doubted().filter_map(at).collect()
+            let recent = self.recent_answers.lock();
+            let recent = recent.unwrap_or_else(PoisonError::into_inner);
+            let answered_at = |content| Some((content, recent.find(content)?));
+            state.doubted().filter_map(answered_at).collect()
         };
-        let before = self.verdicts.swap(verdicts);
-        self.judged.send_replace(());
+        let before = self.state.swap(state);
+        self.updated.send_replace(());
         for (content, at) in answered {
             if !before.doubts(content) {
                 self.report_answer(content, now.since(at));
@@ -86,28 +88,30 @@
         }
     }
 
-    /// Notes that the own target gave a whole answer.
+    /// Records a complete answer of the local target, and reports it if the request is
+    /// suspect.
     pub(crate) fn answered(&self, now: Tick, content: &Content) {
         {
-            let answered = self.answered.lock();
-            let mut answered = answered.unwrap_or_else(PoisonError::into_inner);
+            let recent = self.recent_answers.lock();
+            let mut recent = recent.unwrap_or_else(PoisonError::into_inner);
             for content in content.fingerprints() {
-                answered.note(now, content);
+                recent.record(now, content);
             }
         }
-        let verdicts = self.verdicts.load();
-        for content in content.fingerprints().filter(|it| verdicts.doubts(*it)) {
+        let state = self.state.load();
+        for content in content.fingerprints().filter(|it| state.doubts(*it)) {
             self.report_answer(content, Duration::ZERO);
         }
     }
 
-    /// Notes that the own target crashed while it ran these.
+    /// Reports that the local target crashed while it ran these requests.
     pub(crate) async fn crashed(&self, ran: Vec<Content>) {
-        // A node that has ended tells nobody.
+        // The report is dropped if the node has ended.
         self.report(Sighting::Crashed(ran)).await;
     }
 
-    /// Lets requests run again under which targets crashed; false if the node has ended.
+    /// Orders the release of a request from quarantine; returns false if the node has
+    /// ended.
     pub(crate) async fn release(&self, content: &Content) -> bool {
         for content in content.fingerprints() {
             if !self.report(Sighting::Released(content)).await {
@@ -117,7 +121,8 @@
         true
     }
 
-    /// Reports what was just seen; false if nobody can be told.
+    /// Sends an observation made just now to the control side; returns false if there is
+    /// none or the node has ended.
     async fn report(&self, sighting: Sighting) -> bool {
         let Some(control) = self.control.get() else {
             return false;
@@ -134,29 +139,32 @@
         let sighting = Sighting::Answered(content);
         let event = ControlEvent::Spread(Event::Sighted { sighting, ago });
         if !control.try_send(event) {
-            // The next answer is told again, for as long as there is doubt.
-            tracing::debug!(%content, "an answer was not told: the control side is busy");
+            // The next answer is reported again, as long as the request is suspect.
+            tracing::debug!(%content, "answer not reported: the control queue is full");
         }
     }
 }
 
-/// When requests were answered last, in case that others begin to doubt one: in two halves,
-/// of which the older goes as the newer is full or has filled for as long as answers excuse.
+/// When requests were last answered, for those that become suspect later.
+///
+/// The times are kept in two halves. The older half is dropped when the newer one is full,
+/// or has been filled for as long as an answer exempts a request from crashes
+/// ([`ANSWER_EXCUSES`]).
 #[derive(Debug, Default)]
-struct Answered {
+struct RecentAnswers {
     newer: HashMap<Fingerprint, Tick>,
     older: HashMap<Fingerprint, Tick>,
-    /// Since when the newer half is filled.
-    since: Tick,
+    /// Since when the newer half has been filled.
+    newer_since: Tick,
 }
 
-impl Answered {
-    fn note(&mut self, now: Tick, content: Fingerprint) {
-        let is_old = now.since(self.since) >= ANSWER_EXCUSES;
-        if is_old || self.newer.len() >= MOST_ANSWERS {
+impl RecentAnswers {
+    fn record(&mut self, now: Tick, content: Fingerprint) {
+        let is_old = now.since(self.newer_since) >= ANSWER_EXCUSES;
+        if is_old || self.newer.len() >= MAX_ANSWERS_PER_HALF {
             std::mem::swap(&mut self.newer, &mut self.older);
             self.newer.clear();
-            self.since = now;
+            self.newer_since = now;
         }
         self.newer.insert(content, now);
     }
--- a/crates/node/src/shared/routing.rs
+++ b/crates/node/src/shared/routing.rs
@@ -1,4 +1,4 @@
-//! What chooses endpoints, bound to the view in force.
+//! The routes in force: the view, and the picker that chooses among its endpoints.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -30,117 +30,117 @@
 #[cfg(test)]
 mod tests;
 
-/// How long the own endpoint goes on taking work after the list stopped naming
+/// How long the local endpoint still accepts requests after the list stopped naming
 /// it as live.
 ///
-/// Nodes hold a list within 0.1 s of each other and may have sent something
-/// just before: refusing that would only cost its caller a second try. What
-/// comes later than this was routed by a node that is slow, frozen or behind,
-/// and half of the 2.0 s are left that a target gets work for.
+/// Nodes apply a list within 0.1 s of each other, and one may have sent a request
+/// just before: refusing it would only cost its caller a retry. A request that
+/// arrives later than this was routed by a node that is slow, frozen or has a stale
+/// list. Half of the 2.0 s for which a departing target gets requests is then left.
 const DEPARTURE_GRACE: Duration = Duration::from_secs(1);
 
 type States = HashMap<InstanceId, EndpointState>;
 
-/// A view and what chooses among its endpoints; a request pins both together.
+/// A view and the picker of its endpoints; a request uses one pair from start to end.
 #[derive(Debug)]
 pub struct Routes {
     /// The view.
     pub view: Arc<View>,
     /// Chooses endpoints by the keys of the view's snapshot.
     pub picker: Arc<Picker>,
-    /// The endpoint beside this node, if the instance list has it.
-    pub own: Option<EndpointKey>,
-    /// Since when the list names the own endpoint as leaving, or no longer.
-    departing: Option<Tick>,
+    /// The key of this node's own endpoint, if the instance list has it.
+    pub local_key: Option<EndpointKey>,
+    /// Since when the list has named the local endpoint as leaving or not at all.
+    departing_since: Option<Tick>,
     /// Whether the failure domain of this node is evacuated.
     pub evacuated: bool,
 }
 
 impl Routes {
-    /// Whether the own endpoint is to get no work any more, since the list took
-    /// it away long enough ago for all nodes to know.
+    /// Whether the local endpoint is to get no more requests: the list named it as
+    /// leaving, or no longer named it, long enough ago for all nodes to apply that.
     pub fn has_departed(&self, now: Tick) -> bool {
-        let since = self.departing;
+        let since = self.departing_since;
         since.is_some_and(|since| now.since(since) >= DEPARTURE_GRACE)
     }
 
-    /// The endpoint beside this node with its service, if the list has it.
+    /// This node's own endpoint with its service, if the instance list has it.
     pub fn own(&self) -> Option<(&Endpoint, &BoundService)> {
-        let endpoint = self.view.snapshot.endpoint(self.own?)?;
+        let endpoint = self.view.snapshot.endpoint(self.local_key?)?;
         let service = self.view.snapshot.service(endpoint.service)?;
         Some((endpoint, service))
     }
 }
 
-/// Where a node stands, and the requests with a key that it has run there.
+/// The node's locality and its deduplication window of keyed requests.
 #[derive(Debug)]
-struct Place {
-    position: Position,
-    repeat: RepeatWindow,
+struct Config {
+    locality: Position,
+    dedup: RepeatWindow,
 }
 
-/// Binds views, on the control thread, for the traffic threads to read.
+/// Builds the routes on the control thread, and publishes them to the traffic threads.
 #[derive(Debug, Default)]
 pub(super) struct Routing {
-    place: OnceLock<Place>,
+    cfg: OnceLock<Config>,
     meters: Arc<Meters>,
-    /// The states that the meters know of.
-    marked: Mutex<Arc<States>>,
+    /// The states that were last applied to the meters.
+    applied_states: Mutex<Arc<States>>,
     routes: ArcSwapOption<Routes>,
 }
 
 impl Routing {
-    /// Says where the node stands; what is said first counts.
-    pub(super) fn place(&self, position: Position, repeat: RepeatWindow) {
-        // A node is placed once, by its settings.
-        let _ = self.place.set(Place { position, repeat });
+    /// Sets the node's locality and its window; a second call changes nothing.
+    pub(super) fn configure(&self, locality: Position, dedup: RepeatWindow) {
+        // Set once for each node, from its settings.
+        let _ = self.cfg.set(Config { locality, dedup });
     }
 
-    /// Passes on a proof that the instance list of `revision` was the newest.
-    pub(super) fn prove(&self, at: Tick, revision: Revision) {
-        if let Some(place) = self.place.get() {
-            place.repeat.prove(at, revision);
+    /// Records a proof that the instance list of `revision` was the newest at `at`.
+    pub(super) fn record_list_proof(&self, at: Tick, revision: Revision) {
+        if let Some(cfg) = self.cfg.get() {
+            cfg.dedup.prove(at, revision);
         }
     }
 
-    /// Binds a view and puts it in force; nothing to bind before the node was
-    /// placed.
+    /// Builds the routes of a view and puts them in force; does nothing before
+    /// [`Routing::configure`].
     ///
-    /// A fleet that restarts changes states all the time. Only another
-    /// snapshot is bound anew, which takes time in proportion to all endpoints.
+    /// In a fleet restart states change all the time. The picker is rebuilt only for
+    /// another snapshot, since that takes time proportional to the number of endpoints.
     pub(super) fn bind(&self, view: &Arc<View>, now: Tick) {
-        let Some(Place { position, repeat }) = self.place.get() else {
+        let Some(Config { locality, dedup }) = self.cfg.get() else {
             return;
         };
-        let held = self.routes.load_full();
-        let same = held.as_ref();
-        let same = same.filter(|held| Arc::ptr_eq(&held.view.snapshot, &view.snapshot));
-        let (picker, own) = match same {
-            Some(held) => {
-                self.mark_changed(&view.states, now);
-                (Arc::clone(&held.picker), held.own)
+        let current = self.routes.load_full();
+        let same = current.as_ref();
+        let same = same.filter(|routes| Arc::ptr_eq(&routes.view.snapshot, &view.snapshot));
+        let (picker, local_key) = match same {
+            Some(routes) => {
+                self.apply_changed_states(&view.states, now);
+                (Arc::clone(&routes.picker), routes.local_key)
             }
             None => {
-                // INVARIANT: Before requests are routed by it, so that the
-                // owner of a key doesn't learn of it later than those who
-                // send it.
-                repeat.snapshot_changed(now, &view.snapshot);
+                // INVARIANT: The window gets the snapshot before requests are
+                // routed by it, so that the owner of a key doesn't apply it later
+                // than the nodes that send requests with the key.
+                dedup.snapshot_changed(now, &view.snapshot);
                 self.meters.retain(&view.snapshot);
-                self.mark_all(&view.states, now);
+                self.apply_all_states(&view.states, now);
                 let cfg = RouteSettings::default();
-                let picker = Picker::build(&view.snapshot, position, cfg, &self.meters, now);
-                let own = view.snapshot.find_endpoint(&position.instance);
-                (Arc::new(picker), own)
+                let picker = Picker::build(&view.snapshot, locality, cfg, &self.meters, now);
+                let local_key = view.snapshot.find_endpoint(&locality.instance);
+                (Arc::new(picker), local_key)
             }
         };
-        let departing = departing(view, own, held.as_deref(), now);
-        let evacuated = view.snapshot.is_evacuated(&position.domain);
+        let departing_since = departing_since(view, local_key, current.as_deref(), now);
+        let evacuated = view.snapshot.is_evacuated(&locality.domain);
         let view = Arc::clone(view);
         self.routes.store(Some(Arc::new(Routes {
             view,
             picker,
-            own,
-            departing,
+            local_key,
+            departing_since,
             evacuated,
         })));
     }
@@ -150,51 +150,53 @@
         self.routes.load_full()
     }
 
-    /// Tells the meters of the states that have changed: a picker reads the
-    /// meters, so that it need not be built again for them.
-    fn mark_changed(&self, states: &Arc<States>, now: Tick) {
-        let mut marked = self.marked();
+    /// Updates the meters of the endpoints whose phase has changed. The picker reads
+    /// the meters, so that it needn't be rebuilt for these changes.
+    fn apply_changed_states(&self, states: &Arc<States>, now: Tick) {
+        let mut applied = self.lock_applied_states();
         let changed = states.iter().filter(|(id, state)| {
-            let before = marked.get(*id).map(|state| state.phase);
+            let before = applied.get(*id).map(|state| state.phase);
             before != Some(state.phase)
         });
         for (id, state) in changed {
             self.meters.mark(id, intake(state.phase), now);
         }
-        *marked = Arc::clone(states);
+        *applied = Arc::clone(states);
     }
 
-    /// Tells the meters of all states, when the list has changed: a node may
-    /// have spoken for its endpoint before the list named it, and no meter was
-    /// kept for it then.
-    fn mark_all(&self, states: &Arc<States>, now: Tick) {
+    /// Updates the meters for all states, after the list has changed. A node may have
+    /// announced the state of its endpoint before the list named it, when there was no
+    /// meter for it.
+    fn apply_all_states(&self, states: &Arc<States>, now: Tick) {
         for (id, state) in states.iter() {
             self.meters.mark(id, intake(state.phase), now);
         }
-        *self.marked() = Arc::clone(states);
+        *self.lock_applied_states() = Arc::clone(states);
     }
 
-    fn marked(&self) -> MutexGuard<'_, Arc<States>> {
-        self.marked.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_applied_states(&self) -> MutexGuard<'_, Arc<States>> {
+        self.applied_states
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Since when the own endpoint departs, if it does. One that was never listed
-/// doesn't: its node may know its target before the list names it.
-fn departing(
+/// Since when the local endpoint has been departing, if it is. One that was never
+/// listed isn't: its node may find its target ready before the list names it.
+fn departing_since(
     view: &View,
-    own: Option<EndpointKey>,
-    held: Option<&Routes>,
+    local_key: Option<EndpointKey>,
+    current: Option<&Routes>,
     now: Tick,
 ) -> Option<Tick> {
-    let listed = own.and_then(|own| view.snapshot.endpoint(own));
+    let listed = local_key.and_then(|key| view.snapshot.endpoint(key));
     let state = listed.map(|endpoint| endpoint.instance.state);
     if state == Some(InstanceState::Live) {
         return None;
     }
-    let departs = state.is_some() || held.is_some_and(|held| held.own.is_some());
-    let since = held.and_then(|held| held.departing);
-    since.or(departs.then_some(now))
+    let is_departing = state.is_some() || current.is_some_and(|routes| routes.local_key.is_some());
+    let since = current.and_then(|routes| routes.departing_since);
+    since.or(is_departing.then_some(now))
 }
 
 fn intake(phase: Phase) -> Intake {
--- a/crates/node/src/shared/routing/tests.rs
+++ b/crates/node/src/shared/routing/tests.rs
@@ -29,10 +29,10 @@
     routes: [{path: /, kind: lookup, idempotent: true}]
 ";
 
-fn placed() -> Routing {
+fn configured_routing() -> Routing {
     let routing = Routing::default();
-    let (position, repeat) = place("wd-0");
-    routing.place(position, repeat);
+    let (locality, dedup) = place("wd-0");
+    routing.configure(locality, dedup);
     routing
 }
 
@@ -46,9 +46,9 @@
     testing::snapshot(CATALOGUE, revision, listed)
 }
 
-/// What wd-1 said last, if it said anything.
-fn view(snapshot: &Arc<Snapshot>, said: Option<Phase>) -> Arc<View> {
-    let states = said.map(|phase| EndpointState {
+/// A view of a snapshot in which wd-1 has announced this phase, if any.
+fn view(snapshot: &Arc<Snapshot>, announced: Option<Phase>) -> Arc<View> {
+    let states = announced.map(|phase| EndpointState {
         instance: name("wd-1"),
         incarnation: 1,
         sequence: u64::from(phase as u8),
@@ -64,8 +64,8 @@
     })
 }
 
-/// Whether a request finds an endpoint.
-fn picks(routing: &Routing) -> bool {
+/// Whether the picker finds an endpoint for a request.
+fn finds_endpoint(routing: &Routing) -> bool {
     let routes = routing.routes().expect("routes");
     let route = routes
         .view
@@ -80,46 +80,48 @@
     picked.is_ok()
 }
 
-/// Guards against requests to a node that said it isn't ready before it was listed.
+/// Guards against requests to a node that announced that it isn't ready before the list
+/// named it.
 #[rstest]
 #[case::starting(Phase::Starting, false)]
 #[case::ready(Phase::Ready, true)]
 #[case::draining(Phase::Draining, false)]
-fn word_that_came_before_the_list_counts(#[case] said: Phase, #[case] picked: bool) {
-    let routing = placed();
+fn phase_announced_before_the_listing_applies(#[case] announced: Phase, #[case] picked: bool) {
+    let routing = configured_routing();
     let now = Tick::from_millis(1);
     let before = snapshot(1, &[]);
-    routing.bind(&view(&before, Some(said)), now);
-    routing.bind(&view(&snapshot(2, &[]), Some(said)), now);
-    routing.bind(&view(&snapshot(3, &["wd-1"]), Some(said)), now);
-    assert_eq!(picks(&routing), picked);
+    routing.bind(&view(&before, Some(announced)), now);
+    routing.bind(&view(&snapshot(2, &[]), Some(announced)), now);
+    routing.bind(&view(&snapshot(3, &["wd-1"]), Some(announced)), now);
+    assert_eq!(finds_endpoint(&routing), picked);
 }
 
-/// Guards against a picker that is rebuilt, or not updated, as states change.
+/// Guards against a picker that is rebuilt, or keeps stale phases, when states change.
 #[test]
-fn change_of_states_keeps_the_picker() {
-    let routing = placed();
+fn phase_change_keeps_the_picker() {
+    let routing = configured_routing();
     let now = Tick::from_millis(1);
     let snapshot = snapshot(1, &["wd-1"]);
     routing.bind(&view(&snapshot, Some(Phase::Ready)), now);
-    assert!(picks(&routing));
+    assert!(finds_endpoint(&routing));
     let before = routing.routes().expect("routes");
     routing.bind(&view(&snapshot, Some(Phase::Draining)), now);
-    assert!(!picks(&routing));
+    assert!(!finds_endpoint(&routing));
     let after = routing.routes().expect("routes");
     assert!(Arc::ptr_eq(&before.picker, &after.picker));
 }
 
-/// How the list names the own endpoint, one list after the other.
+/// The states of the local endpoint in consecutive lists; `None` if it isn't listed.
 #[derive(Debug)]
 struct Departure {
     lists: &'static [Option<InstanceState>],
-    /// Whether it has departed half a second and two seconds after the last.
+    /// Whether it has departed 0.5 s after the last list.
     soon: bool,
+    /// Whether it has departed 2 s after the last list.
     late: bool,
 }
 
-/// Guards against a node that hands work to a departed target until it is cut.
+/// Guards against requests that are handed to a departed target and cut off by its end.
 #[rstest]
 #[case::live(Departure {
     lists: &[Some(InstanceState::Live)],
@@ -151,16 +153,16 @@
     soon: false,
     late: false,
 })]
-fn a_departed_endpoint_gets_no_more_work(#[case] case: Departure) {
-    let routing = placed();
+fn endpoint_departs_after_the_grace_period(#[case] case: Departure) {
+    let routing = configured_routing();
     let mut now = Tick::from_millis(1);
     for (revision, state) in (1..).zip(case.lists) {
         now = now + Duration::from_millis(600);
-        let own = state.map(|state| Instance {
+        let local = state.map(|state| Instance {
             state,
             ..instance("wd-0")
         });
-        let listed = snapshot_of(revision, own.into_iter().collect());
+        let listed = snapshot_of(revision, local.into_iter().collect());
         routing.bind(&view(&listed, None), now);
     }
     let routes = routing.routes().expect("routes");
--- a/crates/node/src/shared/tests.rs
+++ b/crates/node/src/shared/tests.rs
@@ -39,7 +39,7 @@
     taken: &[true, false],
     end: Phase::Ready,
 })]
-fn phase_only_goes_forward(#[case] case: Advance) {
+fn phase_only_moves_forward(#[case] case: Advance) {
     let shared = shared();
     let taken: Vec<bool> = case.steps.iter().map(|&to| shared.advance(to)).collect();
     assert_eq!(taken, case.taken);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn contact_only_gets_newer() {
+fn older_contact_is_ignored() {
     let shared = shared();
     assert_eq!(shared.contact().age(Tick::from_millis(5)), None);
     shared.contact().note(Tick::from_millis(10));
@@ -57,23 +57,23 @@
 }
 
 #[test]
-fn a_list_is_as_old_as_its_latest_proof() {
+fn list_proof_keeps_the_latest_time_of_its_revision() {
     let shared = shared();
-    let prove = |ms, revision| {
+    let record = |ms, revision| {
         let revision = Revision::new(revision).expect("a revision");
         shared.prove_instances(Tick::from_millis(ms), revision);
     };
     assert_eq!(shared.proved_list().current(Tick::from_millis(5)), None);
-    prove(10, 2);
-    prove(30, 2);
-    prove(20, 2);
-    prove(40, 1);
-    let proved = shared.proved_list().current(Tick::from_millis(50));
-    assert_eq!(proved, Some((2, Duration::from_millis(20))));
+    record(10, 2);
+    record(30, 2);
+    record(20, 2);
+    record(40, 1);
+    let proof = shared.proved_list().current(Tick::from_millis(50));
+    assert_eq!(proof, Some((2, Duration::from_millis(20))));
 }
 
 #[tokio::test]
-async fn idle_waits_for_the_last_request() {
+async fn idle_waits_for_the_end_of_the_last_request() {
     let shared = shared();
     let first = shared.in_flight().enter();
     let last = shared.in_flight().enter();
--- a/crates/node/src/shared/view.rs
+++ b/crates/node/src/shared/view.rs
@@ -1,4 +1,4 @@
-//! What a request is routed by.
+//! The view that a request is routed by.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,17 +8,17 @@
 use sassafrasspool_core::Phase;
 use sassafrasspool_core::Snapshot;
 
-/// A snapshot with what is known of its endpoints' phases.
+/// A snapshot with the known states of its endpoints.
 #[derive(Debug, Clone)]
 pub struct View {
     /// The catalogue and instance list that are in force.
     pub snapshot: Arc<Snapshot>,
-    /// What the nodes beside the instances last said; one may be missing.
+    /// The newest state received of each endpoint; it may be missing.
     pub states: Arc<HashMap<InstanceId, EndpointState>>,
 }
 
 impl View {
-    /// The phase of an instance, if its node was heard of.
+    /// The phase of an instance's endpoint, if its state was received.
     pub fn phase(&self, instance: &InstanceId) -> Option<Phase> {
         self.states.get(instance).map(|state| state.phase)
     }
--- a/crates/node/src/testing.rs
+++ b/crates/node/src/testing.rs
@@ -1,4 +1,4 @@
-//! What the tests of several modules need.
+//! Support for the unit tests of several modules.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -15,21 +15,21 @@
 use sassafrasspool_core::Snapshot;
 use sassafrasspool_core::catalogue;
 
-/// A name of any kind.
+/// A valid name of any type.
 pub(crate) fn name<T: TryFrom<Arc<str>, Error: Debug>>(text: &str) -> T {
     T::try_from(Arc::from(text)).expect("a name")
 }
 
-/// Where a node beside a desk stands, and what it remembers of requests with a key.
+/// The locality of a desk's node, and an empty deduplication window for it.
 pub(crate) fn place(id: &str) -> (Position, RepeatWindow) {
-    let position = Position {
+    let locality = Position {
         instance: name(id),
         domain: name("bayanzurkh"),
         region: name("ulaanbaatar"),
     };
     let settings = RepeatSettings::default();
-    let repeat = RepeatWindow::new(settings, name(id), name("workshop-desk"));
-    (position, repeat.expect("a window"))
+    let dedup = RepeatWindow::new(settings, name(id), name("workshop-desk"));
+    (locality, dedup.expect("a window"))
 }
 
 /// A live desk in the failure domain of [`place`].
@@ -50,7 +50,7 @@
     }
 }
 
-/// The snapshot of a catalogue's text and a list, both of that revision.
+/// The snapshot of a catalogue's text and an instance list, both of `revision`.
 pub(crate) fn snapshot(text: &str, revision: u64, listed: Vec<Instance>) -> Arc<Snapshot> {
     let revision = Revision::new(revision).expect("a revision");
     let items = catalogue::parse(text).expect("a catalogue");
