--- a/crates/node/src/control/probe.rs
+++ b/crates/node/src/control/probe.rs
@@ -42,7 +42,7 @@
         if let Ok(Some((StatusCode::OK, _))) = probe.await {
             return;
         }
-        tokio::time::sleep(target.probe).await;
+        tokio::time::sleep(target.probe_interval).await;
     }
 }
 
--- a/crates/node/src/node/running.rs
+++ b/crates/node/src/node/running.rs
@@ -101,7 +101,7 @@
         let event = ControlEvent::Spread(Event::Seeds(seeds));
         // A node that has ended needs no seeds.
         self.outside.control.send(event).await;
-        self.settings.fixed_parts_changed(new)
+        self.settings.parts_needing_restart(new)
     }
 
     /// Begins to drain: the endpoint takes nothing new, and the others hear of
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -124,7 +124,7 @@
 
 /// Takes over settings that have changed; refused ones leave all as it was.
 async fn reload(node: &RunningNode, file: &mut SettingsFile) {
-    match file.changed() {
+    match file.reload_if_changed() {
         None => {}
         Some(Ok(settings)) => {
             let fixed = node.reload(&settings).await;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,5 @@
-//! A node's settings: YAML text, checked whole before anything starts.
+//! A node's settings: YAML text that is validated completely before the node
+//! starts.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,7 +13,7 @@
 
 pub use self::control::ControlSettings;
 pub use self::drain::DrainSettings;
-pub use self::fault::SettingsError;
+pub use self::error::SettingsError;
 pub use self::file::SettingsFile;
 pub use self::listen::Listen;
 pub use self::log::LogFormat;
@@ -25,7 +26,7 @@
 
 mod control;
 mod drain;
-mod fault;
+mod error;
 mod file;
 mod listen;
 mod log;
@@ -38,53 +39,54 @@
 mod tests;
 mod value;
 
-/// Everything that a node is told at its start.
+/// All settings of a node.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The instance beside which the node runs.
+    /// The instance whose target the node runs beside.
     pub instance: InstanceId,
     /// The service that the instance belongs to.
     pub service: ServiceName,
-    /// The region that it stands in.
+    /// The region of the instance.
     pub region: RegionName,
-    /// The failure domain that it stands in.
+    /// The failure domain of the instance.
     pub domain: DomainName,
-    /// Where the node listens.
+    /// The addresses that the node listens on.
     pub listen: Listen,
-    /// The target beside it.
+    /// The local target.
     pub target: TargetSettings,
-    /// The platform's read-only service.
+    /// The platform's read-only service and the fleet's share of it.
     pub platform: PlatformSettings,
-    /// Control addresses to ask before the instance list is known.
+    /// Control addresses of peers that are contacted before the node has an
+    /// instance list.
     pub seeds: Vec<SocketAddr>,
-    /// Connections for control messages.
+    /// Limits of the connections for control messages.
     pub control: ControlSettings,
-    /// How versions travel between nodes.
+    /// Dissemination of versions between nodes.
     pub spread: SpreadSettings,
-    /// Threads that move requests.
+    /// The number of threads that forward requests.
     pub traffic_threads: usize,
-    /// How repeats of a request are recognised; the same on every node.
+    /// Deduplication by request key; the same on every node.
     pub repeat: RepeatSettings,
-    /// How the node logs.
+    /// Format, level and rate of the log.
     pub log: LogSettings,
-    /// How the node stops.
+    /// Time limits of a stop.
     pub drain: DrainSettings,
 }
 
 impl Settings {
-    /// Reads settings from their YAML text.
+    /// Parses settings from their YAML text.
     ///
     /// # Errors
     ///
-    /// Returns every fault with its place: a field that is missing or
-    /// unknown, a value out of range, a text over 64 KiB.
+    /// Returns every fault with its line and column: a missing or unknown field,
+    /// a value out of range, a text over 64 KiB.
     ///
     /// # Example
     ///
     /// ```
     /// use sassafrasspool_node::Settings;
     ///
-    /// let faults = Settings::parse("instance: wd-1").expect_err("much is missing");
+    /// let faults = Settings::parse("instance: wd-1").expect_err("required sections are missing");
     /// assert!(faults.to_string().contains("listen: is missing"));
     /// ```
     pub fn parse(text: &str) -> Result<Settings, Faults> {
@@ -95,14 +97,14 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read, or with every fault of its text.
+    /// Fails if the file can't be read, or with every fault in its text.
     pub fn load(file: &Path) -> Result<Settings, SettingsError> {
         SettingsFile::open(file).map(|(_, settings)| settings)
     }
 
-    /// The parts that differ from `new` and that a running node can't take
-    /// over.
-    pub fn fixed_parts_changed(&self, new: &Settings) -> Vec<&'static str> {
+    /// The names of the parts that differ from `new` and take effect only after a
+    /// restart.
+    pub fn parts_needing_restart(&self, new: &Settings) -> Vec<&'static str> {
         let same = [
             ("instance", self.instance == new.instance),
             ("region", self.region == new.region),
--- a/crates/node/src/settings/control.rs
+++ b/crates/node/src/settings/control.rs
@@ -1,4 +1,4 @@
-//! Connections for control messages.
+//! Settings of the connections for control messages.
 
 use std::ops::RangeInclusive;
 
@@ -8,28 +8,34 @@
 
 use super::value::usize_or;
 
-/// Bounds of the connections kept open to others.
-const OPEN: RangeInclusive<u64> = 1..=1_024;
-/// Bounds of the connections taken from others.
-const INBOUND: RangeInclusive<u64> = 1..=16_384;
+/// Allowed numbers of connections kept open to other nodes.
+const OPEN_CONNECTIONS: RangeInclusive<u64> = 1..=1_024;
+/// Allowed numbers of connections accepted from other nodes.
+const INBOUND_CONNECTIONS: RangeInclusive<u64> = 1..=16_384;
 
-/// How much a node gives to connections with other nodes.
+/// Limits of a node's control connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ControlSettings {
-    /// The bounds.
+    /// The limits.
     pub limits: PeerLimits,
 }
 
 impl ControlSettings {
     pub(super) fn read(mut table: Table<'_>, faults: &mut Faults) -> Option<ControlSettings> {
-        let was = PeerLimits::default();
-        let open = usize_or(&mut table, "open", OPEN, was.open, faults);
-        let inbound = usize_or(&mut table, "inbound", INBOUND, was.inbound, faults);
+        let default = PeerLimits::default();
+        let open = usize_or(&mut table, "open", OPEN_CONNECTIONS, default.open, faults);
+        let inbound = usize_or(
+            &mut table,
+            "inbound",
+            INBOUND_CONNECTIONS,
+            default.inbound,
+            faults,
+        );
         table.finish(faults);
         let limits = PeerLimits {
             open: open?,
             inbound: inbound?,
-            ..was
+            ..default
         };
         Some(ControlSettings { limits })
     }
--- a/crates/node/src/settings/drain.rs
+++ b/crates/node/src/settings/drain.rs
@@ -1,4 +1,4 @@
-//! How a node stops.
+//! Settings of how a node stops.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -9,33 +9,34 @@
 use super::value::decimal;
 use super::value::millis_or;
 
-/// Bounds of the bound, in milliseconds.
+/// Allowed timeouts of requests in flight, in milliseconds.
 const BOUND_MS: RangeInclusive<u64> = 100..=3_600_000;
 
-/// What a platform grants a process that it told to stop, before it kills it: text,
-/// in seconds.
+/// Allowed grace periods, in seconds: the time between a platform's signal to stop
+/// and its kill of the process. The setting is text.
 const GRACE_S: RangeInclusive<f64> = 1.0..=3_600.0;
 
-/// The part of the grace that is left once requests were cut, for the last word to
-/// peers and for callers to read what they were told: in six seconds, one.
-const AFTER_CUT: f64 = 1.0 / 6.0;
+/// The fraction of the grace period that remains after requests were cut: one second
+/// of six. In it the final announcement is sent to peers and callers read their
+/// answers.
+const GRACE_FRACTION_AFTER_CUT: f64 = 1.0 / 6.0;
 
-/// Bounds of the time for which callers are still served, in milliseconds.
+/// Allowed times for which callers are still served, in milliseconds.
 const CALLERS_MS: RangeInclusive<u64> = 0..=60_000;
 
-/// Bounds on a planned stop.
+/// Time limits of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DrainSettings {
-    /// How long requests in flight may take to finish before they are cut.
+    /// The time in which requests in flight may finish before they are cut.
     pub bound: Duration,
-    /// How long the node goes on after it was told to stop, while it says that
-    /// it isn't ready any more. Zero refuses callers at once; more suits a
-    /// deployment whose callers take a while to go elsewhere.
+    /// How long the node still serves after a request to stop, while it reports
+    /// that it isn't ready. Zero refuses callers at once; a longer time suits a
+    /// deployment whose callers take a while to switch to other nodes.
     pub callers: Duration,
 }
 
 impl Default for DrainSettings {
-    /// Half a minute.
+    /// Requests in flight get 30 seconds; callers are refused at once.
     fn default() -> DrainSettings {
         DrainSettings {
             bound: Duration::from_secs(30),
@@ -54,11 +55,11 @@
             default.callers,
             faults,
         );
-        let grace = table.optional_text("grace_s", faults, grace);
-        let granted = grace.flatten().zip(callers);
-        let granted = granted.map(|(grace, callers)| bound_within(grace, callers));
-        let unless_set = granted.unwrap_or(default.bound);
-        let bound = millis_or(&mut table, "bound_ms", BOUND_MS, unless_set, faults);
+        let grace = table.optional_text("grace_s", faults, parse_grace);
+        let given = grace.flatten().zip(callers);
+        let given = given.map(|(grace, callers)| bound_within(grace, callers));
+        let default_bound = given.unwrap_or(default.bound);
+        let bound = millis_or(&mut table, "bound_ms", BOUND_MS, default_bound, faults);
         table.finish(faults);
         Some(DrainSettings {
             bound: bound?,
@@ -67,18 +68,20 @@
     }
 }
 
-/// Reads a time in seconds; nothing if the platform doesn't tell it.
-fn grace(text: &str) -> Result<Option<Duration>, String> {
+/// Parses a time in seconds; `None` for an empty text, which a platform gives if it
+/// has no grace period.
+fn parse_grace(text: &str) -> Result<Option<Duration>, String> {
     let secs = decimal(text, &GRACE_S, " seconds")?;
     Ok(secs.map(Duration::from_secs_f64))
 }
 
-/// How long requests in flight may take if the process is killed `grace` after it
-/// was told to stop.
+/// The timeout of requests in flight if the process is killed `grace` after the
+/// signal to stop and callers are still served for `callers`.
 ///
-/// A bound that doesn't follow the grace cuts requests with half of it to go.
+/// A timeout that isn't derived from the grace period would cut requests when half of
+/// it is left.
 fn bound_within(grace: Duration, callers: Duration) -> Duration {
-    let cut_at = grace.mul_f64(1.0 - AFTER_CUT);
-    let least = Duration::from_millis(*BOUND_MS.start());
-    cut_at.saturating_sub(callers).max(least)
+    let cut_at = grace.mul_f64(1.0 - GRACE_FRACTION_AFTER_CUT);
+    let min = Duration::from_millis(*BOUND_MS.start());
+    cut_at.saturating_sub(callers).max(min)
 }
--- a/crates/node/src/settings/fault.rs
+++ b/crates/node/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! Faults of settings as an operator sees them: each at its place in the file.
+//! The error of invalid settings, which shows each fault at its place in the file.
 
 use std::error;
 use std::fmt;
@@ -11,7 +11,7 @@
 use sassafrasspool_core::Fault;
 use sassafrasspool_core::Faults;
 
-/// Settings that were refused, with every fault.
+/// Invalid settings with all of their faults.
 #[derive(Debug)]
 pub struct SettingsError {
     file: String,
@@ -20,7 +20,7 @@
 }
 
 impl SettingsError {
-    /// Faults of `text`, which came from `file`.
+    /// Faults in `text`, which was read from `file`.
     pub fn new(file: &str, text: &str, faults: Faults) -> SettingsError {
         let source = NamedSource::new(file, text.to_owned()).with_language("YAML");
         SettingsError {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The faults in the order of the file's sections.
+    /// The faults, in the order in which the sections were read.
     pub fn faults(&self) -> &Faults {
         &self.faults
     }
@@ -49,9 +49,13 @@
     fn label(&self, text: &str, fault: &Fault) -> Option<LabeledSpan> {
         let place = fault.place?;
         let at = SourceOffset::from_location(text, place.line, place.column);
-        let mut unplaced = fault.clone();
-        unplaced.place = None;
-        Some(LabeledSpan::new(Some(unplaced.to_string()), at.offset(), 1))
+        let mut without_place = fault.clone();
+        without_place.place = None;
+        Some(LabeledSpan::new(
+            Some(without_place.to_string()),
+            at.offset(),
+            1,
+        ))
     }
 }
 
--- a/crates/node/src/settings/file.rs
+++ b/crates/node/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! A settings file that may change while the node runs.
+//! A settings file that is read again while the node runs.
 
 use std::fs;
 use std::path::Path;
@@ -7,7 +7,7 @@
 use super::Settings;
 use super::SettingsError;
 
-/// The file with what it held when it was last read.
+/// A settings file with its text when it was last read.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
@@ -19,7 +19,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if it can't be read, or with every fault of its text.
+    /// Fails if it can't be read, or with every fault in its text.
     pub fn open(path: &Path) -> Result<(SettingsFile, Settings), SettingsError> {
         let text = read(path)?;
         let settings = parse(path, &text)?;
@@ -27,14 +27,15 @@
         Ok((SettingsFile { path, text }, settings))
     }
 
-    /// Reads the file again; nothing if it is as it was.
+    /// Reads the file again; `None` if its text hasn't changed.
     ///
-    /// A text that was refused is told once and not again until it changes.
+    /// The faults of an invalid text are returned once and not again until the text
+    /// changes.
     ///
     /// # Errors
     ///
-    /// Fails if it can't be read, or with every fault of its text.
-    pub fn changed(&mut self) -> Option<Result<Settings, SettingsError>> {
+    /// Fails if it can't be read, or with every fault in its text.
+    pub fn reload_if_changed(&mut self) -> Option<Result<Settings, SettingsError>> {
         let text = match read(&self.path) {
             Ok(text) if text == self.text => return None,
             Ok(text) => text,
--- a/crates/node/src/settings/listen.rs
+++ b/crates/node/src/settings/listen.rs
@@ -1,4 +1,4 @@
-//! Where a node listens.
+//! Settings of a node's listening addresses.
 
 use std::net::SocketAddr;
 
@@ -8,23 +8,22 @@
 use super::value::addr;
 use super::value::loopback;
 
-/// The node's listening addresses; port 0 takes any free port.
+/// The node's listening addresses; port 0 selects any free port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Listen {
     /// HTTP for callers from outside.
     pub ingress: SocketAddr,
-    /// HTTP for the calls of the own target; absent if it makes them where
-    /// callers do.
+    /// HTTP for calls of the local target; without it the target uses the ingress.
     pub egress: Option<SocketAddr>,
     /// HTTP/2 for other nodes.
     pub traffic: SocketAddr,
-    /// Control messages of other nodes.
+    /// Control messages from other nodes.
     pub control: SocketAddr,
     /// HTTP for operators; a loopback address.
     pub admin: SocketAddr,
-    /// HTTP for whoever asks whether the node takes callers.
+    /// HTTP for readiness checks: whether the node accepts callers.
     pub ready: Option<SocketAddr>,
-    /// HTTP for the metrics alone, for collectors on other machines.
+    /// HTTP for metrics only, for collectors on other machines.
     pub metrics: Option<SocketAddr>,
 }
 
@@ -48,21 +47,23 @@
             ready,
             metrics,
         };
-        if let Some(twice) = listen.twice() {
-            let reason = format!("names {twice} for two listeners");
+        if let Some(duplicate) = listen.duplicate_addr() {
+            let reason = format!("names {duplicate} for two listeners");
             faults.add_at(Some(place), "listen", "", reason);
         }
         Some(listen)
     }
 
-    /// An address with a port of its own that two listeners would share.
-    fn twice(&self) -> Option<SocketAddr> {
-        let always = [self.ingress, self.traffic, self.control, self.admin];
-        let at_times = [self.egress, self.ready, self.metrics]
+    /// An address with a fixed port that is set for two listeners.
+    fn duplicate_addr(&self) -> Option<SocketAddr> {
+        let required = [self.ingress, self.traffic, self.control, self.admin];
+        let optional = [self.egress, self.ready, self.metrics]
             .into_iter()
             .flatten();
-        let all: Vec<SocketAddr> = always.into_iter().chain(at_times).collect();
-        let shared = |at: usize| all[at].port() != 0 && all[..at].contains(&all[at]);
-        (0..all.len()).find(|&at| shared(at)).map(|at| all[at])
+        let all: Vec<SocketAddr> = required.into_iter().chain(optional).collect();
+        let is_duplicate = |at: usize| all[at].port() != 0 && all[..at].contains(&all[at]);
+        (0..all.len())
+            .find(|&at| is_duplicate(at))
+            .map(|at| all[at])
     }
 }
--- a/crates/node/src/settings/log.rs
+++ b/crates/node/src/settings/log.rs
@@ -1,26 +1,26 @@
-//! How a node logs.
+//! Settings of a node's log.
 
 use std::ops::RangeInclusive;
 
 use sassafrasspool_core::Faults;
 use sassafrasspool_core::yaml::Table;
 
-/// Form and level of log lines.
+/// Format, level and rate of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The form of a line.
+    /// The format of a line.
     pub format: LogFormat,
-    /// The least level that is written.
+    /// The lowest level that is written.
     pub level: LogLevel,
-    /// Bytes of lines a second, beyond which lines are left out and counted.
+    /// The most bytes of lines written per second. Lines beyond it are dropped and
+    /// counted.
     pub bytes_per_s: u64,
 }
 
-/// Bytes of lines a second unless settings say otherwise: about a hundred
-/// lines.
+/// The default limit in bytes per second: about a hundred lines.
 const DEFAULT_BYTES_PER_S: u64 = 32 * 1024;
 
-/// Bounds of that.
+/// Allowed limits in bytes per second.
 const BYTES_PER_S: RangeInclusive<u64> = 256..=1_073_741_824;
 
 impl Default for LogSettings {
@@ -33,27 +33,27 @@
     }
 }
 
-/// The form of a log line.
+/// The format of a log line.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Text for people.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The least level that is written.
+/// The lowest level that is written.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LogLevel {
     /// Failures that need an operator.
     Error,
-    /// What an operator should know of.
+    /// Events that an operator should know.
     Warn,
-    /// Changes of state.
+    /// State changes.
     #[default]
     Info,
-    /// Detail for developers.
+    /// Details for developers.
     Debug,
 }
 
@@ -61,10 +61,10 @@
     pub(super) fn read(mut table: Table<'_>, faults: &mut Faults) -> Option<LogSettings> {
         let format = table.optional_text("format", faults, LogFormat::from_name);
         let level = table.optional_text("level", faults, LogLevel::from_name);
-        let bytes = table.number_or("bytes_per_s", BYTES_PER_S, DEFAULT_BYTES_PER_S, faults);
+        let bytes_per_s = table.number_or("bytes_per_s", BYTES_PER_S, DEFAULT_BYTES_PER_S, faults);
         table.finish(faults);
         Some(LogSettings {
-            bytes_per_s: bytes?,
+            bytes_per_s: bytes_per_s?,
             format: format.unwrap_or_default(),
             level: level.unwrap_or_default(),
         })
--- a/crates/node/src/settings/platform.rs
+++ b/crates/node/src/settings/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's read-only service.
+//! Settings of the platform's read-only service.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -9,23 +9,23 @@
 use super::value::addr;
 use super::value::u32_or;
 
-/// Bounds of the platform's budget, in reads a second.
+/// Allowed limits of the platform, in reads per second.
 const READS_PER_S: RangeInclusive<u64> = 1..=1_000_000;
-/// Bounds of the fleet's share, in percent.
+/// Allowed shares of the fleet, in percent.
 const SHARE_PERCENT: RangeInclusive<u64> = 1..=100;
-/// What the platform answers to all readers, in reads a second.
+/// The default limit of the platform for all readers, in reads per second.
 const DEFAULT_READS_PER_S: u32 = 2_000;
-/// What the fleet takes of that unless settings say otherwise, in percent.
+/// The fleet's default share of the platform's reads, in percent.
 const DEFAULT_SHARE_PERCENT: u32 = 25;
 
-/// Where the platform is and how much of it the fleet may use.
+/// The platform's address and the read rate that the fleet may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// Its address.
+    /// The platform's address.
     pub addr: SocketAddr,
-    /// Reads a second that it answers to all readers together.
+    /// Reads per second that the platform answers to all readers together.
     pub reads_per_s: u32,
-    /// The share of those that the whole fleet may use, in percent.
+    /// The share of these reads that the whole fleet may use, in percent.
     pub share_percent: u32,
 }
 
--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! From the text of the settings to their values, with every fault at once.
+//! Parses the text of the settings and collects all of its faults.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -25,18 +25,18 @@
 use super::repeat;
 use super::value::addr;
 
-/// The largest text of settings, in bytes.
+/// The largest settings text, in bytes.
 pub(super) const MAX_SETTINGS_BYTES: usize = 64 * 1024;
-/// The most seeds.
+/// The most seed addresses.
 const MAX_SEEDS: usize = 64;
-/// Bounds of the number of traffic threads.
+/// Allowed numbers of traffic threads.
 const TRAFFIC_THREADS: RangeInclusive<u64> = 1..=64;
-/// Traffic threads unless settings say otherwise.
+/// The default number of traffic threads.
 const DEFAULT_TRAFFIC_THREADS: u64 = 2;
 
-const TOP: Place = Place { line: 1, column: 1 };
+const DOCUMENT_START: Place = Place { line: 1, column: 1 };
 
-/// Reads settings from their text.
+/// Parses settings from their text.
 pub(super) fn read(text: &str) -> Result<Settings, Faults> {
     let mut faults = Faults::new();
     if text.len() > MAX_SETTINGS_BYTES {
@@ -45,10 +45,10 @@
         return Err(faults);
     }
     let tree = yaml::parse(text)?;
-    let top = Table::open("", &tree, TOP, &mut faults);
+    let top = Table::open("", &tree, DOCUMENT_START, &mut faults);
     match top.and_then(|top| read_top(top, &mut faults)) {
         Some(settings) => faults.into_result(settings),
-        // A part that gave nothing has noted why.
+        // A section that returned `None` has added its faults.
         None => Err(faults),
     }
 }
@@ -93,7 +93,7 @@
     })
 }
 
-/// Reads a section that must be there.
+/// Reads a required section.
 fn required<T>(
     top: &mut Table<'_>,
     key: &str,
@@ -104,7 +104,7 @@
     read(table, faults)
 }
 
-/// Reads a section, or takes its default if it is missing.
+/// Reads an optional section; a missing one has default values.
 fn or_default<T: Default>(
     top: &mut Table<'_>,
     key: &str,
--- a/crates/node/src/settings/repeat.rs
+++ b/crates/node/src/settings/repeat.rs
@@ -1,4 +1,4 @@
-//! How repeats of a request are recognised.
+//! Settings of deduplication by request key.
 
 use std::ops::RangeInclusive;
 
@@ -9,23 +9,28 @@
 use super::value::millis_or;
 use super::value::usize_or;
 
-/// Bounds of the time that a key is remembered, in milliseconds.
+/// Allowed times for which a key is kept, in milliseconds.
 const HOLD_MS: RangeInclusive<u64> = 100..=86_400_000;
-/// Bounds of the age of the proof that the instance list is in force, in
-/// milliseconds.
+/// Allowed ages of the proof that the instance list is in force, in milliseconds.
 const LEASE_MS: RangeInclusive<u64> = 100..=600_000;
-/// Bounds of the number of keys that are remembered.
-const KEYS: RangeInclusive<u64> = 1..=10_000_000;
-/// Bounds of the bytes of stored answers.
-const BYTES: RangeInclusive<u64> = 0..=1_073_741_824;
+/// Allowed limits of the number of keys that are kept.
+const MAX_KEYS: RangeInclusive<u64> = 1..=10_000_000;
+/// Allowed limits of the bytes of stored answers.
+const MAX_BYTES: RangeInclusive<u64> = 0..=1_073_741_824;
 
-/// Reads the window of request keys.
+/// Reads the settings of the deduplication window.
 pub(super) fn read(mut table: Table<'_>, faults: &mut Faults) -> Option<RepeatSettings> {
     let default = RepeatSettings::default();
     let hold = millis_or(&mut table, "hold_ms", HOLD_MS, default.hold, faults);
     let lease = millis_or(&mut table, "lease_ms", LEASE_MS, default.lease, faults);
-    let max_keys = usize_or(&mut table, "max_keys", KEYS, default.max_keys, faults);
-    let max_bytes = usize_or(&mut table, "max_bytes", BYTES, default.max_bytes, faults);
+    let max_keys = usize_or(&mut table, "max_keys", MAX_KEYS, default.max_keys, faults);
+    let max_bytes = usize_or(
+        &mut table,
+        "max_bytes",
+        MAX_BYTES,
+        default.max_bytes,
+        faults,
+    );
     table.finish(faults);
     Some(RepeatSettings {
         hold: hold?,
--- a/crates/node/src/settings/target.rs
+++ b/crates/node/src/settings/target.rs
@@ -1,4 +1,4 @@
-//! The target beside a node.
+//! Settings of the local target.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -13,37 +13,39 @@
 use super::value::millis_or;
 use super::value::path;
 
-/// Bounds of a target's slots.
+/// Allowed numbers of a target's slots.
 const SLOTS: RangeInclusive<u64> = 1..=10_000;
-/// Slots of a target of which nothing is known: it can't run fewer.
+/// The default number of slots. No target can have fewer.
 const DEFAULT_SLOTS: u64 = 1;
-/// Bounds of the connections to a target.
+/// Allowed numbers of connections to a target.
 const CONNECTIONS: RangeInclusive<u64> = 1..=10_000;
-/// Bounds of the time between two probes, in milliseconds.
+/// Allowed intervals between two readiness probes, in milliseconds.
 const PROBE_MS: RangeInclusive<u64> = 10..=60_000;
-/// Bounds of what a cold target tolerates within a second, as a multiple of the rate that
-/// it bears.
+/// Allowed values of the requests that a cold target tolerates within a second, as a
+/// multiple of its rate limit while cold.
 const COLD_OVER: RangeInclusive<f64> = 1.0..=10.0;
-/// Bounds of the requests that it tolerates beyond that.
+/// Allowed numbers of requests that a cold target tolerates beyond that.
 const COLD_SLACK: RangeInclusive<f64> = 0.0..=1_000.0;
-/// Time between two probes of a target that is starting.
-const DEFAULT_PROBE: Duration = Duration::from_millis(200);
+/// The default interval between two readiness probes of a starting target.
+const DEFAULT_PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The target and its limits.
+/// The address and limits of the local target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetSettings {
-    /// Where it takes requests.
+    /// The address of the target.
     pub addr: SocketAddr,
-    /// Requests that it runs at once, until the instance list tells.
+    /// Requests that the target runs at once, until the instance list has the number.
     pub slots: u32,
-    /// Connections that the node opens to it at most; its slots by default.
+    /// The most connections that the node opens to the target; equal to its slots by
+    /// default.
     pub connections: u32,
-    /// The path that answers 200 once the target has started; absent if the
-    /// instance list is believed instead, where probes cost the target work.
+    /// The path that answers 200 once the target has started. Without it the target isn't
+    /// probed and the instance list is used instead; this suits targets for which probes
+    /// cost work.
     pub ready_path: Option<String>,
-    /// Time between two probes of that path while the target is starting.
-    pub probe: Duration,
-    /// What it tolerates while it is cold.
+    /// The interval between two probes of that path while the target is starting.
+    pub probe_interval: Duration,
+    /// The load that the target tolerates while it is cold.
     pub cold: ColdTolerance,
 }
 
@@ -54,7 +56,13 @@
         let default = slots.unwrap_or(*CONNECTIONS.start());
         let connections = table.number_or("connections", CONNECTIONS, default, faults);
         let ready_path = table.optional_text("ready_path", faults, path);
-        let probe = millis_or(&mut table, "probe_ms", PROBE_MS, DEFAULT_PROBE, faults);
+        let probe_interval = millis_or(
+            &mut table,
+            "probe_ms",
+            PROBE_MS,
+            DEFAULT_PROBE_INTERVAL,
+            faults,
+        );
         let cold = read_cold(&mut table, faults);
         table.finish(faults);
         Some(TargetSettings {
@@ -62,14 +70,14 @@
             slots: u32::try_from(slots?).ok()?,
             connections: u32::try_from(connections?).ok()?,
             ready_path,
-            probe: probe?,
+            probe_interval: probe_interval?,
             cold,
         })
     }
 }
 
-/// What a cold target tolerates; each figure is text, and empty if the platform doesn't
-/// tell it.
+/// Reads the load that a cold target tolerates. Each number is text; empty text stands for
+/// the default, for platforms that don't provide the number.
 fn read_cold(table: &mut Table<'_>, faults: &mut Faults) -> ColdTolerance {
     let default = ColdTolerance::default();
     let over = table.optional_text("cold_over", faults, |text| decimal(text, &COLD_OVER, ""));
--- a/crates/node/src/settings/tests.rs
+++ b/crates/node/src/settings/tests.rs
@@ -9,13 +9,13 @@
 use super::SettingsError;
 use super::read::MAX_SETTINGS_BYTES;
 
-const WHOLE: &str = include_str!("tests/whole.yaml");
+const COMPLETE: &str = include_str!("tests/whole.yaml");
 
 #[test]
-fn what_is_left_out_has_a_default() {
-    let settings = Settings::parse(WHOLE).expect("whole settings");
+fn missing_fields_have_defaults() {
+    let settings = Settings::parse(COMPLETE).expect("valid settings");
     assert_eq!(settings.target.connections, 10);
-    assert_eq!(settings.target.probe, Duration::from_millis(200));
+    assert_eq!(settings.target.probe_interval, Duration::from_millis(200));
     assert_eq!(settings.platform.reads_per_s, 2_000);
     assert_eq!(settings.platform.share_percent, 25);
     assert_eq!(settings.spread.config.interval, Duration::from_secs(2));
@@ -27,42 +27,43 @@
 }
 
 #[derive(Debug)]
-struct Grace {
+struct GraceCase {
     drain: &'static str,
     bound_ms: u64,
 }
 
-/// Guards against requests that are cut by a bound which doesn't follow the granted grace.
+/// Guards against a timeout that isn't derived from the grace period: it cuts requests although
+/// grace is left.
 #[rstest]
-#[case::six(Grace { drain: "{callers_ms: 2200, grace_s: \"6\"}", bound_ms: 2_800 })]
-#[case::ten(Grace { drain: "{callers_ms: 2200, grace_s: \"10\"}", bound_ms: 6_133 })]
-#[case::fraction(Grace { drain: "{callers_ms: 2200, grace_s: \"4.5\"}", bound_ms: 1_550 })]
-#[case::short(Grace { drain: "{callers_ms: 2200, grace_s: \"2\"}", bound_ms: 100 })]
-#[case::not_told(Grace { drain: "{callers_ms: 2200, grace_s: \"\"}", bound_ms: 30_000 })]
-#[case::set(Grace { drain: "{bound_ms: 700, grace_s: \"10\"}", bound_ms: 700 })]
-fn requests_are_cut_within_the_grace(#[case] case: Grace) {
-    let text = format!("{WHOLE}drain: {}\n", case.drain);
-    let settings = Settings::parse(&text).expect("settings");
+#[case::six(GraceCase { drain: "{callers_ms: 2200, grace_s: \"6\"}", bound_ms: 2_800 })]
+#[case::ten(GraceCase { drain: "{callers_ms: 2200, grace_s: \"10\"}", bound_ms: 6_133 })]
+#[case::fraction(GraceCase { drain: "{callers_ms: 2200, grace_s: \"4.5\"}", bound_ms: 1_550 })]
+#[case::shorter_than_callers_ms(GraceCase { drain: "{callers_ms: 2200, grace_s: \"2\"}", bound_ms: 100 })]
+#[case::empty(GraceCase { drain: "{callers_ms: 2200, grace_s: \"\"}", bound_ms: 30_000 })]
+#[case::set(GraceCase { drain: "{bound_ms: 700, grace_s: \"10\"}", bound_ms: 700 })]
+fn requests_are_cut_within_the_grace_period(#[case] case: GraceCase) {
+    let text = format!("{COMPLETE}drain: {}\n", case.drain);
+    let settings = Settings::parse(&text).expect("valid settings");
     let bound = settings.drain.bound.as_millis();
     assert_eq!(u64::try_from(bound), Ok(case.bound_ms), "{case:?}");
 }
 
 #[derive(Debug)]
-struct Cold {
+struct ColdCase {
     fields: &'static str,
     over_percent: u32,
     slack: u32,
 }
 
-/// Guards against a node that gives cold targets more than its settings say they tolerate.
+/// Guards against a node that sends cold targets more requests than its settings allow.
 #[rstest]
-#[case::told(Cold { fields: "cold_over: \"1.25\", cold_slack: \"8.0\"", over_percent: 125, slack: 8 })]
-#[case::not_told(Cold { fields: "cold_over: \"\", cold_slack: \"\"", over_percent: 150, slack: 0 })]
-#[case::one(Cold { fields: "cold_slack: \"3\"", over_percent: 150, slack: 3 })]
-fn what_cold_targets_tolerate_is_set(#[case] case: Cold) {
-    let text = WHOLE.replace("target: {", &format!("target: {{{}, ", case.fields));
-    assert_ne!(text, WHOLE);
-    let cold = Settings::parse(&text).expect("settings").target.cold;
+#[case::both(ColdCase { fields: "cold_over: \"1.25\", cold_slack: \"8.0\"", over_percent: 125, slack: 8 })]
+#[case::empty(ColdCase { fields: "cold_over: \"\", cold_slack: \"\"", over_percent: 150, slack: 0 })]
+#[case::slack_only(ColdCase { fields: "cold_slack: \"3\"", over_percent: 150, slack: 3 })]
+fn cold_tolerance_is_read(#[case] case: ColdCase) {
+    let text = COMPLETE.replace("target: {", &format!("target: {{{}, ", case.fields));
+    assert_ne!(text, COMPLETE);
+    let cold = Settings::parse(&text).expect("valid settings").target.cold;
     assert_eq!(
         (cold.over_percent, cold.slack),
         (case.over_percent, case.slack)
@@ -74,27 +75,29 @@
 #[case("-1")]
 #[case("soon")]
 #[case("NaN")]
-fn a_grace_that_is_none_is_told(#[case] grace: &str) {
-    let text = format!("{WHOLE}drain: {{grace_s: \"{grace}\"}}\n");
-    let told = Settings::parse(&text).expect_err("a fault").to_string();
-    assert!(told.contains("must be 1 to 3600 seconds"), "{told}");
+fn invalid_grace_period_is_reported(#[case] grace: &str) {
+    let text = format!("{COMPLETE}drain: {{grace_s: \"{grace}\"}}\n");
+    let faults = Settings::parse(&text)
+        .expect_err("invalid settings")
+        .to_string();
+    assert!(faults.contains("must be 1 to 3600 seconds"), "{faults}");
 }
 
-/// The operators' page, whose first YAML is a node's settings.
+/// The operators' page; its first YAML block is a node's settings.
 const PAGE: &str = include_str!("../../../../docs/OPERATIONS.md");
 
 #[test]
-fn settings_on_the_operators_page_are_read() {
-    let begun = PAGE.split("```yaml\n").nth(1).expect("settings");
-    let text = begun.split("```").next().expect("their end");
-    let settings = Settings::parse(text).expect("whole settings");
+fn settings_on_the_operators_page_are_valid() {
+    let block = PAGE.split("```yaml\n").nth(1).expect("a YAML block");
+    let text = block.split("```").next().expect("the end of the block");
+    let settings = Settings::parse(text).expect("valid settings");
     assert_eq!(settings.log.format, LogFormat::Json);
     assert_eq!(settings.seeds.len(), 2);
 }
 
-// Defaults are changed where a measurement says so. The page must follow.
+// Guards against a page that shows former defaults: defaults change with measurements.
 #[test]
-fn defaults_of_spread_on_the_operators_page_are_true() {
+fn spread_defaults_on_the_operators_page_match() {
     let table = PAGE.split("| field of `spread` |").nth(1).expect("a table");
     let rows = table.lines().skip(2).take_while(|row| row.starts_with('|'));
     let fields = rows.map(|row| {
@@ -106,116 +109,119 @@
     });
     let fields: Vec<String> = fields.collect();
     assert_eq!(fields.len(), 22);
-    let text = format!("{WHOLE}spread: {{{}}}\n", fields.join(", "));
-    let told = Settings::parse(&text).expect("settings");
-    let default = Settings::parse(WHOLE).expect("settings");
-    assert_eq!(told.spread, default.spread);
+    let text = format!("{COMPLETE}spread: {{{}}}\n", fields.join(", "));
+    let documented = Settings::parse(&text).expect("valid settings");
+    let default = Settings::parse(COMPLETE).expect("valid settings");
+    assert_eq!(documented.spread, default.spread);
 }
 
-/// One line of the whole settings replaced, and the faults that this brings.
+/// One line of the complete settings replaced, and the faults that result.
 #[derive(Debug)]
-struct Fault {
+struct FaultCase {
     line: &'static str,
-    by: &'static str,
+    replacement: &'static str,
     faults: &'static [&'static str],
 }
 
 #[rstest]
-#[case::missing(Fault {
+#[case::missing(FaultCase {
     line: "domain: bayanzurkh\n",
-    by: "",
+    replacement: "",
     faults: &["1:1: domain: is missing"],
 })]
-#[case::missing_section(Fault {
+#[case::missing_section(FaultCase {
     line: "platform: {addr: 127.0.0.1:6000}\n",
-    by: "",
+    replacement: "",
     faults: &["1:1: platform: is missing"],
 })]
-#[case::unknown(Fault {
+#[case::unknown(FaultCase {
     line: "domain: bayanzurkh\n",
-    by: "domain: bayanzurkh\nzone: b\n",
+    replacement: "domain: bayanzurkh\nzone: b\n",
     faults: &["5:1: zone: is unknown"],
 })]
-#[case::unknown_below(Fault {
+#[case::unknown_in_section(FaultCase {
     line: "  ingress: 127.0.0.1:0\n",
-    by: "  ingress: 127.0.0.1:0\n  outgress: 127.0.0.1:0\n",
+    replacement: "  ingress: 127.0.0.1:0\n  outgress: 127.0.0.1:0\n",
     faults: &["7:3: listen: outgress: is unknown"],
 })]
-#[case::name(Fault {
+#[case::name(FaultCase {
     line: "instance: wd-1\n",
-    by: "instance: WD 1\n",
+    replacement: "instance: WD 1\n",
     faults: &["1:11: instance: check: instance id \"WD 1\""],
 })]
-#[case::address(Fault {
+#[case::address(FaultCase {
     line: "  egress: 127.0.0.1:0\n",
-    by: "  egress: localhost:0\n",
+    replacement: "  egress: localhost:0\n",
     faults: &["7:11: listen: egress: must be an IP number with a port"],
 })]
-#[case::admin_for_all(Fault {
+#[case::admin_not_loopback(FaultCase {
     line: "  admin: 127.0.0.1:0\n",
-    by: "  admin: 0.0.0.0:9003\n",
+    replacement: "  admin: 0.0.0.0:9003\n",
     faults: &["10:10: listen: admin: must be a loopback address"],
 })]
-#[case::one_address_twice(Fault {
+#[case::duplicate_address(FaultCase {
     line: "  ingress: 127.0.0.1:0\n  egress: 127.0.0.1:0\n",
-    by: "  ingress: 127.0.0.1:80\n  egress: 127.0.0.1:80\n",
+    replacement: "  ingress: 127.0.0.1:80\n  egress: 127.0.0.1:80\n",
     faults: &["listen: names 127.0.0.1:80 for two listeners"],
 })]
-#[case::ranges(Fault {
+#[case::ranges(FaultCase {
     line: "target: {addr: 127.0.0.1:7001, slots: 10, ready_path: /healthz}\n",
-    by: "target: {addr: 127.0.0.1:7001, slots: 0, ready_path: healthz, probe_ms: 1}\n",
+    replacement: "target: {addr: 127.0.0.1:7001, slots: 0, ready_path: healthz, probe_ms: 1}\n",
     faults: &[
         "11:39: target: slots: must be 1 to 10000, is 0",
         "11:54: target: ready_path: must begin with /",
         "11:73: target: probe_ms: must be 10 to 60000, is 1",
     ],
 })]
-#[case::log(Fault {
+#[case::log(FaultCase {
     line: "domain: bayanzurkh\n",
-    by: "domain: bayanzurkh\nlog: {format: xml, level: loud}\n",
+    replacement: "domain: bayanzurkh\nlog: {format: xml, level: loud}\n",
     faults: &[
         "5:15: log: format: must be text or json, is \"xml\"",
         "5:27: log: level: must be error, warn, info or debug, is \"loud\"",
     ],
 })]
-#[case::seeds(Fault {
+#[case::seeds(FaultCase {
     line: "domain: bayanzurkh\n",
-    by: "domain: bayanzurkh\nseeds: [127.0.0.1:9, 5, nowhere]\n",
+    replacement: "domain: bayanzurkh\nseeds: [127.0.0.1:9, 5, nowhere]\n",
     faults: &[
         "5:22: seeds[1]: must be text, is a number",
         "5:25: seeds[2]: must be an IP number with a port, is \"nowhere\"",
     ],
 })]
-#[case::spread(Fault {
+#[case::spread(FaultCase {
     line: "domain: bayanzurkh\n",
-    by: "domain: bayanzurkh\nspread: {strategy: loud, fanout: 99}\n",
+    replacement: "domain: bayanzurkh\nspread: {strategy: loud, fanout: 99}\n",
     faults: &[
         "5:20: spread: strategy: must be spread or naive, is \"loud\"",
         "5:34: spread: fanout: must be 1 to 16, is 99",
     ],
 })]
-#[case::ranges_that_depend_on_others(Fault {
+#[case::dependent_range(FaultCase {
     line: "domain: bayanzurkh\n",
-    by: "domain: bayanzurkh\nspread: {backoff_base_ms: 5000, backoff_cap_ms: 1000}\n",
+    replacement: "domain: bayanzurkh\nspread: {backoff_base_ms: 5000, backoff_cap_ms: 1000}\n",
     faults: &["5:9: spread: settings: backoff_cap is 1s, must be 5s to 600s"],
 })]
-#[case::wrong_shape(Fault {
+#[case::wrong_shape(FaultCase {
     line: "domain: bayanzurkh\n",
-    by: "domain: bayanzurkh\ndrain: 30\nspread: [1]\n",
+    replacement: "domain: bayanzurkh\ndrain: 30\nspread: [1]\n",
     faults: &[
         "6:9: spread: must be a table, is a list",
         "5:8: drain: must be a table, is a number",
     ],
 })]
-fn every_fault_is_told(#[case] case: Fault) {
-    assert!(WHOLE.contains(case.line), "the case replaces nothing");
-    let text = WHOLE.replace(case.line, case.by);
-    let found = Settings::parse(&text).expect_err("faulty settings");
+fn every_fault_is_reported(#[case] case: FaultCase) {
+    assert!(
+        COMPLETE.contains(case.line),
+        "the replaced line isn't in the settings"
+    );
+    let text = COMPLETE.replace(case.line, case.replacement);
+    let found = Settings::parse(&text).expect_err("invalid settings");
     let found: Vec<String> = found.iter().map(ToString::to_string).collect();
     assert_eq!(found.len(), case.faults.len(), "{found:#?}");
-    for wanted in case.faults {
-        let told = found.iter().any(|fault| fault.contains(wanted));
-        assert!(told, "{wanted} isn't among {found:#?}");
+    for expected in case.faults {
+        let reported = found.iter().any(|fault| fault.contains(expected));
+        assert!(reported, "{expected} isn't among {found:#?}");
     }
 }
 
@@ -224,16 +230,16 @@
 #[case::not_yaml("instance: [".to_owned(), "")]
 #[case::not_a_table("- a\n".to_owned(), "must be a table, is a list")]
 #[case::empty(String::new(), "must be a table")]
-#[case::key_twice(format!("{WHOLE}domain: b\n"), "domain")]
-fn what_is_no_settings_is_refused(#[case] text: String, #[case] wanted: &str) {
-    let faults = Settings::parse(&text).expect_err("no settings");
-    assert!(faults.to_string().contains(wanted), "{faults}");
+#[case::duplicate_key(format!("{COMPLETE}domain: b\n"), "domain")]
+fn invalid_text_is_rejected(#[case] text: String, #[case] expected: &str) {
+    let faults = Settings::parse(&text).expect_err("invalid settings");
+    assert!(faults.to_string().contains(expected), "{faults}");
 }
 
 #[test]
-fn faults_are_shown_at_their_places() {
+fn faults_are_labelled_at_their_places() {
     let text = "instance: wd-1\nzone: b\nlisten: 5\n";
-    let faults = Settings::parse(text).expect_err("faulty settings");
+    let faults = Settings::parse(text).expect_err("invalid settings");
     let err = SettingsError::new("node.yaml", text, faults);
     let labels: Vec<_> = err.labels().expect("labels").collect();
     let zone = labels.iter().find(|label| label.offset() == 15);
@@ -243,7 +249,7 @@
 }
 
 #[test]
-fn file_that_cannot_be_read_is_named() {
+fn unreadable_file_is_named_in_the_error() {
     let err = Settings::load("/nowhere/node.yaml".as_ref()).expect_err("no such file");
     assert!(err.to_string().contains("/nowhere/node.yaml"));
 }
--- a/crates/node/src/settings/value.rs
+++ b/crates/node/src/settings/value.rs
@@ -1,4 +1,4 @@
-//! Values that several sections of the settings have.
+//! Parsers of values that are used by several sections of the settings.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -7,16 +7,16 @@
 use sassafrasspool_core::Faults;
 use sassafrasspool_core::yaml::Table;
 
-/// The longest path in bytes.
+/// The longest path, in bytes.
 const MAX_PATH_BYTES: usize = 256;
 
-/// Reads an IP number with a port.
+/// Parses an IP address with a port.
 pub(super) fn addr(text: &str) -> Result<SocketAddr, String> {
     text.parse()
         .map_err(|_| format!("must be an IP number with a port, is {text:?}"))
 }
 
-/// Reads an address of this machine alone.
+/// Parses a loopback address with a port.
 pub(super) fn loopback(text: &str) -> Result<SocketAddr, String> {
     let addr = addr(text)?;
     if !addr.ip().is_loopback() {
@@ -25,7 +25,7 @@
     Ok(addr)
 }
 
-/// Reads the path of an HTTP request.
+/// Parses the path of an HTTP request.
 pub(super) fn path(text: &str) -> Result<String, String> {
     let graphic = text.bytes().all(|byte| byte.is_ascii_graphic());
     if !text.starts_with('/') || !graphic || text.len() > MAX_PATH_BYTES {
@@ -36,7 +36,8 @@
     Ok(text.to_owned())
 }
 
-/// Reads a number with a fraction that the platform may leave empty.
+/// Parses a decimal number within `range`; `None` for an empty text, which a platform
+/// gives if it doesn't provide the number.
 pub(super) fn decimal(
     text: &str,
     range: &RangeInclusive<f64>,
@@ -52,7 +53,7 @@
     Ok(Some(value))
 }
 
-/// Takes a number that fits 32 bits, or `default` if it is missing.
+/// Reads a number of at most 32 bits, or `default` if it is missing.
 pub(super) fn u32_or(
     table: &mut Table<'_>,
     key: &str,
@@ -64,7 +65,7 @@
     u32::try_from(n).ok()
 }
 
-/// Takes a time in milliseconds, or `default` if it is missing.
+/// Reads a time in milliseconds, or `default` if it is missing.
 pub(super) fn millis_or(
     table: &mut Table<'_>,
     key: &str,
@@ -77,7 +78,7 @@
     Some(Duration::from_millis(n))
 }
 
-/// Takes a size, or `default` if it is missing.
+/// Reads a size or count, or `default` if it is missing.
 pub(super) fn usize_or(
     table: &mut Table<'_>,
     key: &str,
