--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,34 +1,34 @@
-//! The control side: one task that drives the decisions of spreading and
-//! carries out what they say.
+//! The node's control side: one task that drives dissemination and carries out
+//! its actions.
 //!
-//! The decisions see events one after the other. Whatever takes time, such as
-//! calls to peers, reads of the platform and probes of the target, runs beside
-//! it and comes back as an event.
+//! Dissemination handles events one at a time. Operations that take time run as
+//! separate tasks: calls to peers, reads of the platform and probes of the
+//! target. Their results return to the control task as events.
 
+pub(crate) use self::context::Outside;
 pub(crate) use self::counts::ControlCounts;
+pub(crate) use self::drain_cause::DrainCause;
+pub(crate) use self::driver::ControlDriver;
 pub(crate) use self::event::ControlEvent;
-pub use self::gate::Gate;
+pub use self::fault_injector::Gate;
 pub(crate) use self::handle::ControlHandle;
-pub(crate) use self::inbound::Inbound;
-pub(crate) use self::leaving::Leaving;
-pub(crate) use self::life::Control;
-pub use self::life::StopReport;
-pub(crate) use self::machine::Machine;
-pub(crate) use self::outside::Outside;
-pub(crate) use self::source_reach::SourceReach;
+pub(crate) use self::peer_message_handler::PeerMessageHandler;
+pub(crate) use self::source_monitor::SourceMonitor;
+pub(crate) use self::task::ControlTask;
+pub use self::task::StopReport;
 
+mod context;
 mod counts;
+mod drain_cause;
+mod driver;
 mod event;
-mod gate;
+mod event_loop;
+mod fault_injector;
 mod handle;
-mod inbound;
-mod leaving;
-mod life;
-mod machine;
-mod outside;
+mod peer_message_handler;
 mod probe;
-mod pump;
-mod source_reach;
+mod source_monitor;
+mod task;
 #[cfg(test)]
 mod tests;
-mod views;
+mod view_publisher;
--- a/crates/node/src/control/outside.rs
+++ b/crates/node/src/control/context.rs
@@ -1,4 +1,4 @@
-//! What the decisions act on.
+//! The control task's access to the rest of the node and to other processes.
 
 use std::sync::Arc;
 
@@ -16,68 +16,71 @@
 use super::ControlCounts;
 use super::ControlEvent;
 use super::ControlHandle;
-use super::SourceReach;
-use super::gate::Gate;
+use super::SourceMonitor;
+use super::fault_injector::Gate;
 use crate::AuditTrail;
 use crate::Shared;
 use crate::metrics::names;
 
-/// The node's ways to peers, platform, traffic side and operators.
+/// The control task's access to peers, the platform, the traffic side and the
+/// audit trail.
 #[derive(Debug, Clone)]
 pub(crate) struct Outside {
-    /// What the traffic side reads.
+    /// State shared with the traffic side.
     pub(crate) shared: Arc<Shared>,
-    /// Where changes of state are written.
+    /// The audit trail, to which state changes are written.
     pub(crate) audit: Arc<AuditTrail>,
     /// Connections to other nodes.
     pub(crate) pool: Arc<PeerPool>,
-    /// The platform.
+    /// The source that reads the platform.
     pub(crate) platform: Arc<dyn Source>,
     /// Whether the platform answers reads.
-    pub(crate) reach: Arc<SourceReach>,
-    /// Counts of control traffic.
+    pub(crate) source_monitor: Arc<SourceMonitor>,
+    /// Counters of control traffic.
     pub(crate) counts: ControlCounts,
-    /// Where results of calls and reads go.
+    /// The control task, which gets the results of calls and reads.
     pub(crate) control: ControlHandle,
-    /// What runs beside the control task.
+    /// Background tasks of the node.
     pub(crate) tasks: TaskTracker,
-    /// Ends what runs beside the control task.
+    /// Cancels the background tasks.
     pub(crate) cancel: CancellationToken,
-    /// Holds the control side back.
-    pub(crate) gate: Gate,
+    /// Simulated faults of the control side.
+    pub(crate) fault_injector: Gate,
 }
 
 impl Outside {
-    /// Calls a peer; its answer or failure comes back as an event.
-    pub(crate) fn call(&self, call: Call) {
-        let outside = self.clone();
+    /// Starts a call to a peer; its reply or failure is sent to the control task
+    /// as an event.
+    pub(crate) fn start_call(&self, call: Call) {
+        let context = self.clone();
         self.spawn(async move {
             let id = call.id;
-            let event = match outside.exchange(call).await {
+            let event = match context.exchange(call).await {
                 Some(reply) => Event::Reply { call: id, reply },
                 None => Event::CallFailed { call: id },
             };
-            outside.control.send(ControlEvent::Spread(event)).await;
+            context.control.send(ControlEvent::Spread(event)).await;
         });
     }
 
-    /// Reads the platform; the result comes back as an event.
-    pub(crate) fn read(&self, ask: SourceAsk) {
+    /// Starts a read of the platform; the result is sent to the control task as
+    /// an event.
+    pub(crate) fn start_read(&self, ask: SourceAsk) {
         let stream = ask.stream;
         self.counts.add_read();
-        let outside = self.clone();
+        let context = self.clone();
         self.spawn(async move {
-            let result = outside.read_platform(ask).await;
-            let name = result_name(&result);
-            counter!(names::READS, "stream" => stream.as_str(), "result" => name).increment(1);
-            outside.reach.note(stream, &result);
+            let result = context.read_platform(ask).await;
+            let label = result_label(&result);
+            counter!(names::READS, "stream" => stream.as_str(), "result" => label).increment(1);
+            context.source_monitor.record_read(stream, &result);
             let event = Event::SourceRead { stream, result };
-            outside.control.send(ControlEvent::Spread(event)).await;
+            context.control.send(ControlEvent::Spread(event)).await;
         });
     }
 
     async fn read_platform(&self, ask: SourceAsk) -> SourceResult {
-        let result = match self.gate.cuts_platform() {
+        let result = match self.fault_injector.is_platform_cut() {
             true => {
                 tokio::time::sleep(ask.wait).await;
                 None
@@ -85,14 +88,14 @@
             false => Some(self.platform.read(ask).await),
         };
         match result {
-            Some(result) if !self.gate.cuts_platform() => result,
+            Some(result) if !self.fault_injector.is_platform_cut() => result,
             _ => SourceResult::Failed {
-                reason: "cut from the platform".to_owned(),
+                reason: "disconnected from the platform by fault injection".to_owned(),
             },
         }
     }
 
-    /// Runs something beside the control task until the node ends.
+    /// Runs a background task until it finishes or the node stops.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let cancel = self.cancel.clone();
         self.tasks.spawn(async move {
@@ -104,7 +107,7 @@
         let kind = call.message.kind();
         counter!(names::MESSAGES, "kind" => kind, "direction" => "out").increment(1);
         self.counts.add_sent(&call.message);
-        if self.gate.parts_from(call.addr) {
+        if self.fault_injector.is_partitioned_from(call.addr) {
             tokio::time::sleep(call.timeout).await;
             return None;
         }
@@ -113,19 +116,20 @@
             .pool
             .exchange(call.addr, me, &call.message, call.timeout);
         match answer.await {
-            // What was under way when the peers were parted is lost as well.
-            Ok(_) if self.gate.parts_from(call.addr) => None,
+            // A reply in flight when the partition began is lost as well.
+            Ok(_) if self.fault_injector.is_partitioned_from(call.addr) => None,
             Ok(reply) => Some(reply),
             Err(err) => {
                 counter!(names::CALLS_FAILED, "step" => err.step().as_str()).increment(1);
-                tracing::debug!(%err, kind, "a call failed");
+                tracing::debug!(%err, kind, "call to a peer failed");
                 None
             }
         }
     }
 }
 
-fn result_name(result: &SourceResult) -> &'static str {
+/// The value of the metric label `result`.
+fn result_label(result: &SourceResult) -> &'static str {
     match result {
         SourceResult::Catalogue { .. }
         | SourceResult::Items { .. }
--- a/crates/node/src/control/counts.rs
+++ b/crates/node/src/control/counts.rs
@@ -1,4 +1,4 @@
-//! Counts of one node's control traffic.
+//! Counters of a node's control traffic.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -8,7 +8,7 @@
 use sassafrasspool_wire::SocketBytes;
 use sassafrasspool_wire::admin::ControlStats;
 
-/// What a node's control traffic comes to; cloning shares the counts.
+/// Counters of a node's control traffic; clones share the same counters.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ControlCounts {
     bytes: Arc<SocketBytes>,
@@ -23,12 +23,12 @@
 }
 
 impl ControlCounts {
-    /// Where the sockets count their bytes.
+    /// The byte counters that the control sockets update.
     pub(crate) fn bytes(&self) -> Arc<SocketBytes> {
         Arc::clone(&self.bytes)
     }
 
-    /// Counts a message, either way.
+    /// Counts a message that was sent or received.
     pub(crate) fn add_message(&self) {
         self.counts.messages.fetch_add(1, Ordering::Relaxed);
     }
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Counts a read of the platform.
+    /// Counts a read sent to the platform.
     pub(crate) fn add_read(&self) {
         self.counts.reads.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The counts now.
+    /// The present values of the counters.
     pub(crate) fn stats(&self) -> ControlStats {
         ControlStats {
             bytes_in: self.bytes.read(),
--- a/crates/node/src/control/event.rs
+++ b/crates/node/src/control/event.rs
@@ -1,4 +1,4 @@
-//! What reaches the control task.
+//! Events of the control task.
 
 use sassafrasspool_core::Event;
 use sassafrasspool_core::InstanceId;
@@ -7,31 +7,31 @@
 use sassafrasspool_core::SpreadStatus;
 use tokio::sync::oneshot;
 
-/// Something for the control task.
+/// An event for the control task.
 #[derive(Debug)]
 pub(crate) enum ControlEvent {
-    /// Something that the decisions are told as it is.
+    /// An event that is passed to dissemination unchanged.
     Spread(Event),
-    /// Another node's message, and where its answer goes.
+    /// A message from another node.
     Message {
-        /// Who sent it.
+        /// The sender.
         from: InstanceId,
-        /// What it says.
+        /// The message.
         message: PeerMessage,
-        /// Where the answer goes.
+        /// The channel for the reply.
         reply: oneshot::Sender<PeerReply>,
     },
-    /// The target answered its probe.
+    /// The target answered its readiness probe with 200.
     TargetReady,
-    /// The endpoint is to take nothing new.
+    /// The endpoint is to drain.
     Drain,
-    /// The node is to end once it has drained.
+    /// The node is to drain and then stop.
     Stop,
     /// The traffic side has closed all its connections.
     TrafficStopped {
-        /// Requests that were cut at the bound.
+        /// Requests that were cut at the end of the drain timeout.
         cut: u64,
     },
-    /// Somebody asks how the spreading of versions is.
+    /// A query of the dissemination status.
     Status(oneshot::Sender<SpreadStatus>),
 }
--- a/crates/node/src/control/handle.rs
+++ b/crates/node/src/control/handle.rs
@@ -1,4 +1,4 @@
-//! Talking to the control task.
+//! Sending events to the control task.
 
 use sassafrasspool_core::Error;
 use sassafrasspool_core::Result;
@@ -9,7 +9,7 @@
 
 use super::ControlEvent;
 
-/// A way to the control task, which may have ended.
+/// Sends events to the control task, which may have ended.
 #[derive(Debug, Clone)]
 pub(crate) struct ControlHandle {
     tx: mpsc::Sender<ControlEvent>,
@@ -20,17 +20,19 @@
         ControlHandle { tx }
     }
 
-    /// Hands over an event; false if the task has ended.
+    /// Sends an event, waiting for space in the queue; false if the task has
+    /// ended.
     pub(crate) async fn send(&self, event: ControlEvent) -> bool {
         self.tx.send(event).await.is_ok()
     }
 
-    /// Hands over an event if there is room for it at once.
+    /// Sends an event without waiting; false if the queue is full or the task
+    /// has ended.
     pub(crate) fn try_send(&self, event: ControlEvent) -> bool {
         self.tx.try_send(event).is_ok()
     }
 
-    /// How the spreading of versions is.
+    /// Queries the dissemination status.
     ///
     /// # Errors
     ///
--- a/crates/node/src/control/inbound.rs
+++ b/crates/node/src/control/peer_message_handler.rs
@@ -1,4 +1,4 @@
-//! Messages of other nodes on their way to the control task.
+//! Forwards messages from other nodes to the control task.
 
 use std::net::SocketAddr;
 
@@ -16,43 +16,47 @@
 use super::ControlHandle;
 use crate::metrics::names;
 
-/// Hands messages over and waits for their answers.
+/// Sends messages from peers to the control task and waits for the replies.
 #[derive(Debug, Clone)]
-pub(crate) struct Inbound {
+pub(crate) struct PeerMessageHandler {
     me: InstanceId,
     control: ControlHandle,
     counts: ControlCounts,
 }
 
-impl Inbound {
-    pub(crate) fn new(me: InstanceId, control: ControlHandle, counts: ControlCounts) -> Inbound {
-        Inbound {
+impl PeerMessageHandler {
+    pub(crate) fn new(
+        me: InstanceId,
+        control: ControlHandle,
+        counts: ControlCounts,
+    ) -> PeerMessageHandler {
+        PeerMessageHandler {
             me,
             control,
             counts,
         }
     }
 
-    /// Refuses what can't be from another node.
+    /// Rejects a sender that has this node's own instance id.
     ///
-    /// Two processes that were given one instance's name would undo each
-    /// other's words for ever. Each refuses the other, and the counter of
-    /// faults shows it.
-    fn check(&self, from: &InstanceId) -> Result<(), Error> {
+    /// Two processes with the same instance id would overwrite each other's
+    /// state without end. Each rejects the other's messages, and the counter of
+    /// peer faults shows it.
+    fn check_sender(&self, from: &InstanceId) -> Result<(), Error> {
         if *from == self.me {
-            let reason = "the sender has this node's own name";
+            let reason = "the sender has this node's own instance id";
             return Err(Error::new(Step::Exchange, reason).at_peer(from));
         }
         Ok(())
     }
 }
 
-impl PeerHandler for Inbound {
+impl PeerHandler for PeerMessageHandler {
     async fn answer(&self, from: InstanceId, message: PeerMessage) -> PeerReply {
         self.counts.add_message();
         counter!(names::MESSAGES, "kind" => message.kind(), "direction" => "in").increment(1);
-        if let Err(err) = self.check(&from) {
-            note(&err);
+        if let Err(err) = self.check_sender(&from) {
+            record_fault(&err);
             return PeerReply::Refused;
         }
         let (reply, answer) = oneshot::channel();
@@ -62,7 +66,7 @@
             reply,
         };
         // A full queue means that the control task can't keep up. Refusing at
-        // once costs the peer nothing: it compares again later.
+        // once does no harm: the peer compares versions again later.
         if !self.control.try_send(event) {
             return PeerReply::Refused;
         }
@@ -70,11 +74,11 @@
     }
 
     fn fault(&self, _: SocketAddr, err: &Error) {
-        note(err);
+        record_fault(err);
     }
 }
 
-fn note(err: &Error) {
+fn record_fault(err: &Error) {
     counter!(names::PEER_FAULTS, "step" => err.step().as_str()).increment(1);
-    tracing::debug!(%err, "a peer's fault");
+    tracing::debug!(%err, "faulty message from a peer");
 }
--- a/crates/node/src/control/probe.rs
+++ b/crates/node/src/control/probe.rs
@@ -1,4 +1,4 @@
-//! Asking a target whether it is ready, and how cold it is.
+//! Probes a target for its readiness and its remaining cold time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,22 +23,23 @@
 #[cfg(test)]
 mod tests;
 
-/// How long one probe may take.
-const PROBE_LIMIT: Duration = Duration::from_secs(1);
+/// The timeout of one probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The pause after a target didn't tell how cold it is.
-const COLD_PROBE_PAUSE: Duration = Duration::from_millis(500);
+/// The delay before the next probe after one that didn't return a remaining cold
+/// time.
+const COLD_PROBE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Waits until the target answers 200 on its ready path.
 ///
-/// That it does so is only believed once. A target's later word on its health
-/// lags or misleads, and what its requests come to says more.
-pub(super) async fn until_ready(target: TargetSettings) {
+/// The probe is used only for the start. Later health answers lag or mislead,
+/// and the outcomes of the target's requests are better evidence.
+pub(super) async fn wait_until_ready(target: TargetSettings) {
     let Some(path) = &target.ready_path else {
         return;
     };
     loop {
-        let probe = timeout(PROBE_LIMIT, get(target.addr, path));
+        let probe = timeout(PROBE_TIMEOUT, fetch_head(target.addr, path));
         if let Ok(Some((StatusCode::OK, _))) = probe.await {
             return;
         }
@@ -46,38 +47,44 @@
     }
 }
 
-/// Asks the target how cold it is whenever it may be warm earlier than is known.
-pub(super) async fn follow_coldness(shared: Arc<Shared>, addr: SocketAddr) {
+/// Probes the target for its remaining cold time whenever it may be warm earlier
+/// than is assumed.
+pub(super) async fn track_cold_state(shared: Arc<Shared>, addr: SocketAddr) {
     loop {
         shared.coldness().unproved().await;
         while shared.coldness().is_unproved(shared.clock().now()) {
-            let probe = timeout(PROBE_LIMIT, cold_left(&shared, addr)).await;
-            if let Ok(Some(left)) = probe {
-                shared.coldness().probed(shared.clock().now(), left);
-                tracing::info!(left_ms = left.as_millis(), "the target told how cold it is");
+            let probe = timeout(PROBE_TIMEOUT, fetch_cold_remaining(&shared, addr)).await;
+            if let Ok(Some(remaining)) = probe {
+                shared.coldness().probed(shared.clock().now(), remaining);
+                tracing::info!(
+                    left_ms = remaining.as_millis(),
+                    "target reported its remaining cold time"
+                );
             } else {
-                tokio::time::sleep(COLD_PROBE_PAUSE).await;
+                tokio::time::sleep(COLD_PROBE_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// How much longer the target says that it is cold; nothing if it doesn't say.
-async fn cold_left(shared: &Shared, addr: SocketAddr) -> Option<Duration> {
+/// The remaining cold time that the target reports; `None` if it reports none.
+async fn fetch_cold_remaining(shared: &Shared, addr: SocketAddr) -> Option<Duration> {
     let name = shared.dialect().cold_left_ms.as_ref()?;
     let routes = shared.routes()?;
     let (_, service) = routes.own()?;
     let path = service.entry.cold_start.as_ref()?.probe_path.as_ref()?;
-    let (status, headers) = get(addr, path).await?;
+    let (status, headers) = fetch_head(addr, path).await?;
     match headers.get(name) {
-        Some(left) => left.to_str().ok()?.parse().ok().map(Duration::from_millis),
-        // A warm target has nothing to tell; one that refuses the probe told nothing.
+        Some(value) => value.to_str().ok()?.parse().ok().map(Duration::from_millis),
+        // A 200 without the header means that the target is warm. Any other status means
+        // that the target rejected the probe, which proves nothing.
         None => (status == StatusCode::OK).then_some(Duration::ZERO),
     }
 }
 
-/// The head of one answer, over a connection of its own.
-async fn get(addr: SocketAddr, path: &str) -> Option<(StatusCode, HeaderMap)> {
+/// Sends a GET request over a new connection and returns the status and headers
+/// of the answer.
+async fn fetch_head(addr: SocketAddr, path: &str) -> Option<(StatusCode, HeaderMap)> {
     let io = TcpStream::connect(addr).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(io)).await.ok()?;
     let req = Request::get(path)
@@ -86,11 +93,11 @@
         .body(Empty::<Bytes>::new())
         .ok()?;
     let answer = async { sender.send_request(req).await.ok() };
-    let driven = connection.map(drop);
+    let connection_closed = connection.map(drop);
     tokio::pin!(answer);
     let res = tokio::select! {
         res = &mut answer => res,
-        () = driven => answer.now_or_never().flatten(),
+        () = connection_closed => answer.now_or_never().flatten(),
     };
     let (head, _) = res?.into_parts();
     Some((head.status, head.headers))
--- a/crates/node/src/control/probe/tests.rs
+++ b/crates/node/src/control/probe/tests.rs
@@ -15,7 +15,7 @@
 use sassafrasspool_core::TargetLife;
 use tokio::net::TcpListener;
 
-use super::follow_coldness;
+use super::track_cold_state;
 use crate::Dialect;
 use crate::Shared;
 use crate::View;
@@ -34,21 +34,22 @@
     cold_start: {lasts_ms: 60000, per_s: 10, probe_path: /health}
 ";
 
-const COLD_LEFT: &str = "x-cold-left";
+const COLD_HEADER: &str = "x-cold-left";
 
-/// What a target answers when it is asked how cold it is.
+/// A target's answer to a cold-start probe, and its effect.
 #[derive(Debug, Clone, Copy)]
-struct Answer {
+struct ProbeCase {
     status: StatusCode,
-    left_ms: Option<&'static str>,
-    /// For how much longer it counts as cold then, in milliseconds.
-    known_ms: Option<u64>,
+    header: Option<&'static str>,
+    /// The cold time that remains after the probe, in milliseconds; `None` if the
+    /// probe changes nothing.
+    remaining_ms: Option<u64>,
 }
 
-/// The state of a node whose own target is listed.
+/// The shared state of node `wd-1` before its first view.
 fn shared() -> Arc<Shared> {
     let dialect = Dialect {
-        cold_left_ms: Some(HeaderName::from_static(COLD_LEFT)),
+        cold_left_ms: Some(HeaderName::from_static(COLD_HEADER)),
         ..Dialect::OWN
     };
     let incarnation = Incarnation::from_start_millis(1);
@@ -61,7 +62,7 @@
 fn view() -> View {
     let instance = Instance {
         target: Some(TargetLife {
-            id: TargetId::new("i-1").expect("a name"),
+            id: TargetId::new("i-1").expect("valid target id"),
             listed_at: 1,
             born: None,
         }),
@@ -73,41 +74,45 @@
     }
 }
 
-/// A target that answers its health path so.
-async fn target(answer: Answer) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let addr = listener.local_addr().expect("its address");
-    let headers = answer.left_ms.map(|left| [(COLD_LEFT, left)]);
-    let answer = move || async move { (answer.status, headers.unwrap_or([("x-none", "")])) };
+/// Starts a target that answers its health path as `case` says.
+async fn start_target(case: ProbeCase) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+    let addr = listener.local_addr().expect("bound address");
+    let headers = case.header.map(|left| [(COLD_HEADER, left)]);
+    let answer = move || async move { (case.status, headers.unwrap_or([("x-none", "")])) };
     let app = Router::new().route("/health", get(answer));
     tokio::spawn(async move { axum::serve(listener, app).await });
     addr
 }
 
-/// Guards against a target that is taken as cold for long after it has told that it is warm,
-/// and against one that is taken as warm since it refused to tell.
+/// Guards against a target that counts as cold although it has reported that it is warm, and
+/// against one that counts as warm because it rejected the probe.
 #[rstest]
-#[case::warm(Answer { status: StatusCode::OK, left_ms: None, known_ms: Some(0) })]
-#[case::cold(Answer { status: StatusCode::OK, left_ms: Some("30000"), known_ms: Some(30_000) })]
-#[case::ill(Answer { status: StatusCode::SERVICE_UNAVAILABLE, left_ms: Some("0"), known_ms: Some(0) })]
-#[case::full(Answer { status: StatusCode::SERVICE_UNAVAILABLE, left_ms: None, known_ms: None })]
-#[case::not_a_number(Answer { status: StatusCode::OK, left_ms: Some("soon"), known_ms: None })]
+#[case::warm(ProbeCase { status: StatusCode::OK, header: None, remaining_ms: Some(0) })]
+#[case::cold(ProbeCase { status: StatusCode::OK, header: Some("30000"), remaining_ms: Some(30_000) })]
+#[case::unhealthy(ProbeCase { status: StatusCode::SERVICE_UNAVAILABLE, header: Some("0"), remaining_ms: Some(0) })]
+#[case::probe_rejected(ProbeCase { status: StatusCode::SERVICE_UNAVAILABLE, header: None, remaining_ms: None })]
+#[case::not_a_number(ProbeCase { status: StatusCode::OK, header: Some("soon"), remaining_ms: None })]
 #[tokio::test]
-async fn a_target_tells_how_cold_it_is(#[case] answer: Answer) {
+async fn probe_sets_the_remaining_cold_time(#[case] case: ProbeCase) {
     let shared = shared();
-    let addr = target(answer).await;
-    tokio::spawn(follow_coldness(Arc::clone(&shared), addr));
+    let addr = start_target(case).await;
+    tokio::spawn(track_cold_state(Arc::clone(&shared), addr));
     shared.set_view(view());
-    let left = || shared.coldness().left(shared.clock().now());
-    assert!(left() > Duration::from_secs(50));
-    let Some(known_ms) = answer.known_ms else {
+    let remaining = || shared.coldness().left(shared.clock().now());
+    assert!(remaining() > Duration::from_secs(50));
+    let Some(remaining_ms) = case.remaining_ms else {
         tokio::time::sleep(Duration::from_millis(200)).await;
-        assert!(left() > Duration::from_secs(50));
+        assert!(remaining() > Duration::from_secs(50));
         return;
     };
-    let begun = Instant::now();
-    while left() > Duration::from_millis(known_ms) {
-        assert!(begun.elapsed() < Duration::from_secs(20), "{:?}", left());
+    let started = Instant::now();
+    while remaining() > Duration::from_millis(remaining_ms) {
+        assert!(
+            started.elapsed() < Duration::from_secs(20),
+            "{:?}",
+            remaining()
+        );
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
--- /dev/null
+++ b/crates/node/src/control/source_monitor.rs
@@ -0,0 +1,44 @@
+//! Monitors whether the platform answers reads.
+
+use sassafrasspool_core::SourceResult;
+use sassafrasspool_core::Stream;
+
+use crate::reach::AvailabilityChange;
+use crate::reach::Reach;
+
+/// Whether the platform answers reads. Each stream is monitored separately,
+/// because one can fail while the other is answered.
+#[derive(Debug)]
+pub(crate) struct SourceMonitor {
+    catalogue: Reach,
+    instances: Reach,
+}
+
+impl SourceMonitor {
+    /// A monitor that assumes that the platform answers.
+    pub(crate) const fn new() -> SourceMonitor {
+        SourceMonitor {
+            catalogue: Reach::new("platform"),
+            instances: Reach::new("platform"),
+        }
+    }
+
+    /// Records the result of a read.
+    pub(super) fn record_read(
+        &self,
+        stream: Stream,
+        result: &SourceResult,
+    ) -> Option<AvailabilityChange> {
+        let monitor = match stream {
+            Stream::Catalogue => &self.catalogue,
+            Stream::Instances => &self.instances,
+        };
+        match result {
+            SourceResult::Failed { reason } => {
+                tracing::debug!(%stream, reason, "a read of the platform failed");
+                monitor.missed(stream, reason)
+            }
+            _ => monitor.found(stream),
+        }
+    }
+}
--- a/crates/node/src/control/tests.rs
+++ b/crates/node/src/control/tests.rs
@@ -23,22 +23,22 @@
 use tokio_util::task::TaskTracker;
 
 use super::ControlCounts;
+use super::ControlDriver;
 use super::ControlEvent;
 use super::ControlHandle;
+use super::DrainCause;
 use super::Gate;
-use super::Leaving;
-use super::Machine;
 use super::Outside;
-use super::SourceReach;
+use super::SourceMonitor;
 use crate::AuditTrail;
 use crate::Shared;
-use crate::reach::Change;
+use crate::reach::AvailabilityChange;
 
-/// Decisions that were taken before the test.
+/// Dissemination that returns prepared actions.
 #[derive(Debug)]
-struct Scripted(Vec<Action>);
+struct PreparedActions(Vec<Action>);
 
-impl Disseminate for Scripted {
+impl Disseminate for PreparedActions {
     fn handle(&mut self, _: Tick, _: Event, out: &mut Vec<Action>) {
         out.append(&mut self.0);
     }
@@ -64,26 +64,26 @@
 }
 
 fn me() -> InstanceId {
-    InstanceId::new("wd-1").expect("a name")
+    InstanceId::new("wd-1").expect("valid instance id")
 }
 
-fn machine(actions: Vec<Action>) -> Machine {
+fn driver(actions: Vec<Action>) -> ControlDriver {
     let counts = ControlCounts::default();
-    let nowhere = "127.0.0.1:1".parse().expect("an address");
+    let unused_addr = "127.0.0.1:1".parse().expect("valid address");
     let (tx, _) = mpsc::channel(1);
-    let outside = Outside {
+    let context = Outside {
         shared: Arc::new(Shared::new(me(), Incarnation::from_start_millis(1))),
         audit: Arc::new(AuditTrail::new(me())),
         pool: Arc::new(PeerPool::new(PeerLimits::default(), counts.bytes(), 1)),
-        platform: Arc::new(PlatformClient::new(nowhere, counts.bytes())),
+        platform: Arc::new(PlatformClient::new(unused_addr, counts.bytes())),
         counts,
         control: ControlHandle::new(tx),
         tasks: TaskTracker::new(),
         cancel: CancellationToken::new(),
-        reach: Arc::new(SourceReach::new()),
-        gate: Gate::default(),
+        source_monitor: Arc::new(SourceMonitor::new()),
+        fault_injector: Gate::default(),
     };
-    Machine::new(Box::new(Scripted(actions)), outside)
+    ControlDriver::new(Box::new(PreparedActions(actions)), context)
 }
 
 fn replaced() -> Action {
@@ -97,58 +97,64 @@
     })
 }
 
-/// Guards against a woken process that works on beside the one that replaced it.
+/// Guards against a suspended process that resumes and serves beside the one that replaced
+/// it: both would run requests with the same keys.
 #[test]
-fn replaced_process_leaves() {
-    let mut machine = machine(vec![replaced()]);
-    assert!(!machine.is_leaving());
-    machine.handle(Event::Wakeup);
-    assert_eq!(machine.leaving(), Some(Leaving::Replaced));
-    machine.take(ControlEvent::Drain);
-    assert_eq!(machine.leaving(), Some(Leaving::Replaced));
-    let records = machine.outside().audit.page(0).records;
+fn replaced_process_drains() {
+    let mut driver = driver(vec![replaced()]);
+    assert!(!driver.is_drain_requested());
+    driver.handle_spread_event(Event::Wakeup);
+    assert_eq!(driver.drain_cause(), Some(DrainCause::Replaced));
+    driver.handle_control_event(ControlEvent::Drain);
+    assert_eq!(driver.drain_cause(), Some(DrainCause::Replaced));
+    let records = driver.context().audit.page(0).records;
     assert_eq!(records[0].event, "replaced");
 }
 
-/// What happened, and whether requests may be taken then.
+/// What happened since the start, and whether requests are accepted then.
 #[derive(Debug)]
-struct Start {
+struct StartCase {
     actions: Vec<Action>,
     target_ready: bool,
-    serves: bool,
+    may_serve: bool,
 }
 
 #[rstest]
-#[case::nothing(Start { actions: vec![], target_ready: false, serves: false })]
-#[case::target_alone(Start { actions: vec![], target_ready: true, serves: false })]
-#[case::joined_alone(Start {
+#[case::nothing(StartCase { actions: vec![], target_ready: false, may_serve: false })]
+#[case::target_only(StartCase { actions: vec![], target_ready: true, may_serve: false })]
+#[case::joined_only(StartCase {
     actions: vec![Action::Joined],
     target_ready: false,
-    serves: false,
+    may_serve: false,
 })]
-#[case::both(Start { actions: vec![Action::Joined], target_ready: true, serves: true })]
-fn requests_are_taken_once_joined_and_started(#[case] case: Start) {
-    let mut machine = machine(case.actions);
-    machine.handle(Event::Wakeup);
+#[case::both(StartCase { actions: vec![Action::Joined], target_ready: true, may_serve: true })]
+fn requests_are_accepted_once_joined_and_target_ready(#[case] case: StartCase) {
+    let mut driver = driver(case.actions);
+    driver.handle_spread_event(Event::Wakeup);
     if case.target_ready {
-        machine.take(ControlEvent::TargetReady);
+        driver.handle_control_event(ControlEvent::TargetReady);
     }
-    assert_eq!(machine.may_serve(), case.serves);
+    assert_eq!(driver.may_serve(), case.may_serve);
 }
 
-/// Guards against a log that flaps since one stream of two fails.
+/// Guards against a log that reports the platform as lost and regained in turn while only one
+/// of its two streams fails.
 #[test]
-fn a_stream_that_fails_alone_is_lost_alone() {
-    let reach = SourceReach::new();
+fn failure_of_one_stream_is_reported_for_that_stream_only() {
+    let monitor = SourceMonitor::new();
     let failed = SourceResult::Failed {
         reason: "no answer".to_owned(),
     };
     let changes = [
-        reach.note(Stream::Catalogue, &failed),
-        reach.note(Stream::Instances, &SourceResult::Nothing),
-        reach.note(Stream::Catalogue, &failed),
-        reach.note(Stream::Catalogue, &SourceResult::Nothing),
+        monitor.record_read(Stream::Catalogue, &failed),
+        monitor.record_read(Stream::Instances, &SourceResult::Nothing),
+        monitor.record_read(Stream::Catalogue, &failed),
+        monitor.record_read(Stream::Catalogue, &SourceResult::Nothing),
     ];
-    let [lost, regained] = [Change::Lost, Change::Regained { missed: 2 }].map(Some);
+    let [lost, regained] = [
+        AvailabilityChange::Lost,
+        AvailabilityChange::Regained { failures: 2 },
+    ]
+    .map(Some);
     assert_eq!(changes, [lost, None, None, regained]);
 }
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -1,5 +1,6 @@
-//! The life of the endpoint beside this node, as types: what isn't ready
-//! can't drain back into being ready, and nothing follows the end.
+//! The phases of the local endpoint as types. The types allow only forward
+//! transitions: a draining endpoint can't become ready again, and no phase
+//! follows the last one.
 
 use std::sync::Arc;
 
@@ -7,33 +8,34 @@
 
 use crate::Shared;
 
-/// The endpoint in the phase `P`, of which there is one in a node.
+/// The endpoint in the phase `P`. A node has one endpoint.
 #[derive(Debug)]
 pub(crate) struct LocalEndpoint<P> {
     shared: Arc<Shared>,
     _phase: P,
 }
 
-/// Its target or its node isn't ready yet.
+/// The target or the node isn't ready yet.
 #[derive(Debug)]
 pub(crate) struct Starting;
 
-/// It takes requests.
+/// The endpoint accepts requests.
 #[derive(Debug)]
 pub(crate) struct Ready;
 
-/// It finishes what it has.
+/// The endpoint finishes its requests and accepts no new ones.
 #[derive(Debug)]
 pub(crate) struct Draining;
 
-/// It has ended.
+/// The endpoint has ended.
 #[derive(Debug)]
 pub(crate) struct Gone;
 
 impl<P> LocalEndpoint<P> {
-    fn into<Q>(self, phase: Phase, next: Q) -> LocalEndpoint<Q> {
-        // The traffic side sees it before any peer does: an endpoint that is
-        // leaving refuses new work at once, whatever others still believe.
+    fn enter_phase<Q>(self, phase: Phase, next: Q) -> LocalEndpoint<Q> {
+        // The traffic side gets the phase before any peer does: a draining
+        // endpoint refuses new requests at once, also those of peers that still
+        // hold its former phase.
         self.shared.advance(phase);
         LocalEndpoint {
             shared: self.shared,
@@ -41,14 +43,14 @@
         }
     }
 
-    /// Begins to drain, from wherever it is.
-    fn leave(self) -> LocalEndpoint<Draining> {
-        self.into(Phase::Draining, Draining)
+    /// Begins to drain, from any phase.
+    fn begin_drain(self) -> LocalEndpoint<Draining> {
+        self.enter_phase(Phase::Draining, Draining)
     }
 }
 
 impl LocalEndpoint<Starting> {
-    /// The endpoint at the node's start.
+    /// The endpoint at the start of the node.
     pub(crate) fn new(shared: Arc<Shared>) -> LocalEndpoint<Starting> {
         LocalEndpoint {
             shared,
@@ -56,27 +58,27 @@
         }
     }
 
-    /// Takes requests from now on.
-    pub(crate) fn ready(self) -> LocalEndpoint<Ready> {
-        self.into(Phase::Ready, Ready)
+    /// Accepts requests from now on.
+    pub(crate) fn become_ready(self) -> LocalEndpoint<Ready> {
+        self.enter_phase(Phase::Ready, Ready)
     }
 
-    /// Is told to leave before it was ever ready.
+    /// Begins to drain without having been ready.
     pub(crate) fn drain(self) -> LocalEndpoint<Draining> {
-        self.leave()
+        self.begin_drain()
     }
 }
 
 impl LocalEndpoint<Ready> {
-    /// Takes nothing new from now on.
+    /// Accepts no new requests from now on.
     pub(crate) fn drain(self) -> LocalEndpoint<Draining> {
-        self.leave()
+        self.begin_drain()
     }
 }
 
 impl LocalEndpoint<Draining> {
-    /// Has finished what it had.
-    pub(crate) fn end(self) -> LocalEndpoint<Gone> {
-        self.into(Phase::Gone, Gone)
+    /// Ends after its requests have finished.
+    pub(crate) fn finish(self) -> LocalEndpoint<Gone> {
+        self.enter_phase(Phase::Gone, Gone)
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! A whole node: the control side, the traffic side and the admin address.
+//! A whole node: the control side, the traffic side and the admin server.
 
 pub use self::adapter::Adapter;
 pub use self::addrs::NodeAddrs;
@@ -7,8 +7,8 @@
 
 mod adapter;
 mod addrs;
+mod dissemination;
 mod listeners;
 mod readiness;
 mod running;
-mod spread;
 mod start;
--- a/crates/node/src/node/adapter.rs
+++ b/crates/node/src/node/adapter.rs
@@ -1,4 +1,4 @@
-//! What a node needs to run on a platform.
+//! Adapts a node to a platform.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,20 +11,21 @@
 use crate::Settings;
 use crate::log::LogSink;
 
-/// Makes what reads a platform, with the counter of its sockets' bytes.
+/// Makes the source that reads a platform; its sockets count their bytes with
+/// the given counter.
 type MakeSource = fn(&Settings, Arc<SocketBytes>) -> Arc<dyn Source>;
 
-/// How a node speaks to the platform, to callers and to its target.
+/// The protocols between a node and the platform, its callers and its target.
 ///
 /// The default is this project's own protocol. A deployment on another platform
-/// brings its adapter and is otherwise the same program.
+/// provides its own adapter; the rest of the program is the same.
 #[derive(Clone)]
 pub struct Adapter {
-    /// What callers and targets call things.
+    /// Header names and conventions of callers and targets.
     pub dialect: Dialect,
-    /// Makes what reads the platform.
+    /// Makes the source that reads the platform.
     pub source: MakeSource,
-    /// Where it is written what is decided about requests; the program sets it.
+    /// The log of decisions about requests; set by [`crate::program`].
     pub log: LogSink,
 }
 
--- a/crates/node/src/node/spread.rs
+++ b/crates/node/src/node/dissemination.rs
@@ -1,4 +1,4 @@
-//! The decisions of spreading, made from settings.
+//! Creates dissemination from the node's settings.
 
 use std::net::SocketAddr;
 use std::time::SystemTime;
@@ -14,15 +14,16 @@
 use crate::Settings;
 use crate::settings::Strategy;
 
-/// This start of the node.
-pub(super) fn incarnation() -> Incarnation {
+/// The incarnation of this start of the node, from the wall clock.
+pub(super) fn new_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let ms = since.map_or(0, |since| since.as_millis());
     Incarnation::from_start_millis(u64::try_from(ms).unwrap_or(u64::MAX))
 }
 
-/// The decisions of a node that takes control messages on `control`.
-pub(super) fn decisions(
+/// Creates the dissemination of a node that receives control messages on
+/// `control`, with the settings' strategy.
+pub(super) fn new_dissemination(
     settings: &Settings,
     control: SocketAddr,
     incarnation: Incarnation,
@@ -34,7 +35,7 @@
         domain: settings.domain.clone(),
         control,
         incarnation,
-        seeds: other_seeds(&settings.seeds, control),
+        seeds: seeds_without_self(&settings.seeds, control),
     };
     let cfg = settings.spread.config.clone();
     match settings.spread.strategy {
@@ -43,8 +44,9 @@
     }
 }
 
-/// The seeds without the node itself: all nodes may be given one list.
-pub(super) fn other_seeds(seeds: &[SocketAddr], control: SocketAddr) -> Vec<SocketAddr> {
+/// The seeds without the node's own address: all nodes may be given the same
+/// list.
+pub(super) fn seeds_without_self(seeds: &[SocketAddr], control: SocketAddr) -> Vec<SocketAddr> {
     let others = seeds.iter().filter(|seed| **seed != control);
     others.copied().collect()
 }
--- a/crates/node/src/node/listeners.rs
+++ b/crates/node/src/node/listeners.rs
@@ -1,4 +1,4 @@
-//! The control side's listeners.
+//! Opens the control side's listeners.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,18 +9,19 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpSocket;
 
-/// Connections that wait to be taken: a restarting fleet connects all at once.
-const BACKLOG: u32 = 1_024;
+/// Connections that may wait to be accepted. The nodes of a restarting fleet all
+/// connect at once.
+const LISTEN_BACKLOG: u32 = 1_024;
 
-/// Listens on `addr`; port 0 takes any free port.
+/// Listens on `addr`; port 0 selects any free port.
 ///
 /// # Errors
 ///
-/// Fails, naming the address, if that can't be listened on.
+/// Fails, naming the address, if it can't be listened on.
 ///
 /// # Panics
 ///
-/// Panics outside of a runtime.
+/// Panics outside of a Tokio runtime.
 pub(super) fn listen(addr: SocketAddr) -> Result<TcpListener> {
     try_listen(addr).map_err(|cause| {
         Error::new(Step::Connect, format!("can't listen on {addr}")).with_cause(cause)
@@ -32,20 +33,20 @@
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
-    // A node that restarts finds its port at once, although connections of
-    // its predecessor are still being forgotten.
+    // A restarted node can bind its port at once, although connections of the
+    // previous process are still in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// The address that a listener was given.
+/// The address that a listener is bound to.
 ///
 /// # Errors
 ///
-/// Fails if the system doesn't tell.
-pub(super) fn bound(listener: &TcpListener) -> Result<SocketAddr> {
-    listener
-        .local_addr()
-        .map_err(|cause| Error::new(Step::Connect, "no address").with_cause(cause))
+/// Fails if the operating system doesn't return it.
+pub(super) fn local_addr(listener: &TcpListener) -> Result<SocketAddr> {
+    listener.local_addr().map_err(|cause| {
+        Error::new(Step::Connect, "can't get the address of a listener").with_cause(cause)
+    })
 }
--- a/crates/node/src/node/readiness.rs
+++ b/crates/node/src/node/readiness.rs
@@ -1,4 +1,4 @@
-//! Telling whoever asks whether the node takes callers.
+//! Serves the node's readiness over HTTP.
 
 use std::sync::Arc;
 
@@ -11,8 +11,8 @@
 
 use crate::Shared;
 
-/// Answers until `cancel` is cancelled: 200 while the node takes callers and
-/// 503 before and after.
+/// Serves the readiness path until `cancel` is cancelled: 200 while the node
+/// accepts callers, and 503 before and after.
 pub(super) async fn serve(listener: TcpListener, shared: Arc<Shared>, cancel: CancellationToken) {
     let path = shared.dialect().ready_path;
     let router = Router::new().route(path, get(ready)).with_state(shared);
--- a/crates/node/src/node/running.rs
+++ b/crates/node/src/node/running.rs
@@ -1,4 +1,4 @@
-//! A node that was started.
+//! A handle to a running node.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 use super::NodeAddrs;
-use super::spread;
+use super::dissemination;
 use crate::Settings;
 use crate::Shared;
 use crate::control::ControlEvent;
@@ -21,14 +21,14 @@
 use crate::control::Outside;
 use crate::control::StopReport;
 
-/// A running node; cloning it gives another handle to the same.
+/// A running node; clones are handles to the same node.
 ///
-/// Dropping all handles doesn't end it: [`RunningNode::stop`] or the token
+/// Dropping all handles doesn't stop the node: [`RunningNode::stop`] or the token
 /// that it was started with does.
 #[derive(Debug, Clone)]
 pub struct RunningNode {
     settings: Arc<Settings>,
-    outside: Outside,
+    context: Outside,
     addrs: NodeAddrs,
     ended: watch::Receiver<Option<StopReport>>,
 }
@@ -36,104 +36,106 @@
 impl RunningNode {
     pub(super) fn new(
         settings: Arc<Settings>,
-        outside: Outside,
+        context: Outside,
         addrs: NodeAddrs,
         ended: watch::Receiver<Option<StopReport>>,
     ) -> RunningNode {
         RunningNode {
             settings,
-            outside,
+            context,
             addrs,
             ended,
         }
     }
 
-    /// What it was told at its start.
+    /// The settings at its start.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Where it listens.
+    /// The addresses that it listens on.
     pub fn addrs(&self) -> NodeAddrs {
         self.addrs
     }
 
-    /// What its control and traffic sides share.
+    /// The state shared by its control and traffic sides.
     pub fn shared(&self) -> &Arc<Shared> {
-        &self.outside.shared
+        &self.context.shared
     }
 
-    /// What is in force, if anything is yet.
+    /// The snapshot in force; `None` before the first one.
     pub fn snapshot(&self) -> Option<Arc<Snapshot>> {
-        let view = self.outside.shared.view()?;
+        let view = self.context.shared.view()?;
         Some(Arc::clone(&view.snapshot))
     }
 
-    /// What its control traffic came to so far.
+    /// The counters of its control traffic.
     pub fn control_stats(&self) -> ControlStats {
-        self.outside.counts.stats()
+        self.context.counts.stats()
     }
 
-    /// Holds its control side back, for tests and benchmarks.
+    /// Simulates faults of its control side, for tests and benchmarks.
     pub fn gate(&self) -> &Gate {
-        &self.outside.gate
+        &self.context.fault_injector
     }
 
-    /// The records of its audit trail after number `after`.
+    /// The records of its audit trail with numbers above `after`.
     pub fn audit(&self, after: u64) -> AuditPage {
-        self.outside.audit.page(after)
+        self.context.audit.page(after)
     }
 
-    /// How the spreading of versions is.
+    /// The dissemination status of the node.
     ///
     /// # Errors
     ///
-    /// Fails if the node has ended.
+    /// Fails if the node has stopped.
     pub async fn spread_status(&self) -> Result<SpreadStatus> {
-        self.outside.control.status().await
+        self.context.control.status().await
     }
 
-    /// Takes over what a running node can of other settings: the service of its
-    /// target and the seeds. Returns the parts that wait for a restart.
+    /// Applies the parts of new settings that a running node can change: the
+    /// service of its target and the seeds. Returns the names of the parts that
+    /// changed and take effect only after a restart.
     pub async fn reload(&self, new: &Settings) -> Vec<&'static str> {
-        self.outside.shared.set_service(new.service.clone());
-        let seeds = spread::other_seeds(&new.seeds, self.addrs.control);
+        self.context.shared.set_service(new.service.clone());
+        let seeds = dissemination::seeds_without_self(&new.seeds, self.addrs.control);
         let event = ControlEvent::Spread(Event::Seeds(seeds));
-        // A node that has ended needs no seeds.
-        self.outside.control.send(event).await;
+        // A failed send is ignored: a node that has stopped needs no seeds.
+        self.context.control.send(event).await;
         self.settings.parts_needing_restart(new)
     }
 
-    /// Begins to drain: the endpoint takes nothing new, and the others hear of
-    /// it. Returns once nothing is in flight; the node goes on to run.
+    /// Drains the endpoint: it accepts no new requests and announces this to the
+    /// other nodes. Returns once no request is in flight; the node keeps
+    /// running.
     pub async fn drain(&self) {
-        if self.outside.control.send(ControlEvent::Drain).await {
-            let mut phase = self.outside.shared.watch_phase();
-            let leaving = phase.wait_for(|phase| *phase >= sassafrasspool_core::Phase::Draining);
+        if self.context.control.send(ControlEvent::Drain).await {
+            let mut phase = self.context.shared.watch_phase();
+            let draining = phase.wait_for(|phase| *phase >= sassafrasspool_core::Phase::Draining);
             tokio::select! {
-                _ = leaving => {}
-                () = self.outside.cancel.cancelled() => return,
+                _ = draining => {}
+                () = self.context.cancel.cancelled() => return,
             }
-            self.outside.shared.in_flight().idle().await;
+            self.context.shared.in_flight().idle().await;
         }
     }
 
-    /// Drains and then ends the node, without cutting a request unless the
-    /// settings' bound is over.
+    /// Drains and then stops the node. Requests are cut only if they are still in
+    /// flight when the drain timeout of the settings has passed.
     ///
     /// # Errors
     ///
-    /// Fails if the node's thread ended otherwise.
+    /// Fails if the node's thread ended without a report.
     pub async fn stop(&self) -> Result<StopReport> {
-        self.outside.control.send(ControlEvent::Stop).await;
+        self.context.control.send(ControlEvent::Stop).await;
         self.ended().await
     }
 
-    /// Waits until the node has ended, for whatever reason.
+    /// Waits until the node has stopped, for any reason.
     ///
     /// # Errors
     ///
-    /// Fails if its thread ended without a report.
+    /// Fails if the node's thread ended without a report.
     pub async fn ended(&self) -> Result<StopReport> {
         let mut ended = self.ended.clone();
         let report = ended.wait_for(Option::is_some).await;
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -20,39 +20,38 @@
 use super::Adapter;
 use super::NodeAddrs;
 use super::RunningNode;
+use super::dissemination;
 use super::listeners;
 use super::readiness;
-use super::spread;
 use crate::AuditTrail;
 use crate::RunningTraffic;
 use crate::Settings;
 use crate::Shared;
 use crate::Traffic;
 use crate::admin::Admin;
-use crate::control::Control;
 use crate::control::ControlCounts;
+use crate::control::ControlDriver;
 use crate::control::ControlHandle;
+use crate::control::ControlTask;
 use crate::control::Gate;
-use crate::control::Inbound;
-use crate::control::Machine;
 use crate::control::Outside;
-use crate::control::SourceReach;
+use crate::control::PeerMessageHandler;
+use crate::control::SourceMonitor;
 use crate::control::StopReport;
 use crate::metrics;
 
-/// Events that wait for the control task at most.
-const QUEUE: usize = 1_024;
+/// The most events that wait for the control task.
+const CONTROL_QUEUE_CAPACITY: usize = 1_024;
 
 /// Starts nodes.
 #[derive(Debug)]
 pub struct Node;
 
 impl Node {
-    /// Starts a node with threads of its own: one for control, others for
-    /// traffic.
+    /// Starts a node with its own threads: one for control, others for traffic.
     ///
-    /// The node ends at once when `cancel` is cancelled, as if it had crashed;
-    /// [`RunningNode::stop`] ends it without cutting a request.
+    /// The node stops at once when `cancel` is cancelled, as if it had crashed;
+    /// [`RunningNode::stop`] drains it first.
     ///
     /// # Errors
     ///
@@ -62,7 +61,7 @@
         Node::start_with(settings, Adapter::default(), cancel)
     }
 
-    /// The same on the platform of an adapter.
+    /// Starts a node as [`Node::start`] does, with a platform adapter.
     ///
     /// # Errors
     ///
@@ -76,20 +75,20 @@
             .enable_all()
             .build()
             .map_err(|cause| Error::new(Step::Connect, "no control runtime").with_cause(cause))?;
-        let plan = {
+        let prepared = {
             let _context = runtime.enter();
-            Plan::new(settings, adapter, cancel, Traffic::start)?
+            PreparedNode::new(settings, adapter, cancel, Traffic::start)?
         };
-        let (running, life) = plan.into_parts();
+        let (running, task) = prepared.into_parts();
         thread::Builder::new()
             .name("control".to_owned())
-            .spawn(move || runtime.block_on(life))
+            .spawn(move || runtime.block_on(task))
             .map_err(|cause| Error::new(Step::Connect, "no control thread").with_cause(cause))?;
         Ok(running)
     }
 
-    /// Starts a node on the threads of `handle`, which many nodes of one
-    /// process can share.
+    /// Starts a node on the runtime of `handle`, which many nodes of one process
+    /// can share.
     ///
     /// # Errors
     ///
@@ -103,41 +102,41 @@
         let traffic = |settings: &Settings, shared, cancel| {
             Traffic::start_on(handle, settings, shared, cancel)
         };
-        let plan = Plan::new(settings, Adapter::default(), cancel, traffic)?;
-        let (running, life) = plan.into_parts();
-        handle.spawn(life);
+        let prepared = PreparedNode::new(settings, Adapter::default(), cancel, traffic)?;
+        let (running, task) = prepared.into_parts();
+        handle.spawn(task);
         Ok(running)
     }
 }
 
-/// A node with its listeners open, of which nothing runs yet but its traffic
-/// side.
-struct Plan {
+/// A node whose listeners are open and whose traffic side runs. Its control side
+/// isn't running yet.
+struct PreparedNode {
     settings: Arc<Settings>,
-    outside: Outside,
-    control: Control,
+    context: Outside,
+    control: ControlTask,
     peers: TcpListener,
     admin: TcpListener,
     ready: Option<TcpListener>,
     metrics: Option<TcpListener>,
     addrs: NodeAddrs,
-    /// Ends the traffic side if the control side never runs, or if its
-    /// runtime is shut down under it.
-    guard: DropGuard,
+    /// Cancels the traffic side if the control side never runs, or if its runtime
+    /// is shut down while it runs.
+    cancel_guard: DropGuard,
 }
 
-impl Plan {
+impl PreparedNode {
     fn new(
         settings: Settings,
         adapter: Adapter,
         cancel: CancellationToken,
         start_traffic: impl FnOnce(&Settings, Arc<Shared>, CancellationToken) -> Result<RunningTraffic>,
-    ) -> Result<Plan> {
+    ) -> Result<PreparedNode> {
         metrics::install();
         let settings = Arc::new(settings);
         let peers = listeners::listen(settings.listen.control)?;
         let admin = listeners::listen(settings.listen.admin)?;
-        let incarnation = spread::incarnation();
+        let incarnation = dissemination::new_incarnation();
         let metrics_port = settings.listen.metrics.map(listeners::listen).transpose()?;
         let ready = settings.listen.ready.map(listeners::listen).transpose()?;
         let me = settings.instance.clone();
@@ -147,32 +146,38 @@
             me,
             incarnation,
         ));
-        let (tx, rx) = mpsc::channel(QUEUE);
-        // What the node runs ends with the node, and also with the caller's
-        // token: the caller's other nodes go on.
+        let (tx, rx) = mpsc::channel(CONTROL_QUEUE_CAPACITY);
+        // The node's tasks are cancelled with the node or by the token that was
+        // passed in. Stopping this node doesn't cancel other nodes that use the
+        // same token.
         let cancel = cancel.child_token();
         let control = ControlHandle::new(tx);
         shared.quarantine().set_control(control.clone());
-        let outside = outside(&settings, &adapter, shared, control, cancel);
-        let stop_traffic = outside.cancel.child_token();
-        let traffic = start_traffic(&settings, Arc::clone(&outside.shared), stop_traffic.clone())?;
+        let context = new_context(&settings, &adapter, shared, control, cancel);
+        let stop_traffic = context.cancel.child_token();
+        let traffic = start_traffic(&settings, Arc::clone(&context.shared), stop_traffic.clone())?;
         let addrs = NodeAddrs {
             ingress: traffic.addrs().ingress,
             egress: traffic.addrs().egress,
             traffic: traffic.addrs().traffic,
-            control: listeners::bound(&peers)?,
-            admin: listeners::bound(&admin)?,
+            control: listeners::local_addr(&peers)?,
+            admin: listeners::local_addr(&admin)?,
         };
-        let now = outside.shared.clock().now();
-        let decisions =
-            spread::decisions(&settings, addrs.control, incarnation, rand::random(), now);
-        let machine = Machine::new(decisions, outside.clone());
-        let control = Control::new(machine, rx, Arc::clone(&settings), traffic, stop_traffic);
-        let guard = outside.cancel.clone().drop_guard();
-        Ok(Plan {
-            guard,
+        let now = context.shared.clock().now();
+        let dissemination = dissemination::new_dissemination(
+            &settings,
+            addrs.control,
+            incarnation,
+            rand::random(),
+            now,
+        );
+        let driver = ControlDriver::new(dissemination, context.clone());
+        let control = ControlTask::new(driver, rx, Arc::clone(&settings), traffic, stop_traffic);
+        let cancel_guard = context.cancel.clone().drop_guard();
+        Ok(PreparedNode {
+            cancel_guard,
             settings,
-            outside,
+            context,
             control,
             peers,
             admin,
@@ -182,59 +187,60 @@
         })
     }
 
-    /// What the caller gets, and what is to run.
+    /// The handle to the node, and the future that runs its control side.
     fn into_parts(self) -> (RunningNode, impl Future<Output = ()> + Send + 'static) {
         let (ended_tx, ended_rx) = watch::channel(None);
         let running = RunningNode::new(
             Arc::clone(&self.settings),
-            self.outside.clone(),
+            self.context.clone(),
             self.addrs,
             ended_rx,
         );
-        let life = async move {
-            let report = self.live().await;
+        let task = async move {
+            let report = self.run().await;
             ended_tx.send_replace(Some(report));
         };
-        (running, life)
+        (running, task)
     }
 
-    async fn live(self) -> StopReport {
-        let outside = self.outside;
-        let inbound = Inbound::new(
-            outside.shared.me().clone(),
-            outside.control.clone(),
-            outside.counts.clone(),
+    /// Runs the node until it has stopped and its tasks have finished.
+    async fn run(self) -> StopReport {
+        let context = self.context;
+        let handler = PeerMessageHandler::new(
+            context.shared.me().clone(),
+            context.control.clone(),
+            context.counts.clone(),
         );
         let limits = self.settings.control.limits;
-        let server = PeerServer::new(inbound, limits, outside.counts.bytes());
-        outside
+        let server = PeerServer::new(handler, limits, context.counts.bytes());
+        context
             .tasks
-            .spawn(server.serve(self.peers, outside.cancel.clone()));
+            .spawn(server.serve(self.peers, context.cancel.clone()));
         if let Some(metrics) = self.metrics {
-            let admin = Admin::new(Arc::clone(&self.settings), outside.clone());
-            let cancel = outside.cancel.clone();
-            outside.tasks.spawn(admin.serve_metrics(metrics, cancel));
+            let admin = Admin::new(Arc::clone(&self.settings), context.clone());
+            let cancel = context.cancel.clone();
+            context.tasks.spawn(admin.serve_metrics(metrics, cancel));
         }
-        let admin = Admin::new(self.settings, outside.clone());
-        outside
+        let admin = Admin::new(self.settings, context.clone());
+        context
             .tasks
-            .spawn(admin.serve(self.admin, outside.cancel.clone()));
+            .spawn(admin.serve(self.admin, context.cancel.clone()));
         if let Some(ready) = self.ready {
-            let shared = Arc::clone(&outside.shared);
-            outside
+            let shared = Arc::clone(&context.shared);
+            context
                 .tasks
-                .spawn(readiness::serve(ready, shared, outside.cancel.clone()));
+                .spawn(readiness::serve(ready, shared, context.cancel.clone()));
         }
         let report = self.control.run().await;
-        drop(self.guard);
-        outside.tasks.close();
-        outside.tasks.wait().await;
+        drop(self.cancel_guard);
+        context.tasks.close();
+        context.tasks.wait().await;
         report
     }
 }
 
-/// The node's ways to everything else.
-fn outside(
+/// Creates the control task's context.
+fn new_context(
     settings: &Settings,
     adapter: &Adapter,
     shared: Arc<Shared>,
@@ -253,7 +259,7 @@
         control,
         tasks: TaskTracker::new(),
         cancel,
-        reach: Arc::new(SourceReach::new()),
-        gate: Gate::default(),
+        source_monitor: Arc::new(SourceMonitor::new()),
+        fault_injector: Gate::default(),
     }
 }
--- a/crates/node/src/reach.rs
+++ b/crates/node/src/reach.rs
@@ -1,4 +1,4 @@
-//! What the node depends on, and when that is lost and regained.
+//! Logs when a dependency of the node stops answering and when it answers again.
 
 use std::fmt;
 use std::sync::Mutex;
@@ -9,12 +9,13 @@
 
 use crate::log::micros;
 
-/// Whether something that the node depends on answered the last time.
+/// Whether a dependency of the node answered the last time.
 ///
-/// The log has a line when that changes and none for each time in between: an
-/// outage in which every read fails would fill it. The line at its end tells how
-/// long it was and how often it was tried in between: a few tries in many seconds
-/// were waits, and the dependency may have been back long before.
+/// One line is logged when this changes and none for each failure in between: an
+/// outage in which every read fails would fill the log. The line at the end has
+/// the length of the outage and the number of failed attempts. Few attempts in
+/// many seconds mean long waits between them; the dependency may have been back
+/// long before.
 #[derive(Debug)]
 pub(crate) struct Reach {
     name: &'static str,
@@ -22,27 +23,27 @@
     outage: Mutex<Option<Outage>>,
 }
 
-/// A time in which a dependency doesn't answer.
+/// A period in which a dependency doesn't answer.
 #[derive(Debug, Clone, Copy)]
 struct Outage {
     since: Instant,
-    missed: u32,
+    failures: u32,
 }
 
-/// A change of what is reached.
+/// A change of a dependency's availability.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Change {
-    /// It doesn't answer any more.
+pub(crate) enum AvailabilityChange {
+    /// The dependency has stopped answering.
     Lost,
-    /// It answers again, after so many tries that it didn't.
+    /// The dependency answers again.
     Regained {
-        /// Tries without an answer.
-        missed: u32,
+        /// Attempts without an answer during the outage.
+        failures: u32,
     },
 }
 
 impl Reach {
-    /// Something that is taken to answer until it doesn't.
+    /// A dependency that is assumed to answer; `name` is its name in the log.
     pub(crate) const fn new(name: &'static str) -> Reach {
         Reach {
             name,
@@ -51,40 +52,40 @@
         }
     }
 
-    /// Notes that `peer` answered.
-    pub(crate) fn found(&self, peer: impl fmt::Display) -> Option<Change> {
-        // The usual case writes nothing that other threads share.
+    /// Records that `peer` answered.
+    pub(crate) fn found(&self, peer: impl fmt::Display) -> Option<AvailabilityChange> {
+        // In the usual case nothing is written to memory shared with other threads.
         if !self.lost.load(Ordering::Relaxed) || !self.lost.swap(false, Ordering::Relaxed) {
             return None;
         }
         let outage = self.with_outage(Option::take)?;
         let after_ms = micros(outage.since.elapsed()) / 1_000;
-        let missed = outage.missed;
-        tracing::info!(dependency = self.name, %peer, after_ms, missed, "regained");
-        Some(Change::Regained { missed })
+        let failures = outage.failures;
+        tracing::info!(dependency = self.name, %peer, after_ms, missed = failures, "regained");
+        Some(AvailabilityChange::Regained { failures })
     }
 
-    /// Notes that `peer` didn't answer, and why.
+    /// Records that `peer` didn't answer, and why.
     pub(crate) fn missed(
         &self,
         peer: impl fmt::Display,
         reason: impl fmt::Display,
-    ) -> Option<Change> {
-        let missed = self.with_outage(|outage| {
-            let begun = Outage {
+    ) -> Option<AvailabilityChange> {
+        let failures = self.with_outage(|outage| {
+            let started = Outage {
                 since: Instant::now(),
-                missed: 0,
+                failures: 0,
             };
-            let outage = outage.get_or_insert(begun);
-            outage.missed = outage.missed.saturating_add(1);
-            outage.missed
+            let outage = outage.get_or_insert(started);
+            outage.failures = outage.failures.saturating_add(1);
+            outage.failures
         });
         self.lost.store(true, Ordering::Relaxed);
-        if missed > 1 {
+        if failures > 1 {
             return None;
         }
         tracing::warn!(dependency = self.name, %peer, %reason, "lost");
-        Some(Change::Lost)
+        Some(AvailabilityChange::Lost)
     }
 
     fn with_outage<T>(&self, f: impl FnOnce(&mut Option<Outage>) -> T) -> T {
--- a/crates/node/src/reach/tests.rs
+++ b/crates/node/src/reach/tests.rs
@@ -1,15 +1,20 @@
-//! Changes of what is reached.
+//! Changes of a dependency's availability.
 
-use super::Change;
+use super::AvailabilityChange;
 use super::Reach;
 
-/// Guards against an outage that leaves no line in the log, or fills it.
+/// Guards against an outage that isn't logged, and against one that fills the log with a line
+/// for each failure.
 #[test]
-fn an_outage_has_one_line_at_its_begin_and_one_at_its_end() {
+fn outage_is_reported_once_at_its_start_and_once_at_its_end() {
     let reach = Reach::new("platform");
     let missed = || reach.missed("catalogue", "connection refused");
     let found = || reach.found("catalogue");
     let changes = [found(), missed(), missed(), missed(), found(), found()];
-    let [lost, regained] = [Change::Lost, Change::Regained { missed: 3 }].map(Some);
+    let [lost, regained] = [
+        AvailabilityChange::Lost,
+        AvailabilityChange::Regained { failures: 3 },
+    ]
+    .map(Some);
     assert_eq!(changes, [None, lost, None, None, regained, None]);
 }
