--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -1,45 +1,45 @@
-//! What callers and targets of a deployment call things on the wire.
+//! Header names and conventions of a deployment's callers and targets.
 
 use http::HeaderName;
 use http::Response;
 use http::StatusCode;
 
-/// The names by which a node speaks to its callers and to its target, as far
-/// as deployments differ in them.
+/// The header names and conventions that a node uses with its callers and its
+/// target, as far as deployments differ in them.
 ///
-/// [`Dialect::OWN`] is this project's; an adapter to another platform brings
-/// one of its own. What nodes say to one another is the same everywhere.
+/// [`Dialect::OWN`] is that of this project; an adapter to another platform
+/// provides its own. The protocol between nodes is the same in all deployments.
 #[derive(Debug, Clone)]
 pub struct Dialect {
-    /// To the target: the life that the request is meant for. Another life
-    /// answers 421 and doesn't run it.
+    /// To the target: the generation that the request is meant for. Another
+    /// generation answers 421 and doesn't run it.
     pub target_life: Option<HeaderName>,
-    /// From the target: which life it is, on an answer that declines a request
-    /// for another.
+    /// From the target: its generation, on an answer that declines a request for
+    /// another generation.
     pub answering_life: Option<HeaderName>,
-    /// From the target, when it is asked for its health: for how many milliseconds more it
-    /// is cold.
+    /// From the target, on the answer to a health probe: how many milliseconds it will
+    /// still be cold.
     pub cold_left_ms: Option<HeaderName>,
-    /// To the target: the service beside whose target the request began.
+    /// To the target: the service of the caller's node.
     pub origin: Option<HeaderName>,
-    /// From the target: on an answer that says that it did not run the request.
+    /// From the target: marks an answer to a request that it did not run.
     pub not_run: Option<HeaderName>,
-    /// From the target: on every answer that it gives itself. A success
-    /// without it is none.
+    /// From the target: marks every answer that comes from the target itself. A
+    /// success without it isn't accepted as one.
     pub signature: Option<HeaderName>,
-    /// Whether targets repeat the request's id in their answers, so that an
-    /// answer to another request shows.
+    /// Whether targets return the request's id in their answers, so that an
+    /// answer to another request is detected.
     pub echoes_id: bool,
-    /// The path on which the node says whether it takes callers.
+    /// The path that returns whether the node accepts callers.
     pub ready_path: &'static str,
-    /// Whether callers are told the outcome in headers of the project's own.
+    /// Whether answers to callers carry the outcome in this project's headers.
     pub tells_outcome: bool,
-    /// Whether callers read the time to come back as a decimal fraction.
+    /// Whether `Retry-After` is sent to callers as a decimal fraction.
     pub fractional_retry: bool,
 }
 
 impl Dialect {
-    /// This project's own.
+    /// The header names and conventions of this project.
     pub const OWN: Dialect = Dialect {
         target_life: None,
         answering_life: None,
@@ -55,15 +55,15 @@
 
     /// Whether an answer proves that the target did not run the request.
     pub(crate) fn declines<B>(&self, res: &Response<B>) -> bool {
-        let other_life = res.status() == StatusCode::MISDIRECTED_REQUEST;
-        let said = self
+        let other_generation = res.status() == StatusCode::MISDIRECTED_REQUEST;
+        let marked_not_run = self
             .not_run
             .as_ref()
             .is_some_and(|name| res.headers().contains_key(name));
-        said || (other_life && self.target_life.is_some())
+        marked_not_run || (other_generation && self.target_life.is_some())
     }
 
-    /// Whether a success lacks what only the target can put on it.
+    /// Whether a success lacks the signature header, which only the target sets.
     pub(crate) fn lacks_signature<B>(&self, res: &Response<B>) -> bool {
         let signature = self.signature.as_ref();
         let signed = signature.is_none_or(|name| res.headers().contains_key(name));
--- a/crates/node/src/flags.rs
+++ b/crates/node/src/flags.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line flags of the node.
 
 use std::path::PathBuf;
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The node: the one small process beside each target instance.
+//! The node: a small sidecar proxy process beside each target instance.
 //!
 //! A control thread keeps the configuration current and the traffic threads
-//! move requests. They share [`Shared`] alone, which the traffic path reads
-//! without ever waiting on the control thread.
+//! forward requests. They share only [`Shared`], which the traffic threads read
+//! without waiting for the control thread.
 
 mod admin;
 mod audit;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The node as a program.
+//! The program `sassafrasspool-node`.
 
 mod flags;
 
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -1,4 +1,4 @@
-//! The node's program: settings, logs, signals and the exit code.
+//! The node as a program: settings file, log, signals and exit code.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -21,26 +21,28 @@
 use crate::settings::LogSettings;
 use crate::settings::SettingsFile;
 
-/// How often the settings file is looked at: it may change without a signal,
-/// and what it says has to be in force within two seconds.
-const LOOK_AT_SETTINGS: Duration = Duration::from_secs(1);
+/// How often the settings file is read. It may change without a signal, and its
+/// changes have to be in force within two seconds.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The exit code of a node that ended on a signal but cut requests.
-const EXIT_CUT: u8 = 3;
+/// The exit code of a node that was stopped by a signal and cut requests.
+const EXIT_CODE_REQUESTS_CUT: u8 = 3;
 
-/// Runs the node of a settings file until a signal stops it, as the program of
-/// that name does; any other program may do so in a process of its own.
+/// Runs a node with the settings file `settings` until a signal stops it. The
+/// program `sassafrasspool-node` does only this; other programs may call it in a
+/// process of their own.
 ///
-/// The exit code is 3 if the stop cut requests, and 1 if the node failed.
+/// The exit code is 0 after a clean stop, 3 if the stop cut requests, and 1 if the
+/// node failed.
 pub fn run(settings: &Path) -> ExitCode {
     run_with(settings, Adapter::default())
 }
 
-/// The same on the platform of an adapter.
+/// Runs a node as [`run`] does, with a platform adapter.
 pub fn run_with(settings: &Path, adapter: Adapter) -> ExitCode {
     match run_to_end(settings, adapter) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(EXIT_CUT),
+        Ok(_) => ExitCode::from(EXIT_CODE_REQUESTS_CUT),
         Err(report) => {
             eprintln!("{report:?}");
             ExitCode::FAILURE
@@ -48,7 +50,7 @@
     }
 }
 
-/// Runs a node to its end; returns how many requests that cut.
+/// Runs a node until it has stopped; returns how many requests were cut.
 fn run_to_end(settings: &Path, adapter: Adapter) -> miette::Result<u64> {
     let (file, settings) = SettingsFile::open(settings)?;
     let sink = start_log(settings.log)?;
@@ -59,22 +61,24 @@
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|err| miette::miette!("no runtime for signals: {err}"))?;
+        .map_err(|err| miette::miette!("can't create the runtime for signals: {err}"))?;
     let ended = runtime.block_on(async {
-        // Before the node starts, so that a signal that comes early is kept.
-        let signals = Signals::new().map_err(|err| miette::miette!("no signals: {err}"))?;
+        // The handlers are installed before the node starts, so that an early signal
+        // isn't lost.
+        let signals = Signals::new()
+            .map_err(|err| miette::miette!("can't install signal handlers: {err}"))?;
         let cancel = CancellationToken::new();
-        let node = Node::start_with(settings, adapter, cancel.clone()).map_err(report)?;
+        let node = Node::start_with(settings, adapter, cancel.clone()).map_err(to_report)?;
         log_start(&node);
-        until_end(&node, signals, file, cancel)
+        run_until_stopped(&node, signals, file, cancel)
             .await
-            .map_err(report)
+            .map_err(to_report)
     });
     sink.flush();
     ended
 }
 
-/// Tells where the node listens, with the ports that port 0 became.
+/// Logs the bound addresses of the node; port 0 is replaced by the assigned port.
 fn log_start(node: &RunningNode) {
     let addrs = node.addrs();
     tracing::info!(
@@ -88,9 +92,9 @@
     );
 }
 
-/// Waits for a signal, then for a stop without a cut; a second signal ends
-/// the node at once.
-async fn until_end(
+/// Reloads changed settings until a signal to stop comes, then drains the node; a
+/// second signal stops it at once. Returns how many requests were cut.
+async fn run_until_stopped(
     node: &RunningNode,
     mut signals: Signals,
     mut file: SettingsFile,
@@ -98,13 +102,13 @@
 ) -> sassafrasspool_core::Result<u64> {
     loop {
         tokio::select! {
-            () = signals.stop.next() => break,
+            () = signals.stop.recv() => break,
             ended = node.ended() => return ended.map(|report| report.cut),
             _ = signals.reload.recv() => {
-                tracing::info!("told to read the settings again");
+                tracing::info!("SIGHUP received: reading the settings file");
                 reload(node, &mut file).await;
             }
-            () = tokio::time::sleep(LOOK_AT_SETTINGS) => reload(node, &mut file).await,
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => reload(node, &mut file).await,
         }
     }
     tracing::info!("told to stop: draining");
@@ -112,8 +116,8 @@
     tokio::pin!(stopping);
     let report = tokio::select! {
         report = &mut stopping => report?,
-        () = signals.stop.next() => {
-            tracing::warn!("told to stop again: ending at once");
+        () = signals.stop.recv() => {
+            tracing::warn!("second stop signal received: stopping at once");
             cancel.cancel();
             stopping.await?
         }
@@ -122,16 +126,16 @@
     Ok(report.cut)
 }
 
-/// Takes over settings that have changed; refused ones leave all as it was.
+/// Applies the settings file if it has changed; invalid settings change nothing.
 async fn reload(node: &RunningNode, file: &mut SettingsFile) {
     match file.reload_if_changed() {
         None => {}
         Some(Ok(settings)) => {
-            let fixed = node.reload(&settings).await;
+            let pending = node.reload(&settings).await;
             tracing::info!(
                 service = %settings.service,
                 seeds = settings.seeds.len(),
-                wait_for_restart = fixed.join(", "),
+                wait_for_restart = pending.join(", "),
                 "settings have changed",
             );
         }
@@ -142,15 +146,16 @@
     }
 }
 
-/// The signals that a process is sent.
+/// The signals that the process handles.
 #[derive(Debug)]
 struct Signals {
     stop: StopSignals,
-    /// The settings have changed. Without a handler it would end the process.
+    /// SIGHUP: the settings have changed. Without a handler it would terminate the
+    /// process.
     reload: Signal,
 }
 
-/// The signals that ask a process to stop.
+/// The signals that stop the process: SIGTERM and SIGINT.
 #[derive(Debug)]
 struct StopSignals {
     terminate: Signal,
@@ -170,7 +175,8 @@
 }
 
 impl StopSignals {
-    async fn next(&mut self) {
+    /// Waits for one of the signals.
+    async fn recv(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
@@ -178,12 +184,13 @@
     }
 }
 
-/// Writes log lines to standard output, within the settings' budget.
+/// Starts to write log lines to standard output, within the byte rate of the
+/// settings.
 fn start_log(log: LogSettings) -> miette::Result<LogSink> {
     let sink = LogSink::start(log.bytes_per_s, std::io::stdout())
-        .map_err(|err| miette::miette!("no thread for the log: {err}"))?;
-    // The library of the messages between nodes writes a line for each
-    // connection that ends; these are counted instead.
+        .map_err(|err| miette::miette!("can't start the log thread: {err}"))?;
+    // tarpc, which carries the messages between nodes, logs a line for each
+    // connection that ends. Such connections are counted in metrics instead.
     let level = log.level.as_str();
     let filter = EnvFilter::new(format!("{level},tarpc=off"));
     let lines = tracing_subscriber::fmt()
@@ -197,6 +204,6 @@
     Ok(sink)
 }
 
-fn report(err: sassafrasspool_core::Error) -> Report {
+fn to_report(err: sassafrasspool_core::Error) -> Report {
     miette::miette!("{err}")
 }
