--- a/crates/node/src/control/task.rs
+++ b/crates/node/src/control/task.rs
@@ -139,9 +139,9 @@
     /// Reports to callers that the node isn't ready, and serves as before until
     /// they have had time to switch to other nodes.
     ///
-    /// It takes callers seconds to notice. When a stopping node drained at once,
-    /// its target was idle meanwhile; where instances were restarted one after
-    /// the other, four of eleven targets did nothing.
+    /// Callers notice after seconds. When a stopping node drained at once, its
+    /// target was idle meanwhile; where instances were restarted one after the
+    /// other, four of eleven targets were idle.
     async fn wait_for_callers_to_leave(&mut self) -> LoopExit {
         if !self.event_loop.driver.is_stop_requested() {
             return LoopExit::ConditionMet;
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -74,7 +74,9 @@
         let runtime = Builder::new_current_thread()
             .enable_all()
             .build()
-            .map_err(|cause| Error::new(Step::Connect, "no control runtime").with_cause(cause))?;
+            .map_err(|cause| {
+                Error::new(Step::Connect, "can't create the control runtime").with_cause(cause)
+            })?;
         let prepared = {
             let _context = runtime.enter();
             PreparedNode::new(settings, adapter, cancel, Traffic::start)?
@@ -83,7 +85,9 @@
         thread::Builder::new()
             .name("control".to_owned())
             .spawn(move || runtime.block_on(task))
-            .map_err(|cause| Error::new(Step::Connect, "no control thread").with_cause(cause))?;
+            .map_err(|cause| {
+                Error::new(Step::Connect, "can't start the control thread").with_cause(cause)
+            })?;
         Ok(running)
     }
 
