--- a/crates/core/src/catalogue.rs
+++ b/crates/core/src/catalogue.rs
@@ -13,10 +13,10 @@
 pub use self::limits::RetryLimits;
 pub use self::parse::parse;
 pub use self::path::RoutePath;
-pub use self::review::review;
 pub use self::route::Route;
 pub use self::route::Share;
 pub use self::service::ServiceEntry;
+pub use self::validate::review;
 
 pub(crate) use self::host::strip_port;
 
@@ -34,11 +34,11 @@
 mod parse;
 mod partial;
 mod path;
-mod review;
 mod route;
 mod service;
 #[cfg(test)]
 mod tests;
+mod validate;
 
 /// The items of a catalogue, with their version.
 pub type Catalogue = Document<CatalogueItem>;
--- a/crates/core/src/eject.rs
+++ b/crates/core/src/eject.rs
@@ -6,13 +6,13 @@
 //! Never more than a set share of a service is ejected: when most of it looks broken, the
 //! fault is more likely elsewhere.
 
+pub use self::attempt_outcome::Verdict;
 pub use self::settings::EjectSettings;
-pub use self::verdict::Verdict;
 
 pub(crate) use self::health::Health;
 
+mod attempt_outcome;
 mod health;
 mod settings;
 #[cfg(test)]
 mod tests;
-mod verdict;
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -16,19 +16,19 @@
 pub use self::content::Content;
 pub use self::content::Fingerprint;
 pub(crate) use self::pending_answers::PendingAnswers;
+pub use self::quarantine_state::ANSWER_EXCUSES;
+pub use self::quarantine_state::CRASHES;
+pub use self::quarantine_state::Verdicts;
 pub use self::report::Report;
 pub use self::report::ReportId;
 pub use self::report::Sighting;
 pub(crate) use self::reports::Reports;
-pub use self::verdicts::ANSWER_EXCUSES;
-pub use self::verdicts::CRASHES;
-pub use self::verdicts::Verdicts;
 
 mod content;
 mod observed_at;
 mod pending_answers;
+mod quarantine_state;
 mod report;
 mod reports;
 #[cfg(test)]
 mod tests;
-mod verdicts;
--- a/crates/core/src/quarantine/reports.rs
+++ b/crates/core/src/quarantine/reports.rs
@@ -13,8 +13,8 @@
 use super::Verdicts;
 use super::observed_at::ObservedAt;
 use super::observed_at::REPORT_RETENTION;
-use super::verdicts::ANSWER_EXCUSES;
-use super::verdicts::CRASHES_TO_SUSPECT;
+use super::quarantine_state::ANSWER_EXCUSES;
+use super::quarantine_state::CRASHES_TO_SUSPECT;
 use crate::Digest;
 use crate::Tick;
 
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -7,21 +7,21 @@
 //! least cost, by load and latency, among some that are drawn at random, and spills over to
 //! the next tier if that one is full.
 
+pub use self::locality::Position;
 pub use self::meters::Intake;
 pub use self::meters::Meters;
 pub use self::picked::Picked;
 pub use self::picker::Picker;
-pub use self::position::Position;
 pub use self::settings::RouteSettings;
 
 pub(crate) use self::rendezvous::Score;
 
 mod candidate;
+mod locality;
 mod meter;
 mod meters;
 mod picked;
 mod picker;
-mod position;
 mod rate;
 mod relative_latency;
 mod rendezvous;
--- a/crates/core/src/route/picker.rs
+++ b/crates/core/src/route/picker.rs
@@ -8,8 +8,8 @@
 use slotmap::SecondaryMap;
 
 use super::candidate::Candidate;
+use super::locality::TIERS;
 use super::percent_to_share;
-use super::position::TIERS;
 use super::rendezvous::Score;
 use super::service::ServiceView;
 use super::subset::arrange_subset;
