--- a/crates/bench/src/chaos/observer.rs
+++ b/crates/bench/src/chaos/observer.rs
@@ -10,7 +10,7 @@
 use sassafrasspool_core::Version;
 use sassafrasspool_core::history::Dangling;
 use sassafrasspool_core::history::Event;
-use sassafrasspool_core::history::Held;
+use sassafrasspool_core::history::SnapshotFacts;
 use sassafrasspool_wire::admin::SNAPSHOT_PATH;
 use sassafrasspool_wire::admin::SnapshotInfo;
 use sassafrasspool_wire::admin::VersionInfo;
@@ -46,10 +46,10 @@
 }
 
 /// What the node has in force; `None` if it has nothing or doesn't answer.
-pub async fn held_by(node: SocketAddr) -> Option<Held> {
+pub async fn held_by(node: SocketAddr) -> Option<SnapshotFacts> {
     let value = admin::get(node, SNAPSHOT_PATH).await?;
     let info: SnapshotInfo = serde_json::from_value(value).ok()?;
-    Some(Held {
+    Some(SnapshotFacts {
         catalogue: version(info.held.catalogue.as_ref()?)?,
         instances: version(info.held.instances.as_ref()?)?,
         content: content(&info)?,
--- a/crates/bench/src/control_fleet/publisher.rs
+++ b/crates/bench/src/control_fleet/publisher.rs
@@ -9,7 +9,7 @@
 use sassafrasspool_core::Snapshot;
 use sassafrasspool_core::Version;
 use sassafrasspool_core::catalogue;
-use sassafrasspool_core::history::Held;
+use sassafrasspool_core::history::SnapshotFacts;
 use sassafrasspool_standin::Platform;
 
 use crate::generate::GeneratedCatalogue;
@@ -81,11 +81,11 @@
     /// # Errors
     ///
     /// Fails if what was generated doesn't bind.
-    pub fn expected(&self) -> miette::Result<Held> {
+    pub fn expected(&self) -> miette::Result<SnapshotFacts> {
         let catalogue = self.catalogue.as_ref();
         let catalogue = catalogue.ok_or_else(|| miette!("nothing was published"))?;
         let snapshot = Snapshot::build(catalogue, &self.instances).into_diagnostic()?;
-        Held::of(&snapshot).into_diagnostic()
+        SnapshotFacts::of(&snapshot).into_diagnostic()
     }
 
     fn publish(&mut self, platform: &Platform) -> miette::Result<Version> {
--- a/crates/bench/src/control_fleet/seen.rs
+++ b/crates/bench/src/control_fleet/seen.rs
@@ -6,7 +6,7 @@
 use sassafrasspool_core::Stream;
 use sassafrasspool_core::Tick;
 use sassafrasspool_core::Version;
-use sassafrasspool_core::history::Held;
+use sassafrasspool_core::history::SnapshotFacts;
 
 /// A snapshot that a member was seen to have put in force.
 #[derive(Debug, Clone)]
@@ -20,13 +20,13 @@
     /// The instance list's version.
     pub instances: Version,
     /// The facts of the snapshot, if the watcher was told to take them.
-    pub held: Option<Arc<Held>>,
+    pub held: Option<Arc<SnapshotFacts>>,
 }
 
 impl Seen {
     pub(super) fn of(at: Tick, member: usize, snapshot: &Snapshot, facts: bool) -> Seen {
         let held = match facts {
-            true => Held::of(snapshot).ok().map(Arc::new),
+            true => SnapshotFacts::of(snapshot).ok().map(Arc::new),
             false => None,
         };
         Seen {
--- a/crates/bench/src/core_cost/driven.rs
+++ b/crates/bench/src/core_cost/driven.rs
@@ -16,8 +16,8 @@
 use sassafrasspool_core::PeerReply;
 use sassafrasspool_core::Snapshot;
 use sassafrasspool_core::SourceResult;
-use sassafrasspool_core::Spread;
 use sassafrasspool_core::SpreadConfig;
+use sassafrasspool_core::SpreadMachine;
 use sassafrasspool_core::Stream;
 use sassafrasspool_core::Tick;
 use sassafrasspool_core::Version;
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(super) struct Driven {
     pub(super) id: InstanceId,
-    machine: Spread,
+    machine: SpreadMachine,
     joined: bool,
     /// What it put in force last.
     pub(super) snapshot: Option<Arc<Snapshot>>,
@@ -57,7 +57,7 @@
         };
         Driven {
             id: local.id.clone(),
-            machine: Spread::new(SpreadConfig::default(), node, seed, Tick::ZERO),
+            machine: SpreadMachine::new(SpreadConfig::default(), node, seed, Tick::ZERO),
             joined: false,
             snapshot: None,
             calls: Vec::new(),
--- a/crates/bench/src/core_cost/run.rs
+++ b/crates/bench/src/core_cost/run.rs
@@ -14,11 +14,11 @@
 use sassafrasspool_core::Heads;
 use sassafrasspool_core::Instance;
 use sassafrasspool_core::InstanceList;
+use sassafrasspool_core::Locality;
 use sassafrasspool_core::Meters;
 use sassafrasspool_core::PeerMessage;
 use sassafrasspool_core::Phase;
 use sassafrasspool_core::Picker;
-use sassafrasspool_core::Position;
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::RouteSettings;
 use sassafrasspool_core::Stream;
@@ -210,7 +210,7 @@
             return;
         };
         let place = &self.source.instances[1];
-        let position = Position {
+        let position = Locality {
             instance: place.id.clone(),
             domain: place.domain.clone(),
             region: place.region.clone(),
--- a/crates/bench/src/spread/run.rs
+++ b/crates/bench/src/spread/run.rs
@@ -6,7 +6,7 @@
 
 use miette::IntoDiagnostic;
 use miette::miette;
-use sassafrasspool_core::history::Held;
+use sassafrasspool_core::history::SnapshotFacts;
 
 use super::Options;
 use super::Report;
@@ -130,7 +130,7 @@
 }
 
 /// How many members hold something else than `expected`.
-fn partial(fleet: &ControlFleet, expected: &Held) -> miette::Result<usize> {
+fn partial(fleet: &ControlFleet, expected: &SnapshotFacts) -> miette::Result<usize> {
     let members = fleet.members();
     let share = members.len().div_ceil(JUDGES).max(1);
     thread::scope(|scope| {
@@ -142,10 +142,10 @@
     })
 }
 
-fn partial_among(members: &[Member], expected: &Held) -> miette::Result<usize> {
+fn partial_among(members: &[Member], expected: &SnapshotFacts) -> miette::Result<usize> {
     let mut partial = 0;
     for snapshot in members.iter().filter_map(Member::in_force) {
-        if Held::of(&snapshot).into_diagnostic()? != *expected {
+        if SnapshotFacts::of(&snapshot).into_diagnostic()? != *expected {
             partial += 1;
         }
     }
--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admit.rs
@@ -16,11 +16,11 @@
 pub use self::cold_tolerance::ColdTolerance;
 pub use self::permit::Permit;
 pub use self::queued::Queued;
-pub use self::request::Ask;
+pub use self::request::AdmissionDecision;
+pub use self::request::AdmissionRequest;
 pub use self::request::ColdLimit;
-pub use self::request::Offer;
 pub use self::settings::AdmissionSettings;
-pub(crate) use self::token_bucket::Bucket;
+pub(crate) use self::token_bucket::TokenBucket;
 pub use self::wake::Waker;
 
 mod admission;
--- a/crates/core/src/admit/admission.rs
+++ b/crates/core/src/admit/admission.rs
@@ -13,12 +13,12 @@
 use super::state::State;
 use super::wake::Wake;
 use super::wake::Waker;
+use crate::AdmissionDecision;
+use crate::AdmissionRequest;
 use crate::AdmissionSettings;
-use crate::Ask;
 use crate::Class;
 use crate::Error;
 use crate::LoadReport;
-use crate::Offer;
 use crate::Permit;
 use crate::Queued;
 use crate::Reason;
@@ -35,11 +35,11 @@
 /// use std::time::Duration;
 ///
 /// use sassafrasspool_core::Admission;
+/// use sassafrasspool_core::AdmissionDecision;
 /// use sassafrasspool_core::AdmissionSettings;
 /// use sassafrasspool_core::Class;
 /// use sassafrasspool_core::Deadline;
 /// use sassafrasspool_core::Limits;
-/// use sassafrasspool_core::Offer;
 /// use sassafrasspool_core::Request;
 /// use sassafrasspool_core::RetryLimits;
 /// use sassafrasspool_core::Tick;
@@ -53,8 +53,8 @@
 /// let admission = Admission::new(AdmissionSettings::default(), 10)?;
 /// let now = Tick::from_millis(5);
 /// let request = Request::received(Class::Critical, Deadline::within(now, limits.deadline));
-/// let offer = admission.offer(now, &request.ask(&limits), || Box::new(drop));
-/// let Offer::Admitted(permit) = offer else {
+/// let decision = admission.request_slot(now, &request.ask(&limits), || Box::new(drop));
+/// let AdmissionDecision::Admitted(permit) = decision else {
 ///     panic!("all slots are free");
 /// };
 /// let sent = request.admit(permit).hand_over(now).expect("the deadline is far");
@@ -84,14 +84,21 @@
     /// Requests a slot.
     ///
     /// `waker` is only called if the request is queued.
-    pub fn offer(&self, now: Tick, request: &Ask<'_>, waker: impl FnOnce() -> Waker) -> Offer {
+    pub fn request_slot(
+        &self,
+        now: Tick,
+        request: &AdmissionRequest<'_>,
+        waker: impl FnOnce() -> Waker,
+    ) -> AdmissionDecision {
         let mut wakes = Vec::new();
         let decision = self.0.lock().decide(now, request, waker, &mut wakes);
         wakes.into_iter().for_each(Wake::call);
         match decision {
-            Decision::Run(work) => Offer::Admitted(Permit::new(&self.0, work, now)),
-            Decision::Wait(key, expires_at) => Offer::Queued(Queued::new(&self.0, key, expires_at)),
-            Decision::Refuse(refusal) => Offer::Refused(refusal),
+            Decision::Run(work) => AdmissionDecision::Admitted(Permit::new(&self.0, work, now)),
+            Decision::Wait(key, expires_at) => {
+                AdmissionDecision::Queued(Queued::new(&self.0, key, expires_at))
+            }
+            Decision::Refuse(refusal) => AdmissionDecision::Refused(refusal),
         }
     }
 
@@ -100,13 +107,13 @@
     ///
     /// This takes neither a slot nor a place in the queue. A caller that gets a refusal
     /// needn't send the body of its request.
-    pub fn foresee(&self, now: Tick, request: &Ask<'_>) -> Option<Refusal> {
+    pub fn predict_refusal(&self, now: Tick, request: &AdmissionRequest<'_>) -> Option<Refusal> {
         self.0.lock().predict_refusal(now, request)
     }
 
     /// Gives free slots to requests that are queued for a cold target. Returns when its rate
     /// limit admits the next one; nothing if no request waits for that.
-    pub fn refill(&self, now: Tick) -> Option<Tick> {
+    pub fn admit_queued(&self, now: Tick) -> Option<Tick> {
         let mut wakes = Vec::new();
         let next = self.0.lock().admit_queued(now, &self.0, &mut wakes);
         wakes.into_iter().for_each(Wake::call);
--- a/crates/core/src/admit/cold_tolerance.rs
+++ b/crates/core/src/admit/cold_tolerance.rs
@@ -35,18 +35,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ColdTolerance {
     /// Requests tolerated within a second, in percent of the rate; at least 100.
-    pub over_percent: u32,
+    pub max_rate_percent: u32,
     /// Requests tolerated within a second beyond that percentage.
-    pub slack: u32,
+    pub slack_requests: u32,
 }
 
 impl ColdTolerance {
     /// The limit for a target that can serve `per_s` requests a second and is cold until
     /// `until`.
     pub fn limit(self, per_s: u32, until: Tick) -> ColdLimit {
-        let max_requests = u64::from(per_s) * u64::from(self.over_percent) / 100;
+        let max_requests = u64::from(per_s) * u64::from(self.max_rate_percent) / 100;
         let max_requests = u32::try_from(max_requests).unwrap_or(u32::MAX);
-        let max_requests = max_requests.saturating_add(self.slack);
+        let max_requests = max_requests.saturating_add(self.slack_requests);
         let used = max_requests.saturating_sub(MARGIN_REQUESTS).max(1);
         let steady = (used.saturating_mul(STEADY_PERCENT) / 100).max(1);
         let burst = used.saturating_sub(steady).max(1);
@@ -61,8 +61,8 @@
 impl Default for ColdTolerance {
     fn default() -> ColdTolerance {
         ColdTolerance {
-            over_percent: 150,
-            slack: 0,
+            max_rate_percent: 150,
+            slack_requests: 0,
         }
     }
 }
--- a/crates/core/src/admit/queued.rs
+++ b/crates/core/src/admit/queued.rs
@@ -26,7 +26,7 @@
     }
 
     /// When to call [`Queued::expire`] unless the waker was called before.
-    pub const fn until(&self) -> Tick {
+    pub const fn expires_at(&self) -> Tick {
         self.expires_at
     }
 
--- a/crates/core/src/admit/request.rs
+++ b/crates/core/src/admit/request.rs
@@ -13,7 +13,7 @@
 
 /// A request as admission control sees it.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct AdmissionRequest<'a> {
     /// The priority of the request.
     pub class: Class,
     /// The moment until which the request may run.
@@ -23,14 +23,14 @@
     /// The kind of the request, if service times are averaged by kind.
     pub kind: Option<&'a KindName>,
     /// The soft deadline: the moment until which the answer is worth most to the caller.
-    pub aim: Option<Tick>,
+    pub soft_deadline: Option<Tick>,
     /// Whether this target is the last resort: no other target is asked after it. The
     /// request is then queued even if its answer is expected after the soft deadline.
-    pub settles: bool,
+    pub last_resort: bool,
     /// The target's slots according to the instance list, if it is listed.
     pub slots: Option<u32>,
     /// The rate limit while the target is cold, if it is.
-    pub cold: Option<ColdLimit>,
+    pub cold_limit: Option<ColdLimit>,
 }
 
 /// The rate limit on requests that start at a cold target.
@@ -46,7 +46,7 @@
 
 /// The decision of admission control.
 #[derive(Debug)]
-pub enum Offer {
+pub enum AdmissionDecision {
     /// The request runs now.
     Admitted(Permit),
     /// The request waits. Its waker is called once, unless the [`Queued`] is dropped first.
--- a/crates/core/src/admit/state.rs
+++ b/crates/core/src/admit/state.rs
@@ -9,12 +9,12 @@
 use super::reserve::Reserve;
 use super::service_times::ServiceTimes;
 use super::service_times::WorkType;
-use super::token_bucket::Bucket;
+use super::token_bucket::TokenBucket;
 use super::wake::Wake;
 use super::wake::Waker;
 use super::warm_up::WarmUp;
+use crate::AdmissionRequest;
 use crate::AdmissionSettings;
-use crate::Ask;
 use crate::Class;
 use crate::LoadReport;
 use crate::Permit;
@@ -59,7 +59,7 @@
     running_by_class: [u32; Class::ALL.len()],
     service_times: ServiceTimes,
     queue: Queue,
-    bucket: Bucket,
+    bucket: TokenBucket,
     reserve: Reserve,
     warm_up: WarmUp,
     /// The reasons for which nothing is admitted, the oldest first.
@@ -77,7 +77,7 @@
             running_by_class: [0; Class::ALL.len()],
             service_times: ServiceTimes::default(),
             queue: Queue::new(),
-            bucket: Bucket::full(),
+            bucket: TokenBucket::full(),
             reserve: Reserve::default(),
             warm_up: WarmUp::new(),
             close_reasons: Vec::new(),
@@ -98,7 +98,7 @@
     pub(super) fn decide(
         &mut self,
         now: Tick,
-        request: &Ask<'_>,
+        request: &AdmissionRequest<'_>,
         waker: impl FnOnce() -> Waker,
         wakes: &mut Vec<Wake>,
     ) -> Decision {
@@ -107,7 +107,7 @@
             self.slots = slots.clamp(1, u32::from(u16::MAX));
         }
         self.concurrency = self.slots.min(request.limits.concurrency.max(1));
-        self.warm_up.set_limit(request.cold);
+        self.warm_up.set_limit(request.cold_limit);
         self.expire_overdue(wakes);
         if let Some(refusal) = self.refuse_before_queueing(request) {
             return Decision::Refuse(refusal);
@@ -121,7 +121,7 @@
         self.enqueue(request, work, waker, wakes)
     }
 
-    fn refuse_before_queueing(&mut self, request: &Ask<'_>) -> Option<Refusal> {
+    fn refuse_before_queueing(&mut self, request: &AdmissionRequest<'_>) -> Option<Refusal> {
         if let Some(reason) = self.close_reasons.first() {
             return Some(refusal(*reason));
         }
@@ -135,7 +135,7 @@
 
     fn enqueue(
         &mut self,
-        request: &Ask<'_>,
+        request: &AdmissionRequest<'_>,
         work: WorkType,
         waker: impl FnOnce() -> Waker,
         wakes: &mut Vec<Wake>,
--- a/crates/core/src/admit/state/queue_position.rs
+++ b/crates/core/src/admit/state/queue_position.rs
@@ -4,7 +4,7 @@
 
 use super::State;
 use super::refusal;
-use crate::Ask;
+use crate::AdmissionRequest;
 use crate::Class;
 use crate::Reason;
 use crate::Refusal;
@@ -31,11 +31,11 @@
     /// Refuses a request whose wait would be wasted.
     pub(super) fn queue_position(
         &mut self,
-        request: &Ask<'_>,
+        request: &AdmissionRequest<'_>,
         work: WorkType,
     ) -> Result<QueuePosition, Refusal> {
         let took = self.service_times.expected(work);
-        let latest_start = request.aim.map(|aim| before(aim, took));
+        let latest_start = request.soft_deadline.map(|aim| before(aim, took));
         let in_time = latest_start.is_none_or(|latest_start| self.now <= latest_start);
         let precedence = Precedence::new(took, latest_start, self.now);
         let ahead = self.queue.count_ahead(request.class);
@@ -54,7 +54,7 @@
         // its parent request, whose slot time is then wasted.
         let late =
             in_time && latest_start.is_some_and(|latest_start| self.now + wait > latest_start);
-        if late && !request.settles {
+        if late && !request.last_resort {
             return Err(refusal(full).after(wait));
         }
         // A queued request is refused after `max_wait`: a longer wait would be wasted.
@@ -72,10 +72,10 @@
     pub(in crate::admit) fn predict_refusal(
         &mut self,
         now: Tick,
-        request: &Ask<'_>,
+        request: &AdmissionRequest<'_>,
     ) -> Option<Refusal> {
         self.now = self.now.max(now);
-        self.warm_up.set_limit(request.cold);
+        self.warm_up.set_limit(request.cold_limit);
         if let Some(reason) = self.close_reasons.first() {
             return Some(refusal(*reason));
         }
--- a/crates/core/src/admit/tests/cases.rs
+++ b/crates/core/src/admit/tests/cases.rs
@@ -10,11 +10,11 @@
 use super::fixture::NOW;
 use super::fixture::SETTINGS;
 use crate::Admission;
-use crate::Ask;
+use crate::AdmissionDecision;
+use crate::AdmissionRequest;
 use crate::Class;
 use crate::Deadline;
 use crate::Limits;
-use crate::Offer;
 use crate::Reason;
 use crate::testing::LIMITS;
 
@@ -161,23 +161,25 @@
 #[test]
 fn dropped_permit_goes_to_next_request() {
     let admission = Admission::new(SETTINGS, 1).unwrap();
-    let request = Ask {
+    let request = AdmissionRequest {
         kind: None,
-        aim: None,
-        settles: false,
+        soft_deadline: None,
+        last_resort: false,
         slots: None,
-        cold: None,
+        cold_limit: None,
         class: Class::Standard,
         deadline: Deadline::within(NOW, LIMITS.deadline),
         limits: &LIMITS,
     };
-    let Offer::Admitted(permit) = admission.offer(NOW, &request, || Box::new(drop)) else {
+    let AdmissionDecision::Admitted(permit) =
+        admission.request_slot(NOW, &request, || Box::new(drop))
+    else {
         panic!("the slot is free");
     };
-    let first = admission.offer(NOW, &request, || Box::new(drop));
+    let first = admission.request_slot(NOW, &request, || Box::new(drop));
     let decisions = Decisions::default();
     let sent = decisions.clone();
-    let next = admission.offer(NOW, &request, || {
+    let next = admission.request_slot(NOW, &request, || {
         Box::new(move |decision| sent.lock().unwrap().push((2, decision)))
     });
     permit.release(NOW);
@@ -256,23 +258,27 @@
     fixture.offer(NOW, Class::Standard, &LIMITS);
     let permit = fixture.take_permit();
     let soft_deadline = Some(NOW + Duration::from_millis(420));
-    let request = Ask {
+    let request = AdmissionRequest {
         kind: None,
-        aim: soft_deadline,
-        settles: true,
+        soft_deadline,
+        last_resort: true,
         slots: None,
-        cold: None,
+        cold_limit: None,
         class: Class::Standard,
         deadline: Deadline::within(NOW, LIMITS.deadline),
         limits: &LIMITS,
     };
-    let offer = |request: &Ask<'_>| fixture.admission.offer(NOW, request, || Box::new(drop));
-    let elsewhere = Ask {
-        settles: false,
+    let offer = |request: &AdmissionRequest<'_>| {
+        fixture
+            .admission
+            .request_slot(NOW, request, || Box::new(drop))
+    };
+    let elsewhere = AdmissionRequest {
+        last_resort: false,
         ..request
     };
-    assert!(matches!(offer(&elsewhere), Offer::Refused(_)));
-    assert!(matches!(offer(&request), Offer::Queued(_)));
+    assert!(matches!(offer(&elsewhere), AdmissionDecision::Refused(_)));
+    assert!(matches!(offer(&request), AdmissionDecision::Queued(_)));
     drop(permit);
 }
 
--- a/crates/core/src/admit/tests/cold.rs
+++ b/crates/core/src/admit/tests/cold.rs
@@ -13,13 +13,13 @@
 use rstest::rstest;
 
 use crate::Admission;
+use crate::AdmissionDecision;
+use crate::AdmissionRequest;
 use crate::AdmissionSettings;
-use crate::Ask;
 use crate::Class;
 use crate::ColdTolerance;
 use crate::Deadline;
 use crate::KindName;
-use crate::Offer;
 use crate::Permit;
 use crate::Refusal;
 use crate::Tick;
@@ -38,8 +38,8 @@
 const COLD_PER_S: u32 = 10;
 /// What they tolerate within a second; with more requests they crash.
 const TOLERANCE: ColdTolerance = ColdTolerance {
-    over_percent: 150,
-    slack: 8,
+    max_rate_percent: 150,
+    slack_requests: 8,
 };
 const TOLERATED: usize = 23;
 /// How long a crashed target is down.
@@ -151,24 +151,26 @@
         let until = held.started + COLD_TIME;
         let limit = TOLERANCE.limit(COLD_PER_S, until);
         let name = KindName::new("lookup").unwrap();
-        let request = Ask {
+        let request = AdmissionRequest {
             class: Class::Standard,
             deadline: Deadline::within(now, Duration::from_millis(2_500)),
             limits: &LIMITS,
             kind: Some(&name),
-            aim: Some(now + Duration::from_millis(400)),
-            settles: last_resort,
+            soft_deadline: Some(now + Duration::from_millis(400)),
+            last_resort,
             slots: None,
-            cold: (limited && now < until).then_some(limit),
+            cold_limit: (limited && now < until).then_some(limit),
         };
         let decisions = Arc::clone(&self.decisions);
         let waker = move || -> crate::Waker {
             Box::new(move |decision| decisions.lock().unwrap().push((target, decision)))
         };
-        match held.admission.offer(now, &request, waker) {
-            Offer::Admitted(permit) => self.decisions.lock().unwrap().push((target, Ok(permit))),
-            Offer::Refused(_) => return false,
-            Offer::Queued(queued) => {
+        match held.admission.request_slot(now, &request, waker) {
+            AdmissionDecision::Admitted(permit) => {
+                self.decisions.lock().unwrap().push((target, Ok(permit)))
+            }
+            AdmissionDecision::Refused(_) => return false,
+            AdmissionDecision::Queued(queued) => {
                 self.queued.push(queued);
                 self.refill(now, target);
             }
@@ -177,7 +179,7 @@
     }
 
     fn refill(&mut self, now: Tick, target: usize) {
-        if let Some(next) = self.targets[target].admission.refill(now) {
+        if let Some(next) = self.targets[target].admission.admit_queued(now) {
             self.events.push(Reverse((next, Event::Refill(target))));
         }
     }
--- a/crates/core/src/admit/tests/fixture.rs
+++ b/crates/core/src/admit/tests/fixture.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use crate::Admission;
+use crate::AdmissionDecision;
+use crate::AdmissionRequest;
 use crate::AdmissionSettings;
-use crate::Ask;
 use crate::Class;
 use crate::Deadline;
 use crate::Limits;
-use crate::Offer;
 use crate::Permit;
 use crate::Queued;
 use crate::Reason;
@@ -65,12 +65,12 @@
         soft_deadline: Option<Tick>,
     ) -> usize {
         let id = self.queued.len();
-        let request = Ask {
+        let request = AdmissionRequest {
             kind: None,
-            aim: soft_deadline,
-            settles: false,
+            soft_deadline,
+            last_resort: false,
             slots: None,
-            cold: None,
+            cold_limit: None,
             class,
             deadline: Deadline::within(now, limits.deadline),
             limits,
@@ -79,12 +79,16 @@
         let waker = move || -> crate::Waker {
             Box::new(move |decision| decisions.lock().unwrap().push((id, decision)))
         };
-        let offer = self.admission.offer(now, &request, waker);
+        let offer = self.admission.request_slot(now, &request, waker);
         let mut handle = None;
         match offer {
-            Offer::Admitted(permit) => self.decisions.lock().unwrap().push((id, Ok(permit))),
-            Offer::Refused(refusal) => self.decisions.lock().unwrap().push((id, Err(refusal))),
-            Offer::Queued(queued) => handle = Some(queued),
+            AdmissionDecision::Admitted(permit) => {
+                self.decisions.lock().unwrap().push((id, Ok(permit)))
+            }
+            AdmissionDecision::Refused(refusal) => {
+                self.decisions.lock().unwrap().push((id, Err(refusal)))
+            }
+            AdmissionDecision::Queued(queued) => handle = Some(queued),
         }
         self.queued.push(handle);
         self.classes.push(class);
--- a/crates/core/src/admit/tests/load.rs
+++ b/crates/core/src/admit/tests/load.rs
@@ -12,12 +12,12 @@
 use rand::rngs::SmallRng;
 
 use crate::Admission;
+use crate::AdmissionDecision;
+use crate::AdmissionRequest;
 use crate::AdmissionSettings;
-use crate::Ask;
 use crate::Class;
 use crate::Deadline;
 use crate::KindName;
-use crate::Offer;
 use crate::Permit;
 use crate::Queued;
 use crate::Refusal;
@@ -131,27 +131,31 @@
         let id = self.requests.len();
         let of = self.kinds[kind];
         let name = KindName::new(of.name).unwrap();
-        let request = Ask {
+        let request = AdmissionRequest {
             class: of.class,
             deadline: Deadline::within(now, Duration::from_millis(of.timeout_ms)),
             limits: &LIMITS,
             kind: Some(&name),
-            aim: Some(now + Duration::from_millis(of.soft_deadline_ms)),
-            settles: true,
+            soft_deadline: Some(now + Duration::from_millis(of.soft_deadline_ms)),
+            last_resort: true,
             slots: None,
-            cold: None,
+            cold_limit: None,
         };
         let decisions = self.decisions.clone();
         let waker = move || -> crate::Waker {
             Box::new(move |decision| decisions.lock().unwrap().push((id, decision)))
         };
         let mut queued = None;
-        match self.admission.offer(now, &request, waker) {
-            Offer::Admitted(permit) => self.decisions.lock().unwrap().push((id, Ok(permit))),
-            Offer::Refused(refusal) => self.decisions.lock().unwrap().push((id, Err(refusal))),
-            Offer::Queued(handle) => {
+        match self.admission.request_slot(now, &request, waker) {
+            AdmissionDecision::Admitted(permit) => {
+                self.decisions.lock().unwrap().push((id, Ok(permit)))
+            }
+            AdmissionDecision::Refused(refusal) => {
+                self.decisions.lock().unwrap().push((id, Err(refusal)))
+            }
+            AdmissionDecision::Queued(handle) => {
                 self.events
-                    .push(Reverse((handle.until(), Event::TimesOut(id))));
+                    .push(Reverse((handle.expires_at(), Event::TimesOut(id))));
                 queued = Some(handle);
             }
         }
--- a/crates/core/src/admit/tests/retry_hint.rs
+++ b/crates/core/src/admit/tests/retry_hint.rs
@@ -10,11 +10,11 @@
 use rstest::rstest;
 
 use crate::Admission;
+use crate::AdmissionDecision;
+use crate::AdmissionRequest;
 use crate::AdmissionSettings;
-use crate::Ask;
 use crate::Class;
 use crate::Deadline;
-use crate::Offer;
 use crate::Permit;
 use crate::Tick;
 use crate::testing::LIMITS;
@@ -57,28 +57,28 @@
                 continue;
             }
         };
-        let request = Ask {
+        let request = AdmissionRequest {
             class: Class::Standard,
             deadline: Deadline::within(now, Duration::from_secs(2)),
             limits: &LIMITS,
             kind: None,
-            aim: None,
-            settles: true,
+            soft_deadline: None,
+            last_resort: true,
             slots: None,
-            cold: None,
+            cold_limit: None,
         };
-        let offer = admission.offer(now, &request, || Box::new(drop));
+        let offer = admission.request_slot(now, &request, || Box::new(drop));
         let declined = match offer {
-            Offer::Admitted(permit) if rng.random_bool(DECLINED_SHARE) => {
+            AdmissionDecision::Admitted(permit) if rng.random_bool(DECLINED_SHARE) => {
                 permit.release(now);
                 true
             }
-            Offer::Admitted(permit) => {
+            AdmissionDecision::Admitted(permit) => {
                 events.push(Reverse((now + SERVICE_TIME, Event::Ends(running.len()))));
                 running.push(Some(permit));
                 false
             }
-            Offer::Queued(_) | Offer::Refused(_) => true,
+            AdmissionDecision::Queued(_) | AdmissionDecision::Refused(_) => true,
         };
         if !declined {
             in_time += usize::from(now.since(begun[caller]) + SERVICE_TIME <= SOFT_DEADLINE);
--- a/crates/core/src/admit/token_bucket.rs
+++ b/crates/core/src/admit/token_bucket.rs
@@ -9,15 +9,15 @@
 
 /// A token bucket whose rate is passed with each use.
 #[derive(Debug)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     micro_tokens: u64,
     refilled_at: Tick,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A bucket that is full at its first use.
-    pub(crate) const fn full() -> Bucket {
-        Bucket {
+    pub(crate) const fn full() -> TokenBucket {
+        TokenBucket {
             micro_tokens: u64::MAX,
             refilled_at: Tick::ZERO,
         }
@@ -40,7 +40,7 @@
         Some(Duration::from_micros(missing.div_ceil(rate)))
     }
 
-    /// Takes a token, after [`Bucket::refill`] found that one is available.
+    /// Takes a token, after [`TokenBucket::refill`] found that one is available.
     pub(crate) fn take(&mut self) {
         self.micro_tokens = self.micro_tokens.saturating_sub(MICRO_TOKENS_PER_TOKEN);
     }
--- a/crates/core/src/admit/warm_up.rs
+++ b/crates/core/src/admit/warm_up.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::token_bucket::Bucket;
+use super::token_bucket::TokenBucket;
 use crate::ColdLimit;
 use crate::Tick;
 
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub(super) struct WarmUp {
     limit: Option<ColdLimit>,
-    bucket: Bucket,
+    bucket: TokenBucket,
 }
 
 impl WarmUp {
@@ -23,7 +23,7 @@
     pub(super) const fn new() -> WarmUp {
         WarmUp {
             limit: None,
-            bucket: Bucket::full(),
+            bucket: TokenBucket::full(),
         }
     }
 
--- a/crates/core/src/caller_timeouts.rs
+++ b/crates/core/src/caller_timeouts.rs
@@ -40,9 +40,9 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use sassafrasspool_core::Patience;
+/// use sassafrasspool_core::CallerTimeouts;
 ///
-/// let mut patience = Patience::default();
+/// let mut patience = CallerTimeouts::default();
 /// let ms = Duration::from_millis;
 /// for n in 0..20 {
 ///     patience.note(ms(2_500));
@@ -52,7 +52,7 @@
 /// assert_eq!(patience.since_first(ms(1_800)), ms(700));
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Patience {
+pub struct CallerTimeouts {
     /// The filled buckets, by increasing number.
     buckets: Vec<Bucket>,
     total: u32,
@@ -66,7 +66,7 @@
     sum: Duration,
 }
 
-impl Patience {
+impl CallerTimeouts {
     /// Counts the timeout that a caller named.
     pub fn note(&mut self, timeout: Duration) {
         let number = bucket_of(timeout);
--- a/crates/core/src/caller_timeouts/tests.rs
+++ b/crates/core/src/caller_timeouts/tests.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use super::Patience;
+use super::CallerTimeouts;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -9,7 +9,7 @@
 /// Guards against first attempts that are not distinguished from retries under overload.
 #[test]
 fn first_attempts_are_detected_among_many_retries() {
-    let mut patience = Patience::default();
+    let mut patience = CallerTimeouts::default();
     for n in 0..500 {
         patience.note(ms(2_500));
         patience.note(ms(900 + (n * 7_919) % 1_500));
@@ -21,7 +21,7 @@
 
 #[test]
 fn without_a_usual_timeout_every_attempt_counts_as_the_first() {
-    let mut patience = Patience::default();
+    let mut patience = CallerTimeouts::default();
     for n in 0..100 {
         patience.note(ms(100 + n * 13));
     }
@@ -31,7 +31,7 @@
 /// Guards against an estimate that keeps the old timeout after operators raised it.
 #[test]
 fn a_new_usual_timeout_replaces_the_old_one() {
-    let mut patience = Patience::default();
+    let mut patience = CallerTimeouts::default();
     (0..1_000).for_each(|_| patience.note(ms(2_500)));
     (0..65).for_each(|_| patience.note(ms(4_000)));
     assert!(patience.since_first(ms(3_500)) <= ms(500));
@@ -40,7 +40,7 @@
 /// Guards against first attempts whose timeouts vary a little and are taken for retries.
 #[test]
 fn first_attempts_may_name_slightly_different_timeouts() {
-    let mut patience = Patience::default();
+    let mut patience = CallerTimeouts::default();
     for n in 0..900 {
         patience.note(ms(1_275 + (n * 7_919) % 225));
         if n % 3 == 0 {
--- a/crates/core/src/cold_tracker.rs
+++ b/crates/core/src/cold_tracker.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::ColdStart;
+use crate::TargetGeneration;
 use crate::TargetId;
-use crate::TargetLife;
 use crate::Tick;
 
 #[cfg(test)]
@@ -27,7 +27,7 @@
 /// use std::time::Duration;
 ///
 /// use sassafrasspool_core::ColdStart;
-/// use sassafrasspool_core::Coldness;
+/// use sassafrasspool_core::ColdTracker;
 /// use sassafrasspool_core::Tick;
 ///
 /// let start = ColdStart {
@@ -35,7 +35,7 @@
 ///     per_s: 10,
 ///     probe_path: None,
 /// };
-/// let mut coldness = Coldness::default();
+/// let mut coldness = ColdTracker::default();
 /// coldness.follow_evacuation(Tick::from_millis(1_000), &start, true);
 /// coldness.follow_evacuation(Tick::from_millis(9_000), &start, false);
 /// assert!(coldness.is_unproved());
@@ -44,8 +44,8 @@
 /// assert_eq!(coldness.until(), Tick::from_millis(9_010));
 /// ```
 #[derive(Debug, Default)]
-pub struct Coldness {
-    listed: Option<TargetLife>,
+pub struct ColdTracker {
+    listed: Option<TargetGeneration>,
     /// The remaining cold time in the last list that contained the target.
     listed_cold_for: Duration,
     /// The current generation, as named by requests or the list, and the one before it.
@@ -55,13 +55,13 @@
     unconfirmed: bool,
 }
 
-impl Coldness {
+impl ColdTracker {
     /// Updates the state from the entry of the target in the instance list.
     pub fn follow_list(
         &mut self,
         now: Tick,
         start: &ColdStart,
-        generation: &TargetLife,
+        generation: &TargetGeneration,
         cold_for: Duration,
     ) {
         let same_generation = self
--- a/crates/core/src/cold_tracker/tests.rs
+++ b/crates/core/src/cold_tracker/tests.rs
@@ -1,9 +1,9 @@
 use std::time::Duration;
 
 use crate::ColdStart;
-use crate::Coldness;
+use crate::ColdTracker;
+use crate::TargetGeneration;
 use crate::TargetId;
-use crate::TargetLife;
 use crate::Tick;
 
 const LASTS: Duration = Duration::from_secs(3);
@@ -16,8 +16,8 @@
     }
 }
 
-fn generation(id: &str) -> TargetLife {
-    TargetLife {
+fn generation(id: &str) -> TargetGeneration {
+    TargetGeneration {
         id: TargetId::new(id).unwrap(),
         listed_at: 1,
         born: None,
@@ -33,8 +33,8 @@
 }
 
 /// A target that is listed as warm and that a probe confirmed as warm.
-fn warm() -> Coldness {
-    let mut coldness = Coldness::default();
+fn warm() -> ColdTracker {
+    let mut coldness = ColdTracker::default();
     coldness.follow_list(at(0), &start(), &generation("i-1"), Duration::ZERO);
     coldness.probed(at(10), Duration::ZERO);
     coldness
@@ -44,7 +44,7 @@
 /// because its list is older than the event that made the target cold.
 #[test]
 fn a_target_is_cold_after_a_restart_of_its_node_until_a_probe() {
-    let mut coldness = Coldness::default();
+    let mut coldness = ColdTracker::default();
     coldness.follow_list(at(500), &start(), &generation("i-1"), Duration::ZERO);
     assert!(coldness.is_unproved());
     assert_eq!(coldness.until(), at(500) + LASTS);
--- a/crates/core/src/dedup.rs
+++ b/crates/core/src/dedup.rs
@@ -54,12 +54,12 @@
 //!   key and requests on idempotent routes aren't affected.
 
 pub use self::attempt::Attempt;
-pub use self::attempt_decision::Begin;
+pub use self::attempt_decision::AttemptDecision;
 pub use self::attempt_decision::StoredAnswer;
 pub use self::key::RequestKey;
-pub use self::run_permit::Running;
-pub use self::settings::RepeatSettings;
-pub use self::window::RepeatWindow;
+pub use self::run_permit::RunPermit;
+pub use self::settings::DedupSettings;
+pub use self::window::DedupWindow;
 
 mod attempt;
 mod attempt_decision;
--- a/crates/core/src/dedup/attempt_decision.rs
+++ b/crates/core/src/dedup/attempt_decision.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::Refusal;
-use crate::Running;
+use crate::RunPermit;
 
 /// An answer as the window stores it. The node that uses the window chooses its
 /// content.
@@ -27,9 +27,9 @@
 
 /// The owner's decision on an attempt.
 #[derive(Debug)]
-pub enum Begin {
+pub enum AttemptDecision {
     /// The key is proved to be unused: run the request and report its end.
-    Run(Running),
+    Run(RunPermit),
     /// The request has run with this answer.
     Answer(Arc<StoredAnswer>),
     /// The request isn't run.
--- a/crates/core/src/dedup/ownership.rs
+++ b/crates/core/src/dedup/ownership.rs
@@ -26,7 +26,7 @@
     /// The owner of a key. The first hop chooses it in the same way.
     pub(super) fn owner(&self, key: &RequestKey) -> Option<&InstanceId> {
         let by_score =
-            |(score, id): &&(Score, InstanceId)| (score.against(key.score()), id.clone());
+            |(score, id): &&(Score, InstanceId)| (score.combine(key.score()), id.clone());
         self.0.iter().max_by_key(by_score).map(|(_, id)| id)
     }
 }
--- a/crates/core/src/dedup/run_permit.rs
+++ b/crates/core/src/dedup/run_permit.rs
@@ -14,16 +14,16 @@
 /// Dropping it marks the outcome as unknown.
 #[derive(Debug)]
 #[must_use = "dropping it marks the outcome as unknown"]
-pub struct Running {
+pub struct RunPermit {
     shared: Arc<Shared>,
     key: RequestKey,
     attempt: Attempt,
     open: bool,
 }
 
-impl Running {
-    pub(super) fn new(shared: &Arc<Shared>, key: RequestKey, attempt: Attempt) -> Running {
-        Running {
+impl RunPermit {
+    pub(super) fn new(shared: &Arc<Shared>, key: RequestKey, attempt: Attempt) -> RunPermit {
+        RunPermit {
             shared: shared.clone(),
             key,
             attempt,
@@ -38,7 +38,7 @@
     ///
     /// Refuses if the node no longer owns the key or the lease expired while
     /// the request waited.
-    pub fn check(mut self, now: Tick) -> Result<Running, Refusal> {
+    pub fn recheck(mut self, now: Tick) -> Result<RunPermit, Refusal> {
         match self.shared.check_ownership(now, &self.key, self.attempt) {
             None => Ok(self),
             Some(refusal) => {
@@ -50,27 +50,27 @@
     }
 
     /// Stores the answer: the request ran and its whole answer was received.
-    pub fn done(mut self, now: Tick, answer: StoredAnswer) {
+    pub fn complete(mut self, now: Tick, answer: StoredAnswer) {
         self.open = false;
         self.shared.complete(now, &self.key, answer);
     }
 
     /// Marks the outcome as unknown: the request was handed over.
-    pub fn lost(mut self, now: Tick) {
+    pub fn mark_unknown(mut self, now: Tick) {
         self.open = false;
         self.shared.mark_unknown(Some(now), &self.key);
     }
 
     /// Returns the right: the request was refused before the hand-over, and the
     /// key counts as unused again.
-    pub fn refused(mut self, refusal: Refusal) -> Refusal {
+    pub fn release(mut self, refusal: Refusal) -> Refusal {
         self.open = false;
         self.shared.remove(&self.key);
         refusal
     }
 }
 
-impl Drop for Running {
+impl Drop for RunPermit {
     fn drop(&mut self) {
         // A cancelled task may already have handed its request over.
         if self.open {
--- a/crates/core/src/dedup/settings.rs
+++ b/crates/core/src/dedup/settings.rs
@@ -8,7 +8,7 @@
 
 /// Times and bounds of the keys that an owner keeps.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RepeatSettings {
+pub struct DedupSettings {
     /// How long a caller may use a key after its first attempt.
     pub hold: Duration,
     /// The longest age of the proof that the instance list is in force. It must
@@ -24,13 +24,13 @@
     pub max_answer_bytes: usize,
 }
 
-impl RepeatSettings {
+impl DedupSettings {
     /// Returns the settings if they are valid.
     ///
     /// # Errors
     ///
     /// Fails if `hold`, `lease` or `max_keys` is zero.
-    pub(super) fn validated(self) -> Result<RepeatSettings> {
+    pub(super) fn validated(self) -> Result<DedupSettings> {
         if self.hold.is_zero() || self.lease.is_zero() || self.max_keys == 0 {
             let message = "hold time, lease and number of request keys must be more than zero";
             return Err(Error::new(Step::Check, message));
@@ -56,9 +56,9 @@
     }
 }
 
-impl Default for RepeatSettings {
-    fn default() -> RepeatSettings {
-        RepeatSettings {
+impl Default for DedupSettings {
+    fn default() -> DedupSettings {
+        DedupSettings {
             hold: Duration::from_secs(300),
             lease: Duration::from_secs(30),
             max_keys: 50_000,
--- a/crates/core/src/dedup/state.rs
+++ b/crates/core/src/dedup/state.rs
@@ -7,9 +7,9 @@
 
 use super::ownership::Ownership;
 use crate::Attempt;
+use crate::DedupSettings;
 use crate::Reason;
 use crate::Refusal;
-use crate::RepeatSettings;
 use crate::RequestKey;
 use crate::Step;
 use crate::StoredAnswer;
@@ -48,7 +48,7 @@
 /// while a caller may still use it. `bytes` is the total size of the stored
 /// answers.
 pub(super) struct State {
-    cfg: RepeatSettings,
+    cfg: DedupSettings,
     pub(super) ownership: Ownership,
     keys: HashMap<RequestKey, KeyState>,
     ended: VecDeque<EndedKey>,
@@ -58,7 +58,7 @@
 }
 
 impl State {
-    pub(super) fn new(cfg: RepeatSettings, ownership: Ownership) -> State {
+    pub(super) fn new(cfg: DedupSettings, ownership: Ownership) -> State {
         State {
             cfg,
             ownership,
--- a/crates/core/src/dedup/tests.rs
+++ b/crates/core/src/dedup/tests.rs
@@ -3,7 +3,9 @@
 use rstest::rstest;
 
 use crate::Attempt;
-use crate::Begin;
+use crate::AttemptDecision;
+use crate::DedupSettings;
+use crate::DedupWindow;
 use crate::Instance;
 use crate::InstanceId;
 use crate::InstanceList;
@@ -11,18 +13,16 @@
 use crate::Outcome;
 use crate::Reason;
 use crate::Refusal;
-use crate::RepeatSettings;
-use crate::RepeatWindow;
 use crate::RequestKey;
 use crate::Revision;
-use crate::Running;
+use crate::RunPermit;
 use crate::ServiceName;
 use crate::Step;
 use crate::StoredAnswer;
 use crate::Tick;
 use crate::testing::instance;
 
-const CFG: RepeatSettings = RepeatSettings {
+const CFG: DedupSettings = DedupSettings {
     hold: Duration::from_secs(60),
     lease: Duration::from_secs(10),
     max_keys: 3,
@@ -53,29 +53,29 @@
 }
 
 /// The window of the only endpoint, whose list is in force since the start.
-fn window() -> RepeatWindow {
+fn window() -> DedupWindow {
     let me = InstanceId::new("ad-1").unwrap();
-    let window = RepeatWindow::new(CFG, me, service()).unwrap();
+    let window = DedupWindow::new(CFG, me, service()).unwrap();
     window.apply_list(at(0), &list(1, &["ad-1"]));
     window
 }
 
-fn proved(s: u64) -> RepeatWindow {
+fn proved(s: u64) -> DedupWindow {
     let window = window();
     window.prove(at(s), Revision::new(1).unwrap());
     window
 }
 
-fn run(window: &RepeatWindow, s: u64, text: &str) -> Running {
-    match window.begin(at(s), key(text), Attempt::MayRepeat) {
-        Begin::Run(running) => running,
+fn run(window: &DedupWindow, s: u64, text: &str) -> RunPermit {
+    match window.begin_attempt(at(s), key(text), Attempt::MayRepeat) {
+        AttemptDecision::Run(running) => running,
         other => panic!("{text} should run: {other:?}"),
     }
 }
 
-fn refused(window: &RepeatWindow, s: u64, text: &str, attempt: Attempt) -> Refusal {
-    match window.begin(at(s), key(text), attempt) {
-        Begin::Refuse(refusal) => refusal,
+fn refused(window: &DedupWindow, s: u64, text: &str, attempt: Attempt) -> Refusal {
+    match window.begin_attempt(at(s), key(text), attempt) {
+        AttemptDecision::Refuse(refusal) => refusal,
         other => panic!("{text} should be refused: {other:?}"),
     }
 }
@@ -116,10 +116,10 @@
     refused: Some((Outcome::NotRun, Reason::LeaseLapsed)) })]
 fn an_unseen_key_runs_only_with_a_fresh_proof(#[case] case: UnseenKey) {
     let window = proved(case.proof_s);
-    let actual = match window.begin(at(case.now_s), key("a"), case.attempt) {
-        Begin::Run(_) => None,
-        Begin::Refuse(refusal) => Some((refusal.outcome(), refusal.reason())),
-        Begin::Answer(_) => panic!("no answer is stored yet"),
+    let actual = match window.begin_attempt(at(case.now_s), key("a"), case.attempt) {
+        AttemptDecision::Run(_) => None,
+        AttemptDecision::Refuse(refusal) => Some((refusal.outcome(), refusal.reason())),
+        AttemptDecision::Answer(_) => panic!("no answer is stored yet"),
     };
     assert_eq!(actual, case.refused, "{case:?}");
 }
@@ -134,8 +134,8 @@
         (Outcome::Unknown, Reason::EarlierRunning)
     );
     assert!(refusal.retry_after().is_some());
-    running.done(at(101), answer(9));
-    let Begin::Answer(again) = window.begin(at(150), key("a"), REPEAT) else {
+    running.complete(at(101), answer(9));
+    let AttemptDecision::Answer(again) = window.begin_attempt(at(150), key("a"), REPEAT) else {
         panic!("the answer should be stored");
     };
     assert_eq!(*again, answer(9));
@@ -150,7 +150,7 @@
     let window = proved(100);
     let running = run(&window, 100, "a");
     if is_reported {
-        running.lost(at(101));
+        running.mark_unknown(at(101));
     } else {
         drop(running);
     }
@@ -163,8 +163,8 @@
 fn a_key_that_was_not_handed_over_may_run() {
     let window = proved(100);
     let refusal = Refusal::not_run(Step::Admission, Reason::QueueFull);
-    assert_eq!(run(&window, 100, "a").refused(refusal), refusal);
-    run(&window, 101, "a").lost(at(101));
+    assert_eq!(run(&window, 100, "a").release(refusal), refusal);
+    run(&window, 101, "a").mark_unknown(at(101));
 }
 
 /// Guards against a repeat that runs again because its key was evicted.
@@ -172,14 +172,14 @@
 fn a_full_window_refuses_new_keys_and_keeps_stored_ones() {
     let window = proved(100);
     for text in ["a", "b", "c"] {
-        run(&window, 100, text).done(at(100), answer(1));
+        run(&window, 100, text).complete(at(100), answer(1));
     }
     let refusal = refused(&window, 110, "d", FIRST);
     assert_eq!(refusal.outcome(), Outcome::NotRun);
     assert_eq!(refusal.retry_after(), Some(Duration::from_secs(60)));
     assert!(matches!(
-        window.begin(at(110), key("a"), REPEAT),
-        Begin::Answer(_)
+        window.begin_attempt(at(110), key("a"), REPEAT),
+        AttemptDecision::Answer(_)
     ));
 }
 
@@ -187,10 +187,15 @@
 #[test]
 fn answers_are_evicted_before_keys() {
     let window = proved(100);
-    run(&window, 100, "a").done(at(100), answer(60));
-    run(&window, 100, "b").done(at(100), answer(60));
-    run(&window, 100, "c").done(at(100), answer(61));
-    let known = |text| matches!(window.begin(at(101), key(text), REPEAT), Begin::Answer(_));
+    run(&window, 100, "a").complete(at(100), answer(60));
+    run(&window, 100, "b").complete(at(100), answer(60));
+    run(&window, 100, "c").complete(at(100), answer(61));
+    let known = |text| {
+        matches!(
+            window.begin_attempt(at(101), key(text), REPEAT),
+            AttemptDecision::Answer(_)
+        )
+    };
     assert_eq!(["a", "b", "c"].map(known), [false, true, false]);
     assert_eq!(
         refused(&window, 101, "a", FIRST).outcome(),
@@ -202,14 +207,14 @@
 #[test]
 fn a_key_is_kept_for_the_hold_time_and_a_lease() {
     let window = proved(100);
-    run(&window, 100, "a").done(at(100), answer(1));
+    run(&window, 100, "a").complete(at(100), answer(1));
     window.prove(at(170), Revision::new(1).unwrap());
     assert!(matches!(
-        window.begin(at(170), key("a"), REPEAT),
-        Begin::Answer(_)
+        window.begin_attempt(at(170), key("a"), REPEAT),
+        AttemptDecision::Answer(_)
     ));
     window.prove(at(171), Revision::new(1).unwrap());
-    run(&window, 171, "a").lost(at(171));
+    run(&window, 171, "a").mark_unknown(at(171));
 }
 
 /// Guards against a key that runs at two owners as its ownership changes twice.
@@ -233,7 +238,7 @@
         refused(&window, 110, moved, FIRST).reason(),
         Reason::Settling
     );
-    run(&window, 110, kept).lost(at(110));
+    run(&window, 110, kept).mark_unknown(at(110));
 
     let window = proved(100);
     window.apply_list(at(111), &list(3, &["ad-1"]));
--- a/crates/core/src/dedup/window.rs
+++ b/crates/core/src/dedup/window.rs
@@ -11,17 +11,17 @@
 use super::state::KeyDecision;
 use super::state::State;
 use crate::Attempt;
-use crate::Begin;
+use crate::AttemptDecision;
+use crate::DedupSettings;
 use crate::Instance;
 use crate::InstanceId;
 use crate::InstanceList;
 use crate::InstanceState;
 use crate::Refusal;
-use crate::RepeatSettings;
 use crate::RequestKey;
 use crate::Result;
 use crate::Revision;
-use crate::Running;
+use crate::RunPermit;
 use crate::ServiceName;
 use crate::Snapshot;
 use crate::StoredAnswer;
@@ -31,7 +31,7 @@
 ///
 /// It is used only for requests with a key on routes that aren't idempotent.
 #[derive(Debug, Clone)]
-pub struct RepeatWindow(Arc<Shared>);
+pub struct DedupWindow(Arc<Shared>);
 
 /// The state shared by the window and the running requests.
 pub(super) struct Shared {
@@ -39,18 +39,18 @@
     state: Mutex<State>,
 }
 
-impl RepeatWindow {
+impl DedupWindow {
     /// The empty window of the node of instance `me` of `service`, which has just
     /// started.
     ///
     /// # Errors
     ///
     /// Fails if the hold time, the lease or the number of keys is zero.
-    pub fn new(cfg: RepeatSettings, me: InstanceId, service: ServiceName) -> Result<RepeatWindow> {
+    pub fn new(cfg: DedupSettings, me: InstanceId, service: ServiceName) -> Result<DedupWindow> {
         let cfg = cfg.validated()?;
         let ownership = Ownership::new(me, cfg.lease);
         let state = State::new(cfg, ownership);
-        Ok(RepeatWindow(Arc::new(Shared {
+        Ok(DedupWindow(Arc::new(Shared {
             service,
             state: Mutex::new(state),
         })))
@@ -73,10 +73,10 @@
 
     /// Applies the instance list of a snapshot.
     ///
-    /// It does the same as [`RepeatWindow::apply_list`], but does nothing if the
+    /// It does the same as [`DedupWindow::apply_list`], but does nothing if the
     /// catalogue doesn't have the service. Once it does, the list is applied as
     /// if it were new, which only makes the owner wait.
-    pub fn snapshot_changed(&self, now: Tick, snapshot: &Snapshot) {
+    pub fn apply_snapshot(&self, now: Tick, snapshot: &Snapshot) {
         let revision = snapshot.instances().revision();
         let Some((_, service)) = snapshot.find_service(&self.0.service) else {
             return;
@@ -97,12 +97,12 @@
     }
 
     /// Decides whether an attempt that reached this node is run.
-    pub fn begin(&self, now: Tick, key: RequestKey, attempt: Attempt) -> Begin {
+    pub fn begin_attempt(&self, now: Tick, key: RequestKey, attempt: Attempt) -> AttemptDecision {
         let decision = self.0.lock().decide(now, key, attempt);
         match decision {
-            KeyDecision::Run => Begin::Run(Running::new(&self.0, key, attempt)),
-            KeyDecision::Answer(answer) => Begin::Answer(answer),
-            KeyDecision::Refuse(refusal) => Begin::Refuse(refusal),
+            KeyDecision::Run => AttemptDecision::Run(RunPermit::new(&self.0, key, attempt)),
+            KeyDecision::Answer(answer) => AttemptDecision::Answer(answer),
+            KeyDecision::Refuse(refusal) => AttemptDecision::Refuse(refusal),
         }
     }
 
@@ -148,7 +148,7 @@
 
 impl fmt::Debug for Shared {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("RepeatWindow")
+        f.debug_struct("DedupWindow")
             .field("keys", &self.lock().len())
             .finish()
     }
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -3,9 +3,9 @@
 //! A target and its node are drained separately. While only the target drains,
 //! the node still forwards the calls that the target makes.
 
-pub use self::atomic_word::Word;
+pub use self::atomic_word::AtomicWord;
 pub use self::gate::Gate;
-pub use self::gate::Pass;
+pub use self::gate::GatePass;
 pub use self::stage::Drain;
 pub use self::stage::Draining;
 pub use self::stage::Progress;
--- a/crates/core/src/drain/atomic_word.rs
+++ b/crates/core/src/drain/atomic_word.rs
@@ -5,7 +5,7 @@
 
 /// An atomic word. It is a trait so that tests can explore interleavings of
 /// threads.
-pub trait Word: Send + Sync {
+pub trait AtomicWord: Send + Sync {
     /// A word with the value zero.
     fn zero() -> Self;
     /// Reads the value.
@@ -14,7 +14,7 @@
     fn compare_and_set(&self, current: u64, new: u64) -> bool;
 }
 
-impl Word for AtomicU64 {
+impl AtomicWord for AtomicU64 {
     fn zero() -> AtomicU64 {
         AtomicU64::new(0)
     }
--- a/crates/core/src/drain/gate.rs
+++ b/crates/core/src/drain/gate.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 
+use crate::AtomicWord;
 use crate::Reason;
 use crate::Refusal;
 use crate::Step;
-use crate::Word;
 
 /// The bit that is set when the gate is closed. The lower bits are the count.
 const CLOSED_BIT: u64 = 1 << 63;
@@ -19,9 +19,9 @@
 /// The closed bit and the count are in one atomic word: after the write that
 /// closes the gate no request enters, so that a count of zero read from a
 /// closed gate is final.
-pub struct Gate<W: Word = AtomicU64>(Arc<W>);
+pub struct Gate<W: AtomicWord = AtomicU64>(Arc<W>);
 
-impl<W: Word> Gate<W> {
+impl<W: AtomicWord> Gate<W> {
     /// An open gate.
     pub fn open() -> Gate<W> {
         Gate(Arc::new(W::zero()))
@@ -32,14 +32,14 @@
     /// # Errors
     ///
     /// Refuses as not run if the gate is closed.
-    pub fn enter(&self) -> Result<Pass<W>, Refusal> {
+    pub fn enter(&self) -> Result<GatePass<W>, Refusal> {
         loop {
             let word = self.0.load();
             if word & CLOSED_BIT != 0 {
                 return Err(Refusal::not_run(Step::Admission, Reason::Draining));
             }
             if self.0.compare_and_set(word, word + 1) {
-                return Ok(Pass(self.0.clone()));
+                return Ok(GatePass(self.0.clone()));
             }
         }
     }
@@ -72,13 +72,13 @@
     }
 }
 
-impl<W: Word> Clone for Gate<W> {
+impl<W: AtomicWord> Clone for Gate<W> {
     fn clone(&self) -> Gate<W> {
         Gate(self.0.clone())
     }
 }
 
-impl<W: Word> fmt::Debug for Gate<W> {
+impl<W: AtomicWord> fmt::Debug for Gate<W> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Gate")
             .field("closed", &self.is_closed())
@@ -90,9 +90,9 @@
 /// Counts a request as in flight until it is dropped, which is when the whole
 /// answer has been sent.
 #[must_use = "dropping it ends the count of the request as in flight"]
-pub struct Pass<W: Word = AtomicU64>(Arc<W>);
+pub struct GatePass<W: AtomicWord = AtomicU64>(Arc<W>);
 
-impl<W: Word> Drop for Pass<W> {
+impl<W: AtomicWord> Drop for GatePass<W> {
     fn drop(&mut self) {
         loop {
             let word = self.0.load();
@@ -103,8 +103,8 @@
     }
 }
 
-impl<W: Word> fmt::Debug for Pass<W> {
+impl<W: AtomicWord> fmt::Debug for GatePass<W> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Pass")
+        f.write_str("GatePass")
     }
 }
--- a/crates/core/src/drain/stage.rs
+++ b/crates/core/src/drain/stage.rs
@@ -3,9 +3,9 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
+use crate::AtomicWord;
 use crate::Gate;
 use crate::Tick;
-use crate::Word;
 
 /// New requests are admitted.
 #[derive(Debug)]
@@ -26,21 +26,21 @@
 
 /// A planned stop of a target or node, whose requests enter through a gate.
 #[derive(Debug)]
-pub struct Drain<S, W: Word = AtomicU64> {
+pub struct Drain<S, W: AtomicWord = AtomicU64> {
     gate: Gate<W>,
     stage: S,
 }
 
 /// The result of polling a drain.
 #[derive(Debug)]
-pub enum Progress<W: Word = AtomicU64> {
+pub enum Progress<W: AtomicWord = AtomicU64> {
     /// Requests are in flight and the bound hasn't passed.
     Waiting(Drain<Draining, W>),
     /// The drain has ended.
-    Over(Drain<Stopped, W>),
+    Finished(Drain<Stopped, W>),
 }
 
-impl<W: Word> Drain<Serving, W> {
+impl<W: AtomicWord> Drain<Serving, W> {
     /// Starts in the serving stage with a new, open gate.
     pub fn serving() -> Drain<Serving, W> {
         Drain {
@@ -60,7 +60,7 @@
     }
 }
 
-impl<W: Word> Drain<Draining, W> {
+impl<W: AtomicWord> Drain<Draining, W> {
     /// Applies a further planned stop during this one. It never shortens the
     /// bound, so that it cuts no request that could finish in the first.
     pub fn begin_again(mut self, now: Tick, bound: Duration) -> Drain<Draining, W> {
@@ -81,7 +81,7 @@
             return Progress::Waiting(self);
         }
         // INVARIANT: The gate is closed, so that the count can't grow again.
-        Progress::Over(Drain {
+        Progress::Finished(Drain {
             gate: self.gate,
             stage: Stopped { cut: in_flight },
         })
@@ -97,7 +97,7 @@
     }
 }
 
-impl<W: Word> Drain<Stopped, W> {
+impl<W: AtomicWord> Drain<Stopped, W> {
     /// The number of requests in flight when the bound passed.
     pub const fn cut(&self) -> u64 {
         self.stage.cut
@@ -113,7 +113,7 @@
     }
 }
 
-impl<S, W: Word> Drain<S, W> {
+impl<S, W: AtomicWord> Drain<S, W> {
     /// The gate through which each request enters.
     pub const fn gate(&self) -> &Gate<W> {
         &self.gate
--- a/crates/core/src/drain/tests.rs
+++ b/crates/core/src/drain/tests.rs
@@ -5,6 +5,7 @@
 use shuttle::sync::atomic::Ordering;
 use shuttle::thread;
 
+use crate::AtomicWord;
 use crate::Drain;
 use crate::Draining;
 use crate::Gate;
@@ -12,12 +13,11 @@
 use crate::Reason;
 use crate::Serving;
 use crate::Tick;
-use crate::Word;
 
 const BOUND: Duration = Duration::from_secs(30);
 const NOW: Tick = Tick::from_millis(1_000);
 
-impl Word for AtomicU64 {
+impl AtomicWord for AtomicU64 {
     fn zero() -> AtomicU64 {
         AtomicU64::new(0)
     }
@@ -35,7 +35,7 @@
 fn waiting(progress: Progress) -> Drain<Draining> {
     match progress {
         Progress::Waiting(drain) => drain,
-        Progress::Over(over) => panic!("over with {} cut", over.cut()),
+        Progress::Finished(over) => panic!("over with {} cut", over.cut()),
     }
 }
 
@@ -54,7 +54,7 @@
 
 struct TwoStepWord(AtomicU64);
 
-impl Word for TwoStepWord {
+impl AtomicWord for TwoStepWord {
     fn zero() -> TwoStepWord {
         TwoStepWord(AtomicU64::new(0))
     }
@@ -64,7 +64,7 @@
     }
 
     fn compare_and_set(&self, current: u64, new: u64) -> bool {
-        let is_current = Word::load(self) == current;
+        let is_current = AtomicWord::load(self) == current;
         if is_current {
             self.0.store(new, Ordering::SeqCst);
         }
@@ -72,7 +72,7 @@
     }
 }
 
-fn race_entry_with_drain<W: Word + 'static>() {
+fn race_entry_with_drain<W: AtomicWord + 'static>() {
     let drain = Drain::<Serving, W>::serving();
     let gate = drain.gate().clone();
     let inside = Arc::new(AtomicU64::new(0));
@@ -81,7 +81,7 @@
     loop {
         match drain.poll(NOW) {
             Progress::Waiting(next) => drain = next,
-            Progress::Over(over) => {
+            Progress::Finished(over) => {
                 assert_eq!(over.cut(), 0);
                 break;
             }
@@ -99,7 +99,7 @@
     assert_eq!(gate.in_flight(), 0);
 }
 
-fn enter<W: Word>(gate: Gate<W>, inside: Arc<AtomicU64>) -> impl FnOnce() {
+fn enter<W: AtomicWord>(gate: Gate<W>, inside: Arc<AtomicU64>) -> impl FnOnce() {
     move || {
         let Ok(pass) = gate.enter() else { return };
         inside.fetch_add(1, Ordering::SeqCst);
@@ -121,7 +121,7 @@
     let drain = drain.begin_again(later, Duration::ZERO);
     let drain = waiting(drain.poll(NOW + Duration::from_secs(29)));
     drop(pass);
-    let Progress::Over(over) = drain.poll(NOW + Duration::from_secs(29)) else {
+    let Progress::Finished(over) = drain.poll(NOW + Duration::from_secs(29)) else {
         panic!("no request is in flight");
     };
     assert_eq!(over.cut(), 0);
@@ -131,7 +131,7 @@
 fn the_bound_ends_a_drain_and_counts_cut_requests() {
     let serving = Drain::<Serving>::serving();
     let passes = [(); 2].map(|()| serving.gate().enter().unwrap());
-    let Progress::Over(over) = serving.begin(NOW, BOUND).poll(NOW + BOUND) else {
+    let Progress::Finished(over) = serving.begin(NOW, BOUND).poll(NOW + BOUND) else {
         panic!("the bound has passed");
     };
     assert_eq!(over.cut(), 2);
--- a/crates/core/src/eject.rs
+++ b/crates/core/src/eject.rs
@@ -6,7 +6,7 @@
 //! Never more than a set share of a service is ejected: when most of it looks broken, the
 //! fault is more likely elsewhere.
 
-pub use self::attempt_outcome::Verdict;
+pub use self::attempt_outcome::AttemptOutcome;
 pub use self::settings::EjectSettings;
 
 pub(crate) use self::health::Health;
--- a/crates/core/src/eject/attempt_outcome.rs
+++ b/crates/core/src/eject/attempt_outcome.rs
@@ -4,7 +4,7 @@
 
 /// How one attempt at an endpoint ended, as far as it concerns the endpoint's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// The endpoint answered after this time.
     Answered(Duration),
     /// The endpoint refused because of its load. The connection works.
--- a/crates/core/src/generation_tracker.rs
+++ b/crates/core/src/generation_tracker.rs
@@ -28,17 +28,17 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use sassafrasspool_core::Succession;
+/// use sassafrasspool_core::GenerationTracker;
 /// use sassafrasspool_core::Tick;
 ///
-/// let mut generations = Succession::default();
+/// let mut generations = GenerationTracker::default();
 /// generations.declined(Tick::ZERO, &"t-1", &"t-2");
 /// assert_eq!(generations.meant(Tick::ZERO, &"t-1"), &"t-1");
 /// let later = Tick::ZERO + Duration::from_secs(2);
 /// assert_eq!(generations.meant(later, &"t-1"), &"t-2");
 /// ```
 #[derive(Debug)]
-pub struct Succession<G> {
+pub struct GenerationTracker<G> {
     /// The generation that most recently answered a request that named it.
     last_answered: Option<G>,
     ended: Option<EndedGeneration<G>>,
@@ -59,7 +59,7 @@
 /// to find out that its target serves another service.
 const MIN_DECLINED_TIME: Duration = Duration::from_secs(2);
 
-impl<G: Clone + PartialEq> Succession<G> {
+impl<G: Clone + PartialEq> GenerationTracker<G> {
     /// Records that a generation answered a request that named it.
     pub fn answered(&mut self, generation: &G) {
         if self.last_answered.as_ref() != Some(generation) {
@@ -100,9 +100,9 @@
     }
 }
 
-impl<G> Default for Succession<G> {
-    fn default() -> Succession<G> {
-        Succession {
+impl<G> Default for GenerationTracker<G> {
+    fn default() -> GenerationTracker<G> {
+        GenerationTracker {
             last_answered: None,
             ended: None,
         }
--- a/crates/core/src/generation_tracker/tests.rs
+++ b/crates/core/src/generation_tracker/tests.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 
+use super::GenerationTracker;
 use super::MIN_DECLINED_TIME;
-use super::Succession;
 use crate::Tick;
 
 /// A response of the local target.
@@ -39,7 +39,7 @@
 #[case::another_generation_was_requested(Case { responses: &[Response::Declined("t-0", "t-2")], resolved: "t-1" })]
 #[case::declined_by_the_named_generation(Case { responses: &[Response::Declined("t-1", "t-1")], resolved: "t-1" })]
 fn a_request_names_the_successor_only_if_the_service_is_certainly_the_same(#[case] case: Case) {
-    let mut generations = Succession::default();
+    let mut generations = GenerationTracker::default();
     for response in case.responses {
         match response {
             Response::Answered(generation) => generations.answered(generation),
@@ -55,7 +55,7 @@
 /// Guards against requests that run at another service's target at a reused address.
 #[test]
 fn a_successor_is_not_named_before_the_settings_had_time_to_change() {
-    let mut generations = Succession::default();
+    let mut generations = GenerationTracker::default();
     generations.declined(Tick::ZERO, &"t-1", &"t-2");
     let before = Tick::ZERO + MIN_DECLINED_TIME / 2;
     generations.declined(before, &"t-1", &"t-2");
@@ -67,7 +67,7 @@
 /// Guards against one log line per declined request when many requests are in flight.
 #[test]
 fn a_successor_is_reported_as_new_only_once() {
-    let mut generations = Succession::default();
+    let mut generations = GenerationTracker::default();
     assert!(generations.declined(Tick::ZERO, &"t-1", &"t-2"));
     assert!(!generations.declined(Tick::ZERO, &"t-1", &"t-2"));
     assert!(generations.declined(Tick::ZERO, &"t-1", &"t-3"));
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -8,15 +8,15 @@
 
 | guarantee | violated if |
 |---|---|
-| [`Promise::NoStepBack`] | a node applies a version older than its current one or other content of the same revision, or routes a request by such a version |
-| [`Promise::NoDangling`] | a snapshot in force has a route or endpoint whose service is missing from it |
-| [`Promise::AllOrNothing`] | an invalid or unpublished version is in force, or the content of a pair of versions differs between snapshots |
-| [`Promise::WholeAnswer`] | an answer belongs to another request, is incomplete, arrives twice or never |
-| [`Promise::TrueRefusal`] | a request refused as not run was run |
-| [`Promise::AtMostOnce`] | an operation that may not be repeated runs a second time |
-| [`Promise::LeavingRests`] | a target starts work later than a bound after it began to leave |
-| [`Promise::GracefulStop`] | a planned stop ends with requests in flight |
-| [`Promise::InForceSoon`] | a valid version isn't in force on a reachable node within a bound |
+| [`Guarantee::NoStepBack`] | a node applies a version older than its current one or other content of the same revision, or routes a request by such a version |
+| [`Guarantee::NoDangling`] | a snapshot in force has a route or endpoint whose service is missing from it |
+| [`Guarantee::AllOrNothing`] | an invalid or unpublished version is in force, or the content of a pair of versions differs between snapshots |
+| [`Guarantee::WholeAnswer`] | an answer belongs to another request, is incomplete, arrives twice or never |
+| [`Guarantee::TrueRefusal`] | a request refused as not run was run |
+| [`Guarantee::AtMostOnce`] | an operation that may not be repeated runs a second time |
+| [`Guarantee::NoWorkWhileLeaving`] | a target starts work later than a bound after it began to leave |
+| [`Guarantee::GracefulStop`] | a planned stop ends with requests in flight |
+| [`Guarantee::InForceSoon`] | a valid version isn't in force on a reachable node within a bound |
 
 # Example
 
@@ -24,9 +24,9 @@
 use sassafrasspool_core::Tick;
 use sassafrasspool_core::history::Bounds;
 use sassafrasspool_core::history::Event;
+use sassafrasspool_core::history::Guarantee;
 use sassafrasspool_core::history::History;
 use sassafrasspool_core::history::OperationId;
-use sassafrasspool_core::history::Promise;
 use sassafrasspool_core::history::RequestId;
 use sassafrasspool_core::history::check;
 
@@ -35,20 +35,20 @@
 let sent = Event::Sent { request, operation: OperationId(1), repeatable: false };
 history.record(Tick::from_millis(1), sent);
 let found = check(&history, &Bounds::default());
-assert_eq!(found[0].promise(), Promise::WholeAnswer);
+assert_eq!(found[0].promise(), Guarantee::WholeAnswer);
 ```
 */
 
 pub use self::bounds::Bounds;
 pub use self::check::check;
 pub use self::event::Event;
-pub use self::guarantee::Promise;
+pub use self::guarantee::Guarantee;
 pub use self::ids::OperationId;
 pub use self::ids::RequestId;
 pub use self::record::History;
 pub use self::record::Record;
 pub use self::snapshot_facts::Dangling;
-pub use self::snapshot_facts::Held;
+pub use self::snapshot_facts::SnapshotFacts;
 pub use self::violation::Breach;
 pub use self::violation::Violation;
 
--- a/crates/core/src/history/event.rs
+++ b/crates/core/src/history/event.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use super::Held;
 use super::OperationId;
 use super::RequestId;
+use super::SnapshotFacts;
 use crate::InstanceId;
 use crate::Stream;
 use crate::Version;
@@ -47,7 +47,7 @@
         /// The node.
         node: InstanceId,
         /// The facts of the snapshot.
-        held: Arc<Held>,
+        held: Arc<SnapshotFacts>,
     },
     /// A node pinned its snapshot for a request. Its time is taken before the
     /// snapshot is read.
--- a/crates/core/src/history/guarantee.rs
+++ b/crates/core/src/history/guarantee.rs
@@ -4,7 +4,7 @@
 
 /// One of the nine guarantees that a run is checked against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Promise {
+pub enum Guarantee {
     /// No node returns to a version older than one that it has applied.
     NoStepBack,
     /// No route refers to a service or endpoint that is missing on the node.
@@ -18,44 +18,44 @@
     /// An operation that may not be repeated runs at most once.
     AtMostOnce,
     /// A leaving target starts no new work after a bound.
-    LeavingRests,
+    NoWorkWhileLeaving,
     /// A planned stop cuts no request in flight.
     GracefulStop,
     /// A valid version is in force on all reachable nodes within a bound.
     InForceSoon,
 }
 
-impl Promise {
+impl Guarantee {
     /// All guarantees.
-    pub const ALL: [Promise; 9] = [
-        Promise::NoStepBack,
-        Promise::NoDangling,
-        Promise::AllOrNothing,
-        Promise::WholeAnswer,
-        Promise::TrueRefusal,
-        Promise::AtMostOnce,
-        Promise::LeavingRests,
-        Promise::GracefulStop,
-        Promise::InForceSoon,
+    pub const ALL: [Guarantee; 9] = [
+        Guarantee::NoStepBack,
+        Guarantee::NoDangling,
+        Guarantee::AllOrNothing,
+        Guarantee::WholeAnswer,
+        Guarantee::TrueRefusal,
+        Guarantee::AtMostOnce,
+        Guarantee::NoWorkWhileLeaving,
+        Guarantee::GracefulStop,
+        Guarantee::InForceSoon,
     ];
 
     /// The guarantee's name in reports.
     pub const fn as_str(self) -> &'static str {
         match self {
-            Promise::NoStepBack => "no-step-back",
-            Promise::NoDangling => "no-dangling",
-            Promise::AllOrNothing => "all-or-nothing",
-            Promise::WholeAnswer => "whole-answer",
-            Promise::TrueRefusal => "true-refusal",
-            Promise::AtMostOnce => "at-most-once",
-            Promise::LeavingRests => "leaving-rests",
-            Promise::GracefulStop => "graceful-stop",
-            Promise::InForceSoon => "in-force-soon",
+            Guarantee::NoStepBack => "no-step-back",
+            Guarantee::NoDangling => "no-dangling",
+            Guarantee::AllOrNothing => "all-or-nothing",
+            Guarantee::WholeAnswer => "whole-answer",
+            Guarantee::TrueRefusal => "true-refusal",
+            Guarantee::AtMostOnce => "at-most-once",
+            Guarantee::NoWorkWhileLeaving => "leaving-rests",
+            Guarantee::GracefulStop => "graceful-stop",
+            Guarantee::InForceSoon => "in-force-soon",
         }
     }
 }
 
-impl fmt::Display for Promise {
+impl fmt::Display for Guarantee {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
--- a/crates/core/src/history/rule/all_or_nothing.rs
+++ b/crates/core/src/history/rule/all_or_nothing.rs
@@ -12,7 +12,7 @@
 use crate::Version;
 use crate::history::Breach;
 use crate::history::Event;
-use crate::history::Held;
+use crate::history::SnapshotFacts;
 use crate::history::Violation;
 
 /// The valid versions published, and the content of each pair of versions as
@@ -44,7 +44,7 @@
         &self,
         at: Tick,
         node: &InstanceId,
-        held: &Held,
+        held: &SnapshotFacts,
         found: &mut Vec<Violation>,
     ) {
         for stream in Stream::ALL {
@@ -68,7 +68,7 @@
         &mut self,
         at: Tick,
         node: &InstanceId,
-        held: &Held,
+        held: &SnapshotFacts,
         found: &mut Vec<Violation>,
     ) {
         let (catalogue, instances) = (held.catalogue, held.instances);
--- a/crates/core/src/history/snapshot_facts.rs
+++ b/crates/core/src/history/snapshot_facts.rs
@@ -15,7 +15,7 @@
 
 /// The facts of one snapshot.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Held {
+pub struct SnapshotFacts {
     /// Version of the catalogue.
     pub catalogue: Version,
     /// Version of the instance list.
@@ -48,14 +48,14 @@
     },
 }
 
-impl Held {
+impl SnapshotFacts {
     /// Extracts the facts from a snapshot by following every reference in it.
     ///
     /// # Errors
     ///
     /// Fails if an item can't be encoded for its digest.
-    pub fn of(snapshot: &Snapshot) -> Result<Held> {
-        Ok(Held {
+    pub fn of(snapshot: &Snapshot) -> Result<SnapshotFacts> {
+        Ok(SnapshotFacts {
             catalogue: snapshot.catalogue(),
             instances: snapshot.instances(),
             content: content(snapshot)?,
--- a/crates/core/src/history/tests.rs
+++ b/crates/core/src/history/tests.rs
@@ -5,11 +5,11 @@
 use super::Bounds;
 use super::Dangling;
 use super::Event;
-use super::Held;
+use super::Guarantee;
 use super::History;
 use super::OperationId;
-use super::Promise;
 use super::RequestId;
+use super::SnapshotFacts;
 use super::check;
 use crate::Digest;
 use crate::InstanceId;
@@ -33,7 +33,7 @@
 }
 
 fn in_force(catalogue: Version) -> Event {
-    let held = Held {
+    let held = SnapshotFacts {
         catalogue,
         instances: version(1, 0),
         content: catalogue.digest(),
@@ -46,7 +46,7 @@
     }
 }
 
-fn in_force_with(change: impl FnOnce(&mut Held)) -> Event {
+fn in_force_with(change: impl FnOnce(&mut SnapshotFacts)) -> Event {
     let Event::InForce { node, held } = in_force(version(1, 1)) else {
         unreachable!()
     };
@@ -158,7 +158,7 @@
     ]
 }
 
-fn broken_guarantees(run: &[At]) -> Vec<Promise> {
+fn broken_guarantees(run: &[At]) -> Vec<Guarantee> {
     let mut hisymptom = History::new();
     for At(ms, event) in run {
         hisymptom.record(Tick::from_millis(*ms), event.clone());
@@ -178,14 +178,14 @@
     /// The symptom from a user's point of view.
     symptom: &'static str,
     events: Vec<At>,
-    promise: Promise,
+    promise: Guarantee,
 }
 
 #[rstest]
 #[case(BrokenRun {
     symptom: "a late delta restores outdated limits",
     events: vec![At(65_100, in_force(version(1, 1)))],
-    promise: Promise::NoStepBack,
+    promise: Guarantee::NoStepBack,
 })]
 #[case(BrokenRun {
     symptom: "one revision is published with two contents, and a node applies the second",
@@ -193,12 +193,12 @@
         At(65_050, published(Stream::Catalogue, version(2, 3))),
         At(65_100, in_force(version(2, 3))),
     ],
-    promise: Promise::NoStepBack,
+    promise: Guarantee::NoStepBack,
 })]
 #[case(BrokenRun {
     symptom: "a request is routed by the old snapshot after the swap",
     events: vec![At(65_100, pinned(version(1, 1)))],
-    promise: Promise::NoStepBack,
+    promise: Guarantee::NoStepBack,
 })]
 #[case(BrokenRun {
     symptom: "a route refers to a removed service, and its calls get no answer",
@@ -206,7 +206,7 @@
         path: RoutePath::new("/adjuster").unwrap(),
         service: ServiceName::new("gone").unwrap(),
     })))],
-    promise: Promise::NoDangling,
+    promise: Guarantee::NoDangling,
 })]
 #[case(BrokenRun {
     symptom: "a version from which no snapshot can be built is in force on one node",
@@ -214,37 +214,37 @@
         At(65_050, Event::PublishedBad { stream: Stream::Catalogue, version: version(3, 9) }),
         At(65_100, in_force(version(3, 9))),
     ],
-    promise: Promise::AllOrNothing,
+    promise: Guarantee::AllOrNothing,
 })]
 #[case(BrokenRun {
     symptom: "half of the entries of a version are in force as that version",
     events: vec![At(11, in_force_with(|held| held.content = Digest::of(b"half")))],
-    promise: Promise::AllOrNothing,
+    promise: Guarantee::AllOrNothing,
 })]
 #[case(BrokenRun {
     symptom: "an agent receives another agent's report",
     events: vec![At(70, sent(9, 9)), At(71, answered(9, 1, true))],
-    promise: Promise::WholeAnswer,
+    promise: Guarantee::WholeAnswer,
 })]
 #[case(BrokenRun {
     symptom: "a truncated photograph is delivered as complete",
     events: vec![At(70, sent(9, 9)), At(71, answered(9, 9, false))],
-    promise: Promise::WholeAnswer,
+    promise: Guarantee::WholeAnswer,
 })]
 #[case(BrokenRun {
     symptom: "an answer arrives after the caller received an unknown outcome",
     events: vec![At(70, answered(3, 3, true))],
-    promise: Promise::WholeAnswer,
+    promise: Guarantee::WholeAnswer,
 })]
 #[case(BrokenRun {
     symptom: "a request never ends",
     events: vec![At(70, sent(9, 9))],
-    promise: Promise::WholeAnswer,
+    promise: Guarantee::WholeAnswer,
 })]
 #[case(BrokenRun {
     symptom: "an approval refused as not run is paid out",
     events: vec![At(70, sent(9, 9)), At(71, refused(9)), At(72, started(9)), At(73, finished(9))],
-    promise: Promise::TrueRefusal,
+    promise: Guarantee::TrueRefusal,
 })]
 #[case(BrokenRun {
     symptom: "a caller repeats an approval with its key, and it is paid twice",
@@ -254,12 +254,12 @@
         At(72, finished(9)),
         At(73, answered(9, 9, true)),
     ],
-    promise: Promise::AtMostOnce,
+    promise: Guarantee::AtMostOnce,
 })]
 #[case(BrokenRun {
     symptom: "one request reaches the target twice over two connections",
     events: vec![At(22, started(1))],
-    promise: Promise::AtMostOnce,
+    promise: Guarantee::AtMostOnce,
 })]
 #[case(BrokenRun {
     symptom: "a node with a stale list sends work to a target that began to leave three seconds ago",
@@ -268,22 +268,22 @@
         At(69_001, started(9)),
         At(69_002, answered(9, 9, true)),
     ],
-    promise: Promise::LeavingRests,
+    promise: Guarantee::NoWorkWhileLeaving,
 })]
 #[case(BrokenRun {
     symptom: "a target stops while a sign-off runs",
     events: vec![At(66_010, sent(9, 9)), At(66_011, started(9)), At(67_000, unknown(9))],
-    promise: Promise::GracefulStop,
+    promise: Guarantee::GracefulStop,
 })]
 #[case(BrokenRun {
     symptom: "the bound of a drain cuts requests, and the node reports them",
     events: vec![At(67_001, drain_ended(2))],
-    promise: Promise::GracefulStop,
+    promise: Guarantee::GracefulStop,
 })]
 #[case(BrokenRun {
     symptom: "a reachable node uses outdated limits for more than eleven seconds",
     events: vec![At(68_000, published(Stream::Catalogue, version(3, 3)))],
-    promise: Promise::InForceSoon,
+    promise: Guarantee::InForceSoon,
 })]
 fn a_broken_guarantee_is_reported_alone(#[case] case: BrokenRun) {
     let mut run = good_run();
--- a/crates/core/src/history/violation.rs
+++ b/crates/core/src/history/violation.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::Dangling;
+use super::Guarantee;
 use super::OperationId;
-use super::Promise;
 use super::RequestId;
 use crate::InstanceId;
 use crate::Stream;
@@ -99,20 +99,20 @@
 
 impl Violation {
     /// The guarantee that was violated.
-    pub fn promise(&self) -> Promise {
+    pub fn promise(&self) -> Guarantee {
         match self.breach {
-            Breach::SteppedBack { .. } | Breach::ServedByOlder { .. } => Promise::NoStepBack,
-            Breach::Dangles { .. } => Promise::NoDangling,
-            Breach::NotPublished { .. } | Breach::InPart { .. } => Promise::AllOrNothing,
+            Breach::SteppedBack { .. } | Breach::ServedByOlder { .. } => Guarantee::NoStepBack,
+            Breach::Dangles { .. } => Guarantee::NoDangling,
+            Breach::NotPublished { .. } | Breach::InPart { .. } => Guarantee::AllOrNothing,
             Breach::Crossed { .. }
             | Breach::CutShort { .. }
             | Breach::EndedTwice { .. }
-            | Breach::Lost { .. } => Promise::WholeAnswer,
-            Breach::RanThoughRefused { .. } => Promise::TrueRefusal,
-            Breach::RanAgain { .. } => Promise::AtMostOnce,
-            Breach::WorkedWhileLeaving { .. } => Promise::LeavingRests,
-            Breach::CutByStop { .. } | Breach::CountedCuts { .. } => Promise::GracefulStop,
-            Breach::Late { .. } => Promise::InForceSoon,
+            | Breach::Lost { .. } => Guarantee::WholeAnswer,
+            Breach::RanThoughRefused { .. } => Guarantee::TrueRefusal,
+            Breach::RanAgain { .. } => Guarantee::AtMostOnce,
+            Breach::WorkedWhileLeaving { .. } => Guarantee::NoWorkWhileLeaving,
+            Breach::CutByStop { .. } | Breach::CountedCuts { .. } => Guarantee::GracefulStop,
+            Breach::Late { .. } => Guarantee::InForceSoon,
         }
     }
 }
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -1,7 +1,7 @@
 //! The platform's list of instances, which lags behind their actual state.
 
 pub use self::entry::Instance;
-pub use self::generation::TargetLife;
+pub use self::generation::TargetGeneration;
 pub use self::state::InstanceState;
 
 use crate::Document;
--- a/crates/core/src/instance/entry.rs
+++ b/crates/core/src/instance/entry.rs
@@ -12,7 +12,7 @@
 use crate::Item;
 use crate::RegionName;
 use crate::ServiceName;
-use crate::TargetLife;
+use crate::TargetGeneration;
 
 /// A target instance and its node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
     pub state: InstanceState,
     /// The generation of the target, if the platform distinguishes generations.
     #[serde(default)]
-    pub target: Option<TargetLife>,
+    pub target: Option<TargetGeneration>,
     /// Remaining cold time of the target when the platform first received its entry;
     /// zero once the target is warm.
     #[serde(default)]
--- a/crates/core/src/instance/generation.rs
+++ b/crates/core/src/instance/generation.rs
@@ -14,10 +14,10 @@
 /// # Example
 ///
 /// ```
+/// use sassafrasspool_core::TargetGeneration;
 /// use sassafrasspool_core::TargetId;
-/// use sassafrasspool_core::TargetLife;
 ///
-/// let generation = |born| TargetLife {
+/// let generation = |born| TargetGeneration {
 ///     id: TargetId::new("i-1").expect("a name"),
 ///     listed_at: 7,
 ///     born,
@@ -27,7 +27,7 @@
 /// assert!(!generation(Some(200)).is_same(&generation(Some(100))));
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetLife {
+pub struct TargetGeneration {
     /// The name that the target reported; an earlier generation may have had the same.
     pub id: TargetId,
     /// The platform's revision at which the generation was first listed. Of two
@@ -39,10 +39,10 @@
     pub born: Option<u64>,
 }
 
-impl TargetLife {
+impl TargetGeneration {
     /// Whether both are the same generation of the same target. It may have been
     /// listed again after its entry had expired.
-    pub fn is_same(&self, other: &TargetLife) -> bool {
+    pub fn is_same(&self, other: &TargetGeneration) -> bool {
         self.id == other.id && self.born == other.born
     }
 
@@ -52,10 +52,10 @@
     /// # Example
     ///
     /// ```
+    /// use sassafrasspool_core::TargetGeneration;
     /// use sassafrasspool_core::TargetId;
-    /// use sassafrasspool_core::TargetLife;
     ///
-    /// let generation = |name| TargetLife {
+    /// let generation = |name| TargetGeneration {
     ///     id: TargetId::new(name).expect("a name"),
     ///     listed_at: 7,
     ///     born: None,
@@ -65,7 +65,7 @@
     /// assert!(!generation("i-1").replaces(&mut stored));
     /// assert!(generation("i-2").replaces(&mut stored));
     /// ```
-    pub fn replaces(&self, stored: &mut Option<TargetLife>) -> bool {
+    pub fn replaces(&self, stored: &mut Option<TargetGeneration>) -> bool {
         if stored.as_ref().is_some_and(|stored| stored.is_same(self)) {
             return false;
         }
@@ -78,7 +78,7 @@
     /// Two generations with the same name are ordered by the clock of their instance,
     /// since their entry may not have expired between the two starts. Targets with
     /// different names may use different clocks, so the platform's revision decides.
-    pub fn follows(&self, stored: &TargetLife) -> bool {
+    pub fn follows(&self, stored: &TargetGeneration) -> bool {
         match (self.born, stored.born) {
             (Some(born), Some(before)) if self.id == stored.id => born >= before,
             _ => self.listed_at >= stored.listed_at,
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -5,8 +5,8 @@
 //! to node, and the record with the highest incarnation and sequence wins.
 
 pub use self::incarnation::Incarnation;
-pub(crate) use self::table::Members;
-pub(crate) use self::table::Merged;
+pub(crate) use self::table::MembershipTable;
+pub(crate) use self::table::MergeOutcome;
 
 mod incarnation;
 mod table;
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -21,13 +21,13 @@
 
 /// The result of merging a received record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Merged {
+pub(crate) enum MergeOutcome {
     /// The record was newer and is stored now; contains the previous phase.
-    News(Option<Phase>),
+    Newer(Option<Phase>),
     /// The record was not newer than the stored one.
-    Known,
+    NotNewer,
     /// The table already holds the maximum number of unlisted instances.
-    Full,
+    TableFull,
 }
 
 /// The newest record of each instance.
@@ -43,7 +43,7 @@
 /// A record is only replaced by a newer one. Each bucket's digest covers exactly
 /// the listed records of that bucket.
 #[derive(Debug)]
-pub(crate) struct Members {
+pub(crate) struct MembershipTable {
     records: BTreeMap<InstanceId, Record>,
     buckets: [u64; BUCKETS],
     unlisted: usize,
@@ -58,9 +58,9 @@
     unlisted_since: Option<Tick>,
 }
 
-impl Members {
-    pub(crate) fn new() -> Members {
-        Members {
+impl MembershipTable {
+    pub(crate) fn new() -> MembershipTable {
+        MembershipTable {
             records: BTreeMap::new(),
             buckets: [0; BUCKETS],
             unlisted: 0,
@@ -83,11 +83,11 @@
         now: Tick,
         state: &EndpointState,
         list: Option<&InstanceList>,
-    ) -> Merged {
+    ) -> MergeOutcome {
         let hash = hash_of(state);
         if let Some(record) = self.records.get_mut(&state.instance) {
             if !state.is_newer_than(&record.state) {
-                return Merged::Known;
+                return MergeOutcome::NotNewer;
             }
             let before = record.state.phase;
             if record.unlisted_since.is_none() {
@@ -96,14 +96,14 @@
             }
             record.state = state.clone();
             record.hash = hash;
-            return Merged::News(Some(before));
+            return MergeOutcome::Newer(Some(before));
         }
         let listed = list.is_some_and(|list| list.get(&state.instance).is_some());
         if !listed && self.unlisted >= MAX_UNLISTED {
-            return Merged::Full;
+            return MergeOutcome::TableFull;
         }
         self.insert(now, state.clone(), hash, listed);
-        Merged::News(None)
+        MergeOutcome::Newer(None)
     }
 
     /// Marks records as listed or unlisted by a new list and removes expired ones.
--- a/crates/core/src/membership/tests.rs
+++ b/crates/core/src/membership/tests.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
-use super::Members;
-use super::Merged;
+use super::MembershipTable;
+use super::MergeOutcome;
 use crate::EndpointState;
 use crate::InstanceId;
 use crate::InstanceList;
@@ -34,8 +34,8 @@
         state(1, 6, 0, Phase::Starting),
     ];
     let list = list(4);
-    let mut forward = Members::new();
-    let mut backward = Members::new();
+    let mut forward = MembershipTable::new();
+    let mut backward = MembershipTable::new();
     for n in 0..received.len() {
         forward.merge(Tick::ZERO, &received[n], Some(&list));
         backward.merge(Tick::ZERO, &received[received.len() - 1 - n], Some(&list));
@@ -44,15 +44,15 @@
     assert_eq!(forward.root(), backward.root());
     assert_eq!(
         forward.merge(Tick::ZERO, &received[3], Some(&list)),
-        Merged::Known
+        MergeOutcome::NotNewer
     );
 }
 
 #[test]
 fn comparing_buckets_finds_the_differing_records() {
     let list = list(200);
-    let mut one = Members::new();
-    let mut other = Members::new();
+    let mut one = MembershipTable::new();
+    let mut other = MembershipTable::new();
     for n in 0..200 {
         let record = state(n, 1, 1, Phase::Ready);
         one.merge(Tick::ZERO, &record, Some(&list));
@@ -75,12 +75,12 @@
 /// Guards against a table of records that grows with every replaced instance.
 #[test]
 fn a_record_of_an_unlisted_instance_expires_after_the_retention_time() {
-    let mut members = Members::new();
+    let mut members = MembershipTable::new();
     let before = list(3);
     let record = state(2, 1, 3, Phase::Gone);
     members.merge(Tick::ZERO, &record, Some(&before));
     members.relist(Tick::ZERO, &list(2));
-    assert_eq!(members.root(), Members::new().root());
+    assert_eq!(members.root(), MembershipTable::new().root());
     assert_eq!(members.get(&record.instance), Some(&record));
     let later = Tick::ZERO + Duration::from_secs(61);
     members.forget(later);
@@ -89,8 +89,10 @@
 
 #[test]
 fn unlisted_records_are_bounded() {
-    let mut members = Members::new();
+    let mut members = MembershipTable::new();
     let merged = (0..2_000).map(|n| members.merge(Tick::ZERO, &state(n, 1, 0, Phase::Ready), None));
-    let full = merged.filter(|merged| *merged == Merged::Full).count();
+    let full = merged
+        .filter(|merged| *merged == MergeOutcome::TableFull)
+        .count();
     assert_eq!(full, 2_000 - 1_024);
 }
--- a/crates/core/src/outcome/loss.rs
+++ b/crates/core/src/outcome/loss.rs
@@ -16,7 +16,7 @@
     /// The answer was truncated.
     AnswerCut,
     /// The answer belonged to another request, or did not come from the target.
-    AnswerSpoiled,
+    AnswerInvalid,
     /// The caller disconnected.
     CallerGone,
     /// A node on a later hop reported that the outcome is unknown.
@@ -30,7 +30,7 @@
             LossCause::Timeout => "timeout",
             LossCause::ConnectionLost => "connection-lost",
             LossCause::AnswerCut => "answer-cut",
-            LossCause::AnswerSpoiled => "answer-spoiled",
+            LossCause::AnswerInvalid => "answer-spoiled",
             LossCause::CallerGone => "caller-gone",
             LossCause::Peer => "peer",
         }
--- a/crates/core/src/outcome/reason.rs
+++ b/crates/core/src/outcome/reason.rs
@@ -53,7 +53,7 @@
     /// The target received it and answered that it did not run it because of its load.
     TargetShed,
     /// The target received it and answered that the request names another generation.
-    OtherLife,
+    OtherGeneration,
     /// Requests with its content crash targets, so no target may run it.
     Quarantined,
     /// Operators have evacuated the failure domain of the target.
@@ -61,7 +61,7 @@
     /// The target is cold and tolerates no more requests at present.
     ColdStart,
     /// Its route may be served only in other regions.
-    NotAtHome,
+    OutsideHomes,
 }
 
 impl Reason {
@@ -90,11 +90,11 @@
         Reason::NoConfiguration,
         Reason::CallerGone,
         Reason::TargetShed,
-        Reason::OtherLife,
+        Reason::OtherGeneration,
         Reason::Quarantined,
         Reason::Evacuated,
         Reason::ColdStart,
-        Reason::NotAtHome,
+        Reason::OutsideHomes,
     ];
 
     /// The reason's name in headers, metrics and logs.
@@ -123,11 +123,11 @@
             Reason::NoConfiguration => "no-configuration",
             Reason::CallerGone => "caller-gone",
             Reason::TargetShed => "target-shed",
-            Reason::OtherLife => "other-life",
+            Reason::OtherGeneration => "other-life",
             Reason::Quarantined => "quarantined",
             Reason::Evacuated => "evacuated",
             Reason::ColdStart => "cold-start",
-            Reason::NotAtHome => "not-at-home",
+            Reason::OutsideHomes => "not-at-home",
         }
     }
 
@@ -148,13 +148,13 @@
                 | Reason::Starting
                 | Reason::NotOwner
                 | Reason::Evacuated
-                | Reason::NotAtHome
+                | Reason::OutsideHomes
         )
     }
 
     /// Whether the target itself received the request and refused it.
     pub const fn is_of_target(self) -> bool {
-        matches!(self, Reason::TargetShed | Reason::OtherLife)
+        matches!(self, Reason::TargetShed | Reason::OtherGeneration)
     }
 
     /// Whether the owner of the request's key gives this reason only after it has
--- a/crates/core/src/quarantine/pending_answers.rs
+++ b/crates/core/src/quarantine/pending_answers.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 
 use super::Fingerprint;
-use super::Verdicts;
+use super::QuarantineState;
 use crate::Tick;
 
 /// The longest time that a node waits for another node to report an answer first: some
@@ -58,7 +58,11 @@
 
     /// Takes the requests whose answer is due and which are still suspect, each with the
     /// time of its answer. Answers to requests that are no longer suspect are dropped.
-    pub(crate) fn take_due(&mut self, now: Tick, verdicts: &Verdicts) -> Vec<(Fingerprint, Tick)> {
+    pub(crate) fn take_due(
+        &mut self,
+        now: Tick,
+        verdicts: &QuarantineState,
+    ) -> Vec<(Fingerprint, Tick)> {
         let mut due_answers = Vec::new();
         self.0.retain(|content, pending| {
             if !verdicts.doubts(*content) {
--- a/crates/core/src/quarantine/quarantine_state.rs
+++ b/crates/core/src/quarantine/quarantine_state.rs
@@ -12,11 +12,11 @@
 use crate::Tick;
 
 /// The number of crashes while a request ran after which no target runs it any more.
-pub const CRASHES: usize = 3;
+pub const CRASHES_TO_QUARANTINE: usize = 3;
 
 /// The number of crashes after which a request is suspect and answers to it have to be
-/// reported: one more crash makes [`CRASHES`].
-pub(super) const CRASHES_TO_SUSPECT: usize = CRASHES - 1;
+/// reported: one more crash makes [`CRASHES_TO_QUARANTINE`].
+pub(super) const CRASHES_TO_SUSPECT: usize = CRASHES_TO_QUARANTINE - 1;
 
 /// How long a request stays in quarantine after the last crash while it ran. Then it may run
 /// again, as its targets may have been fixed. One more crash renews the quarantine.
@@ -24,7 +24,7 @@
 
 /// How long after an answer crashes don't count against the request. Targets that crash
 /// together do so while they run all frequent requests, before another target could answer.
-pub const ANSWER_EXCUSES: Duration = Duration::from_secs(10);
+pub const ANSWER_EXEMPTION: Duration = Duration::from_secs(10);
 
 /// The requests in quarantine, and the suspect ones, whose answers have to be reported.
 ///
@@ -32,13 +32,13 @@
 ///
 /// Every request in quarantine is suspect as well.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Verdicts {
+pub struct QuarantineState {
     /// The end of the quarantine of each request.
     quarantined: BTreeMap<Fingerprint, Tick>,
     suspects: BTreeSet<Fingerprint>,
 }
 
-impl Verdicts {
+impl QuarantineState {
     /// The time until which no target may run a request, if it is in quarantine at `now`.
     pub fn held_until(&self, now: Tick, content: &Content) -> Option<Tick> {
         if self.quarantined.is_empty() {
@@ -83,8 +83,8 @@
     pub(super) fn evaluate(
         crashes: &[(ObservedAt, &[Content])],
         exempt_until: &HashMap<Fingerprint, ObservedAt>,
-    ) -> Verdicts {
-        let mut verdicts = Verdicts::default();
+    ) -> QuarantineState {
+        let mut verdicts = QuarantineState::default();
         let mut by_whole = CrashCounts::new(exempt_until);
         for (at, ran) in crashes {
             by_whole.count(*at, ran.iter().map(Content::whole));
@@ -130,12 +130,12 @@
         }
     }
 
-    fn evaluate(self, verdicts: &mut Verdicts) {
+    fn evaluate(self, verdicts: &mut QuarantineState) {
         for (content, crashes) in self.crashes {
             if crashes.len() >= CRASHES_TO_SUSPECT {
                 verdicts.suspects.insert(content);
             }
-            if crashes.len() >= CRASHES
+            if crashes.len() >= CRASHES_TO_QUARANTINE
                 && let Some(last) = crashes.iter().max()
             {
                 verdicts
--- a/crates/core/src/quarantine/report.rs
+++ b/crates/core/src/quarantine/report.rs
@@ -9,7 +9,7 @@
 
 /// An observation of a node, or an order of an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Sighting {
+pub enum Observation {
     /// The target crashed while it ran requests of these contents.
     Crashed(Vec<Content>),
     /// The target gave a whole answer to a request of this content.
@@ -39,5 +39,5 @@
     /// Milliseconds since the observation.
     pub age_ms: u32,
     /// The observation.
-    pub sighting: Sighting,
+    pub sighting: Observation,
 }
--- a/crates/core/src/quarantine/reports.rs
+++ b/crates/core/src/quarantine/reports.rs
@@ -7,13 +7,13 @@
 
 use super::Content;
 use super::Fingerprint;
+use super::Observation;
+use super::QuarantineState;
 use super::Report;
 use super::ReportId;
-use super::Sighting;
-use super::Verdicts;
 use super::observed_at::ObservedAt;
 use super::observed_at::REPORT_RETENTION;
-use super::quarantine_state::ANSWER_EXCUSES;
+use super::quarantine_state::ANSWER_EXEMPTION;
 use super::quarantine_state::CRASHES_TO_SUSPECT;
 use crate::Digest;
 use crate::Tick;
@@ -48,14 +48,14 @@
     reports: BTreeMap<ReportId, KeptReport>,
     root: u64,
     crashes: HashMap<Fingerprint, usize>,
-    verdicts: Verdicts,
+    verdicts: QuarantineState,
     is_up_to_date: bool,
 }
 
 #[derive(Debug)]
 struct KeptReport {
     at: ObservedAt,
-    sighting: Sighting,
+    sighting: Observation,
 }
 
 impl Reports {
@@ -69,7 +69,7 @@
             return false;
         }
         let mut sighting = report.sighting.clone();
-        if let Sighting::Crashed(ran) = &mut sighting {
+        if let Observation::Crashed(ran) = &mut sighting {
             ran.truncate(MAX_CONTENTS_PER_CRASH);
         }
         let kept = KeptReport { at, sighting };
@@ -133,7 +133,7 @@
     }
 
     /// Evaluates the reports. Returns the previous and the new verdicts if they differ.
-    pub(crate) fn judge(&mut self) -> Option<(Verdicts, &Verdicts)> {
+    pub(crate) fn judge(&mut self) -> Option<(QuarantineState, &QuarantineState)> {
         if std::mem::replace(&mut self.is_up_to_date, true) {
             return None;
         }
@@ -145,12 +145,14 @@
         };
         for kept in self.reports.values() {
             match &kept.sighting {
-                Sighting::Crashed(ran) => crashes.push((kept.at, ran)),
-                Sighting::Answered(content) => exempt(*content, kept.at.later_by(ANSWER_EXCUSES)),
-                Sighting::Released(content) => exempt(*content, kept.at),
+                Observation::Crashed(ran) => crashes.push((kept.at, ran)),
+                Observation::Answered(content) => {
+                    exempt(*content, kept.at.later_by(ANSWER_EXEMPTION))
+                }
+                Observation::Released(content) => exempt(*content, kept.at),
             }
         }
-        let verdicts = Verdicts::evaluate(&crashes, &exempt_until);
+        let verdicts = QuarantineState::evaluate(&crashes, &exempt_until);
         if verdicts == self.verdicts {
             return None;
         }
@@ -159,7 +161,7 @@
     }
 
     /// The verdicts of the last evaluation.
-    pub(crate) fn verdicts(&self) -> &Verdicts {
+    pub(crate) fn verdicts(&self) -> &QuarantineState {
         &self.verdicts
     }
 
@@ -195,8 +197,8 @@
     /// report with a suspect request.
     fn is_significant(&self, kept: &KeptReport) -> bool {
         match &kept.sighting {
-            Sighting::Answered(_) | Sighting::Released(_) => true,
-            Sighting::Crashed(ran) => ran
+            Observation::Answered(_) | Observation::Released(_) => true,
+            Observation::Crashed(ran) => ran
                 .iter()
                 .flat_map(Content::fingerprints)
                 .any(|content| self.verdicts.doubts(content)),
@@ -219,14 +221,16 @@
 
 impl KeptReport {
     fn is_crash(&self) -> bool {
-        matches!(self.sighting, Sighting::Crashed(_))
+        matches!(self.sighting, Observation::Crashed(_))
     }
 
     /// The fingerprints in the report, each once.
     fn contents(&self) -> BTreeSet<Fingerprint> {
         match &self.sighting {
-            Sighting::Crashed(ran) => ran.iter().flat_map(Content::fingerprints).collect(),
-            Sighting::Answered(content) | Sighting::Released(content) => BTreeSet::from([*content]),
+            Observation::Crashed(ran) => ran.iter().flat_map(Content::fingerprints).collect(),
+            Observation::Answered(content) | Observation::Released(content) => {
+                BTreeSet::from([*content])
+            }
         }
     }
 
@@ -242,8 +246,10 @@
     /// The approximate bytes of the report in a message.
     fn bytes(&self) -> usize {
         match &self.sighting {
-            Sighting::Crashed(ran) => REPORT_OVERHEAD_BYTES + CONTENT_BYTES * ran.len(),
-            Sighting::Answered(_) | Sighting::Released(_) => REPORT_OVERHEAD_BYTES + CONTENT_BYTES,
+            Observation::Crashed(ran) => REPORT_OVERHEAD_BYTES + CONTENT_BYTES * ran.len(),
+            Observation::Answered(_) | Observation::Released(_) => {
+                REPORT_OVERHEAD_BYTES + CONTENT_BYTES
+            }
         }
     }
 }
--- a/crates/core/src/quarantine/tests.rs
+++ b/crates/core/src/quarantine/tests.rs
@@ -6,10 +6,10 @@
 use rstest::rstest;
 
 use super::Content;
+use super::Observation;
 use super::Report;
 use super::ReportId;
 use super::Reports;
-use super::Sighting;
 use crate::InstanceId;
 use crate::Tick;
 
@@ -28,7 +28,7 @@
 }
 
 /// A report of an observation in second `at_s`, received in second `now_s`.
-fn report(number: u64, at_s: u64, now_s: u64, sighting: Sighting) -> Report {
+fn report(number: u64, at_s: u64, now_s: u64, sighting: Observation) -> Report {
     Report {
         id: ReportId {
             witness: InstanceId::new("wd-1").unwrap(),
@@ -55,15 +55,15 @@
         match self {
             Observed::Crash(at_s, ran) => {
                 let ran = ran.iter().map(|path| content(path)).collect();
-                report(number, at_s, RECEIVED_S, Sighting::Crashed(ran))
+                report(number, at_s, RECEIVED_S, Observation::Crashed(ran))
             }
             Observed::Answer(at_s, path) => {
                 let answered = content(path).whole();
-                report(number, at_s, RECEIVED_S, Sighting::Answered(answered))
+                report(number, at_s, RECEIVED_S, Observation::Answered(answered))
             }
             Observed::Release(at_s, path) => {
                 let released = content(path).whole();
-                report(number, at_s, RECEIVED_S, Sighting::Released(released))
+                report(number, at_s, RECEIVED_S, Observation::Released(released))
             }
         }
     }
@@ -247,7 +247,12 @@
 }
 
 fn crash(number: u64, now_s: u64, path: &str) -> Report {
-    report(number, now_s, now_s, Sighting::Crashed(vec![content(path)]))
+    report(
+        number,
+        now_s,
+        now_s,
+        Observation::Crashed(vec![content(path)]),
+    )
 }
 
 // After one request crashed three targets, many others crash for other reasons.
--- a/crates/core/src/reader.rs
+++ b/crates/core/src/reader.rs
@@ -8,8 +8,8 @@
 pub(crate) use self::backoff::Backoff;
 pub(crate) use self::budget::ReadBudget;
 pub(crate) use self::contact::ContactClock;
-pub(crate) use self::placement::Place;
-pub(crate) use self::role::Role;
+pub(crate) use self::placement::Placement;
+pub(crate) use self::role::ReaderRole;
 
 mod backoff;
 mod budget;
--- a/crates/core/src/reader/budget.rs
+++ b/crates/core/src/reader/budget.rs
@@ -14,7 +14,7 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-use super::Place;
+use super::Placement;
 use crate::SpreadConfig;
 use crate::Tick;
 
@@ -67,7 +67,7 @@
 
     /// Applies this node's placement in a new list. An unlisted node can't determine
     /// how many other nodes are unlisted too, so it still assumes a large fleet.
-    pub(crate) fn place(&mut self, now: Tick, place: &Place, readers: u32) {
+    pub(crate) fn place(&mut self, now: Tick, place: &Placement, readers: u32) {
         self.refill(now);
         self.chosen = place.rank.is_some_and(|rank| rank < readers);
         let part = self.half_share_per_s / f64::from(place.domains.saturating_mul(readers));
--- a/crates/core/src/reader/placement.rs
+++ b/crates/core/src/reader/placement.rs
@@ -18,7 +18,7 @@
 
 /// A node's rank among the candidates for reading the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct Placement {
     /// Its rank in its failure domain, from 0; `None` if it is not a live candidate.
     pub(crate) rank: Option<u32>,
     /// Whether it is listed, as live or leaving.
@@ -35,9 +35,9 @@
 /// Bounds the stored names of instances that rank before the node.
 const MAX_BEFORE: usize = 8;
 
-impl Place {
+impl Placement {
     /// Computes the placement of `id` in a list.
-    pub(crate) fn find(list: &InstanceList, id: &InstanceId, domain: &DomainName) -> Place {
+    pub(crate) fn find(list: &InstanceList, id: &InstanceId, domain: &DomainName) -> Placement {
         let domains: BTreeSet<_> = list.iter().map(|instance| &instance.domain).collect();
         let mut ranked: Vec<_> = list
             .iter()
@@ -49,7 +49,7 @@
         let before = ranked.iter().take(position.unwrap_or(ranked.len()));
         let before = before.take(MAX_BEFORE).map(|(_, id)| (*id).clone());
         let nodes = list.iter().filter(|instance| instance.has_node()).count();
-        Place {
+        Placement {
             listed: list.get(id).is_some(),
             rank: position.map(|n| u32::try_from(n).unwrap_or(u32::MAX)),
             before: before.collect(),
--- a/crates/core/src/reader/role.rs
+++ b/crates/core/src/reader/role.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-use super::Place;
+use super::Placement;
 use crate::SpreadConfig;
 
 /// Number of ranks after the readers that take over first when the readers fail.
@@ -25,7 +25,7 @@
 /// node: the fresh proof of contact that this node produces keeps the later ranks
 /// from taking over.
 #[derive(Debug)]
-pub(crate) struct Role {
+pub(crate) struct ReaderRole {
     /// Readers in the whole fleet, as configured.
     fleet_readers: u32,
     /// Largest fleet in which every node reads.
@@ -36,14 +36,14 @@
     takeover_step: Duration,
     /// Rank that this node draws for the case that it is unlisted.
     unlisted_rank: u32,
-    placement: Option<Place>,
+    placement: Option<Placement>,
     /// Whether this node has taken over from a failed reader.
     acting: bool,
 }
 
-impl Role {
-    pub(crate) fn new(cfg: &SpreadConfig, rng: &mut SmallRng) -> Role {
-        Role {
+impl ReaderRole {
+    pub(crate) fn new(cfg: &SpreadConfig, rng: &mut SmallRng) -> ReaderRole {
+        ReaderRole {
             fleet_readers: cfg.readers,
             all_read_max_fleet: cfg.all_read,
             domain_readers: cfg.readers,
@@ -56,7 +56,7 @@
     }
 
     /// Applies this node's placement in a new list.
-    pub(crate) fn set_place(&mut self, place: Place) {
+    pub(crate) fn set_place(&mut self, place: Placement) {
         let per_domain = self.fleet_readers.div_ceil(place.domains.max(1));
         let fleet = place.fleet.max(1);
         self.placement = Some(place);
@@ -105,7 +105,7 @@
     }
 
     /// The placement in the list, once a list was applied.
-    pub(crate) fn place(&self) -> Option<&Place> {
+    pub(crate) fn place(&self) -> Option<&Placement> {
         self.placement.as_ref()
     }
 
--- a/crates/core/src/reader/tests.rs
+++ b/crates/core/src/reader/tests.rs
@@ -6,9 +6,9 @@
 
 use super::Backoff;
 use super::ContactClock;
-use super::Place;
+use super::Placement;
 use super::ReadBudget;
-use super::Role;
+use super::ReaderRole;
 use crate::Contact;
 use crate::DomainName;
 use crate::InstanceId;
@@ -35,7 +35,7 @@
 }
 
 fn rank(list: &InstanceList, n: usize) -> Option<u32> {
-    Place::find(list, &id(n), &domain(n)).rank
+    Placement::find(list, &id(n), &domain(n)).rank
 }
 
 #[test]
@@ -90,7 +90,7 @@
 
 /// Reads in each of 30 seconds from `start` on, by `fleet` nodes that request a read
 /// again as soon as the previous one is answered; each answer takes no time.
-fn reads_by_second(fleet: usize, start: Tick, place: Option<Place>) -> Vec<usize> {
+fn reads_by_second(fleet: usize, start: Tick, place: Option<Placement>) -> Vec<usize> {
     let cfg = SpreadConfig {
         assumed_fleet: u32::try_from(fleet).unwrap(),
         ..SpreadConfig::default()
@@ -121,7 +121,7 @@
 #[test]
 fn the_whole_fleet_stays_within_its_share() {
     let fleet = 4_100;
-    let place = Place {
+    let place = Placement {
         rank: Some(9),
         listed: true,
         before: Vec::new(),
@@ -139,7 +139,7 @@
 
 #[test]
 fn chosen_readers_get_their_part_of_the_share() {
-    let place = Place {
+    let place = Placement {
         rank: Some(1),
         listed: true,
         before: Vec::new(),
@@ -153,10 +153,10 @@
     );
 }
 
-fn role(list: &InstanceList, n: usize) -> Role {
+fn role(list: &InstanceList, n: usize) -> ReaderRole {
     let mut rng = SmallRng::seed_from_u64(n as u64);
-    let mut role = Role::new(&SpreadConfig::default(), &mut rng);
-    role.set_place(Place::find(list, &id(n), &domain(n)));
+    let mut role = ReaderRole::new(&SpreadConfig::default(), &mut rng);
+    role.set_place(Placement::find(list, &id(n), &domain(n)));
     role
 }
 
@@ -184,8 +184,8 @@
     };
     let reads = |n: &usize| {
         let mut rng = SmallRng::seed_from_u64(1);
-        let mut role = Role::new(&cfg, &mut rng);
-        role.set_place(Place::find(&all, &id(*n), &domain(*n)));
+        let mut role = ReaderRole::new(&cfg, &mut rng);
+        role.set_place(Placement::find(&all, &id(*n), &domain(*n)));
         role.reads()
     };
     assert_eq!((0..case.fleet).filter(reads).count(), case.expected);
@@ -194,8 +194,8 @@
 #[test]
 fn ranks_take_over_one_after_the_other() {
     let all = list(0..60);
-    let mut roles: Vec<Role> = (0..60).step_by(3).map(|n| role(&all, n)).collect();
-    roles.sort_by_key(Role::rank);
+    let mut roles: Vec<ReaderRole> = (0..60).step_by(3).map(|n| role(&all, n)).collect();
+    roles.sort_by_key(ReaderRole::rank);
     let step = SpreadConfig::default().takeover_step;
     for pair in roles[2..].windows(2) {
         assert!(pair[1].patience() >= pair[0].patience() + step);
--- a/crates/core/src/request/tests.rs
+++ b/crates/core/src/request/tests.rs
@@ -1,11 +1,11 @@
 use std::time::Duration;
 
 use crate::Admission;
+use crate::AdmissionDecision;
 use crate::AdmissionSettings;
 use crate::Class;
 use crate::Deadline;
 use crate::LossCause;
-use crate::Offer;
 use crate::Outcome;
 use crate::Reason;
 use crate::Request;
@@ -18,8 +18,8 @@
 fn admitted(admission: &Admission) -> Request<crate::Admitted> {
     let deadline = Deadline::within(NOW, Duration::from_millis(500));
     let request = Request::received(Class::Critical, deadline);
-    let offer = admission.offer(NOW, &request.ask(&LIMITS), || Box::new(drop));
-    let Offer::Admitted(permit) = offer else {
+    let offer = admission.request_slot(NOW, &request.ask(&LIMITS), || Box::new(drop));
+    let AdmissionDecision::Admitted(permit) = offer else {
         panic!("a slot is free");
     };
     request.admit(permit)
--- a/crates/core/src/request/unsent.rs
+++ b/crates/core/src/request/unsent.rs
@@ -1,7 +1,7 @@
 //! Requests, and the transitions until they are handed over.
 
+use crate::AdmissionRequest;
 use crate::Admitted;
-use crate::Ask;
 use crate::Class;
 use crate::Deadline;
 use crate::HandedOver;
@@ -66,16 +66,16 @@
     }
 
     /// The input to admission, with the limits of the catalogue entry.
-    pub const fn ask<'a>(&self, limits: &'a Limits) -> Ask<'a> {
-        Ask {
+    pub const fn ask<'a>(&self, limits: &'a Limits) -> AdmissionRequest<'a> {
+        AdmissionRequest {
             class: self.class,
             deadline: self.deadline,
             limits,
             kind: None,
-            aim: None,
-            settles: false,
+            soft_deadline: None,
+            last_resort: false,
             slots: None,
-            cold: None,
+            cold_limit: None,
         }
     }
 
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -4,10 +4,10 @@
 //! Only the caller's node, the first hop, retries a call. If each hop of a
 //! chain did, a fault at its far end would multiply with every hop before it.
 
-pub use self::budget::Budget;
+pub use self::budget::RetryBudget;
 pub use self::retry_state::Hop;
-pub use self::retry_state::Next;
-pub use self::retry_state::Tries;
+pub use self::retry_state::RetryDecision;
+pub use self::retry_state::RetryState;
 
 mod budget;
 mod retry_state;
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -29,15 +29,15 @@
 ///
 /// Each balance is at least zero and at most `MAX_BALANCE`.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     retries: AtomicU64,
     reroutes: AtomicU64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// The budget of a service that has had no calls.
-    pub const fn new() -> Budget {
-        Budget {
+    pub const fn new() -> RetryBudget {
+        RetryBudget {
             retries: AtomicU64::new(INITIAL_BALANCE),
             reroutes: AtomicU64::new(INITIAL_BALANCE),
         }
@@ -82,8 +82,8 @@
         .is_ok()
 }
 
-impl Default for Budget {
-    fn default() -> Budget {
-        Budget::new()
+impl Default for RetryBudget {
+    fn default() -> RetryBudget {
+        RetryBudget::new()
     }
 }
--- a/crates/core/src/retry/retry_state.rs
+++ b/crates/core/src/retry/retry_state.rs
@@ -1,12 +1,12 @@
 //! The remaining tries of one request.
 
 use crate::Attempt;
-use crate::Budget;
 use crate::Deadline;
 use crate::Failure;
 use crate::Loss;
 use crate::Outcome;
 use crate::Reason;
+use crate::RetryBudget;
 use crate::RetryLimits;
 use crate::Tick;
 
@@ -32,9 +32,9 @@
 /// What to do after a try without an answer.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a request is either tried again or answered"]
-pub enum Next {
+pub enum RetryDecision {
     /// Choose an endpoint again and retry immediately.
-    Again,
+    Retry,
     /// Send this failure to the caller immediately as the final answer.
     Stop(Failure),
 }
@@ -43,11 +43,11 @@
 ///
 /// # Invariants
 ///
-/// [`Next::Again`] only follows a try that is proved not to have run, unless
+/// [`RetryDecision::Retry`] only follows a try that is proved not to have run, unless
 /// the route is idempotent. Once the outcome of a try is unknown, no failure
 /// returned says that the request wasn't run.
 #[derive(Debug)]
-pub struct Tries {
+pub struct RetryState {
     hop: Hop,
     idempotent: bool,
     deadline: Deadline,
@@ -61,17 +61,17 @@
     first_loss: Option<Loss>,
 }
 
-impl Tries {
+impl RetryState {
     /// The state of a request before its first try, which adds to `budget`.
     pub fn first(
         hop: Hop,
         idempotent: bool,
         limits: &RetryLimits,
         deadline: Deadline,
-        budget: &Budget,
-    ) -> Tries {
+        budget: &RetryBudget,
+    ) -> RetryState {
         budget.credit_first_try(limits);
-        Tries {
+        RetryState {
             hop,
             idempotent,
             deadline,
@@ -86,14 +86,14 @@
 
     /// Sets the soft deadline of the request, if it has one.
     #[must_use]
-    pub const fn until(mut self, soft_deadline: Option<Tick>) -> Tries {
+    pub const fn until(mut self, soft_deadline: Option<Tick>) -> RetryState {
         self.soft_deadline = soft_deadline;
         self
     }
 
     /// Marks the request as one with a key, which only the key's owner may run.
     #[must_use]
-    pub const fn keyed(mut self, attempt: Attempt) -> Tries {
+    pub const fn keyed(mut self, attempt: Attempt) -> RetryState {
         self.attempt = Some(attempt);
         self
     }
@@ -109,7 +109,7 @@
     }
 
     /// Decides what to do after `failure`.
-    pub fn after(&mut self, now: Tick, failure: Failure, budget: &Budget) -> Next {
+    pub fn after(&mut self, now: Tick, failure: Failure, budget: &RetryBudget) -> RetryDecision {
         if let Failure::Lost(loss) = failure {
             self.first_loss.get_or_insert(loss);
         }
@@ -119,9 +119,9 @@
             && self.has_time_for_capacity(now, &failure)
             && self.spend(&failure, budget);
         if again {
-            return Next::Again;
+            return RetryDecision::Retry;
         }
-        Next::Stop(self.final_failure(failure))
+        RetryDecision::Stop(self.final_failure(failure))
     }
 
     /// The failure that the caller receives if `failure` ends the request.
@@ -166,7 +166,7 @@
         !is_full || self.soft_deadline.is_none_or(|deadline| now < deadline)
     }
 
-    fn spend(&mut self, failure: &Failure, budget: &Budget) -> bool {
+    fn spend(&mut self, failure: &Failure, budget: &RetryBudget) -> bool {
         // A wrong endpoint is no sign of load on the service, and no target has
         // spent anything on the request. A reroute therefore costs less and has
         // a bound of its own, so that a drain doesn't use up the retries. The
@@ -176,14 +176,14 @@
             Failure::Refused(refusal) => Some(refusal.reason()),
             Failure::Lost(_) => None,
         };
-        let (left, spend): (&mut u32, fn(&Budget) -> bool) = match reason {
+        let (left, spend): (&mut u32, fn(&RetryBudget) -> bool) = match reason {
             Some(reason) if reason.is_misplaced() => {
-                (&mut self.reroutes_left, Budget::spend_reroute)
+                (&mut self.reroutes_left, RetryBudget::spend_reroute)
             }
             Some(reason) if !reason.is_of_target() => {
-                (&mut self.capacity_retries_left, Budget::spend_reroute)
+                (&mut self.capacity_retries_left, RetryBudget::spend_reroute)
             }
-            _ => (&mut self.retries_left, Budget::spend_retry),
+            _ => (&mut self.retries_left, RetryBudget::spend_retry),
         };
         if *left == 0 || !spend(budget) {
             return false;
@@ -215,7 +215,7 @@
             | Reason::Draining
             | Reason::Starting
             | Reason::Evacuated
-            | Reason::NotAtHome => keyed,
+            | Reason::OutsideHomes => keyed,
             _ => false,
         }
     }
--- a/crates/core/src/retry/tests.rs
+++ b/crates/core/src/retry/tests.rs
@@ -3,20 +3,20 @@
 use rstest::rstest;
 
 use crate::Attempt;
-use crate::Budget;
 use crate::Deadline;
 use crate::Failure;
 use crate::Hop;
 use crate::Loss;
 use crate::LossCause;
-use crate::Next;
 use crate::Outcome;
 use crate::Reason;
 use crate::Refusal;
+use crate::RetryBudget;
+use crate::RetryDecision;
 use crate::RetryLimits;
+use crate::RetryState;
 use crate::Step;
 use crate::Tick;
-use crate::Tries;
 
 mod properties;
 
@@ -35,9 +35,9 @@
     Loss::new(Step::Forward, LossCause::ConnectionLost).into()
 }
 
-fn tries(hop: Hop, idempotent: bool, budget: &Budget) -> Tries {
+fn tries(hop: Hop, idempotent: bool, budget: &RetryBudget) -> RetryState {
     let deadline = Deadline::within(NOW, Duration::from_secs(1));
-    Tries::first(hop, idempotent, &LIMITS, deadline, budget)
+    RetryState::first(hop, idempotent, &LIMITS, deadline, budget)
 }
 
 #[derive(Debug)]
@@ -58,29 +58,32 @@
 #[case(Case { hop: Hop::Later, idempotent: true, failure: lost(), again: false })]
 #[case(Case { hop: Hop::Later, idempotent: false, failure: refused(Reason::QueueFull), again: false })]
 fn only_the_first_hop_retries_what_may_run_again(#[case] case: Case) {
-    let budget = Budget::new();
+    let budget = RetryBudget::new();
     let next = tries(case.hop, case.idempotent, &budget).after(NOW, case.failure, &budget);
-    assert_eq!(next == Next::Again, case.again, "{case:?}");
+    assert_eq!(next == RetryDecision::Retry, case.again, "{case:?}");
 }
 
 #[test]
 fn nothing_is_retried_after_the_deadline_or_the_last_attempt() {
-    let budget = Budget::new();
+    let budget = RetryBudget::new();
     let late = NOW + Duration::from_secs(1);
     let stop = tries(Hop::First, true, &budget).after(late, lost(), &budget);
-    assert_eq!(stop, Next::Stop(lost()));
+    assert_eq!(stop, RetryDecision::Stop(lost()));
     let mut tries = tries(Hop::First, true, &budget);
-    assert_eq!(tries.after(NOW, lost(), &budget), Next::Again);
-    assert_eq!(tries.after(NOW, lost(), &budget), Next::Stop(lost()));
+    assert_eq!(tries.after(NOW, lost(), &budget), RetryDecision::Retry);
+    assert_eq!(
+        tries.after(NOW, lost(), &budget),
+        RetryDecision::Stop(lost())
+    );
 }
 
 /// Guards against retries that double the load of a failing service.
 #[test]
 fn the_budget_bounds_the_retries_of_a_service() {
-    let budget = Budget::new();
+    let budget = RetryBudget::new();
     let again = |_: &u32| {
         let mut tries = tries(Hop::First, true, &budget);
-        tries.after(NOW, lost(), &budget) == Next::Again
+        tries.after(NOW, lost(), &budget) == RetryDecision::Retry
     };
     let retried = (0..1_000).filter(again).count();
     assert!((100..=120).contains(&retried), "{retried}");
@@ -89,14 +92,15 @@
 /// Guards against a retry budget that is used up by refusals of draining endpoints.
 #[test]
 fn rerouting_from_a_draining_endpoint_is_cheap_and_bounded() {
-    let budget = Budget::new();
+    let budget = RetryBudget::new();
     let mut tries = tries(Hop::First, false, &budget);
     let draining = refused(Reason::Draining);
-    let reroutes = (0..9).take_while(|_| tries.after(NOW, draining, &budget) == Next::Again);
+    let reroutes =
+        (0..9).take_while(|_| tries.after(NOW, draining, &budget) == RetryDecision::Retry);
     assert_eq!(reroutes.count(), 4);
     assert_eq!(
         tries.after(NOW, refused(Reason::QueueFull), &budget),
-        Next::Again
+        RetryDecision::Retry
     );
 }
 
@@ -115,9 +119,9 @@
 #[case(Reported { attempt: Attempt::MayRepeat, reason: Reason::WindowFull, outcome: Outcome::NotRun })]
 #[case(Reported { attempt: Attempt::First, reason: Reason::Draining, outcome: Outcome::NotRun })]
 fn a_repeat_is_reported_not_run_only_with_proof(#[case] case: Reported) {
-    let budget = Budget::new();
+    let budget = RetryBudget::new();
     let mut tries = tries(Hop::First, false, &budget).keyed(case.attempt);
-    let Next::Stop(failure) = tries.after(NOW, refused(case.reason), &budget) else {
+    let RetryDecision::Stop(failure) = tries.after(NOW, refused(case.reason), &budget) else {
         panic!("a request with a key must not be retried: {case:?}");
     };
     assert_eq!(failure.outcome(), case.outcome, "{case:?}");
@@ -127,12 +131,12 @@
 #[test]
 fn the_balance_is_bounded_by_the_limits_of_the_service() {
     let limits = RetryLimits { burst: 2, ..LIMITS };
-    let budget = Budget::new();
+    let budget = RetryBudget::new();
     let deadline = Deadline::within(NOW, Duration::from_secs(1));
     let mut retries = 0;
     for n in 0..1_020 {
-        let mut tries = Tries::first(Hop::First, true, &limits, deadline, &budget);
-        if n >= 1_000 && tries.after(NOW, lost(), &budget) == Next::Again {
+        let mut tries = RetryState::first(Hop::First, true, &limits, deadline, &budget);
+        if n >= 1_000 && tries.after(NOW, lost(), &budget) == RetryDecision::Retry {
             retries += 1;
         }
     }
--- a/crates/core/src/retry/tests/properties.rs
+++ b/crates/core/src/retry/tests/properties.rs
@@ -15,15 +15,15 @@
 use super::NOW;
 use super::lost;
 use super::refused;
-use crate::Budget;
 use crate::Deadline;
 use crate::Failure;
 use crate::Hop;
-use crate::Next;
 use crate::Outcome;
 use crate::Reason;
+use crate::RetryBudget;
+use crate::RetryDecision;
+use crate::RetryState;
 use crate::Tick;
-use crate::Tries;
 
 /// The timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(1);
@@ -43,22 +43,22 @@
 impl RandomRequest {
     /// Applies the failures until one ends the request. Returns the failures that
     /// were retried, and the failure that the caller receives.
-    fn run(&self, budget: &Budget) -> (Vec<Failure>, Failure) {
+    fn run(&self, budget: &RetryBudget) -> (Vec<Failure>, Failure) {
         let deadline = Deadline::within(NOW, TIMEOUT);
-        let mut tries = Tries::first(self.hop, self.idempotent, &LIMITS, deadline, budget);
+        let mut tries = RetryState::first(self.hop, self.idempotent, &LIMITS, deadline, budget);
         let mut retried = Vec::new();
         let mut now: Tick = NOW;
         for (failure, took_ms) in &self.failures {
             now = now + Duration::from_millis(*took_ms);
             match tries.after(now, *failure, budget) {
-                Next::Again => retried.push(*failure),
-                Next::Stop(reported) => return (retried, reported),
+                RetryDecision::Retry => retried.push(*failure),
+                RetryDecision::Stop(reported) => return (retried, reported),
             }
         }
         // At its deadline every request ends.
         match tries.after(NOW + TIMEOUT, lost(), budget) {
-            Next::Stop(reported) => (retried, reported),
-            Next::Again => panic!("retried after its deadline"),
+            RetryDecision::Stop(reported) => (retried, reported),
+            RetryDecision::Retry => panic!("retried after its deadline"),
         }
     }
 
@@ -78,7 +78,7 @@
         Just(refused(Reason::Draining)),
         Just(refused(Reason::Connect)),
         Just(refused(Reason::NoEndpoint)),
-        Just(refused(Reason::OtherLife)),
+        Just(refused(Reason::OtherGeneration)),
     ]
 }
 
@@ -110,7 +110,7 @@
     /// Guards against retries of requests that may have run, and false refusals.
     #[test]
     fn nothing_runs_twice_and_no_refusal_is_false(case in request()) {
-        let (retried, reported) = case.run(&Budget::new());
+        let (retried, reported) = case.run(&RetryBudget::new());
         assert!(case.hop == Hop::First || retried.is_empty());
         let lost_before = retried.iter().any(|it| matches!(it, Failure::Lost(_)));
         assert!(!lost_before || case.idempotent);
@@ -127,7 +127,7 @@
     fn a_failing_service_gets_a_tenth_more_where_naive_retries_double_the_load(
         kinds in vec(any::<bool>(), 400..600),
     ) {
-        let budget = Budget::new();
+        let budget = RetryBudget::new();
         let calls = kinds.iter().map(|shed| RandomRequest {
             hop: Hop::First,
             idempotent: true,
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -7,7 +7,7 @@
 //! least cost, by load and latency, among some that are drawn at random, and spills over to
 //! the next tier if that one is full.
 
-pub use self::locality::Position;
+pub use self::locality::Locality;
 pub use self::meters::Intake;
 pub use self::meters::Meters;
 pub use self::picked::Picked;
--- a/crates/core/src/route/locality.rs
+++ b/crates/core/src/route/locality.rs
@@ -10,7 +10,7 @@
 
 /// A node's own position in the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Position {
+pub struct Locality {
     /// The instance whose node this is.
     pub instance: InstanceId,
     /// The failure domain of the instance.
@@ -19,7 +19,7 @@
     pub region: RegionName,
 }
 
-impl Position {
+impl Locality {
     /// The tier of an instance by its distance, 0 being the nearest: the same failure domain,
     /// the same region, elsewhere.
     pub(super) fn tier_of(&self, instance: &Instance) -> usize {
--- a/crates/core/src/route/meters.rs
+++ b/crates/core/src/route/meters.rs
@@ -15,7 +15,7 @@
 use crate::InstanceId;
 use crate::ServiceName;
 use crate::Snapshot;
-use crate::TargetLife;
+use crate::TargetGeneration;
 use crate::Tick;
 
 /// Whether an endpoint accepts new requests, as announced by its own node.
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 struct EndpointRecord {
     meter: Arc<Meter>,
-    generation: Option<TargetLife>,
+    generation: Option<TargetGeneration>,
     /// How long the target was listed to stay cold at that time.
     cold_for: Duration,
     /// Whether its failure domain was evacuated at that time.
@@ -97,7 +97,7 @@
     /// Stores what an endpoint's own node announced.
     ///
     /// The caller orders announcements by incarnation and sequence; the last call counts.
-    pub fn mark(&self, instance: &InstanceId, intake: Intake, now: Tick) {
+    pub fn set_intake(&self, instance: &InstanceId, intake: Intake, now: Tick) {
         let mut inner = self.lock();
         let record = inner.endpoints.entry(instance.clone()).or_default();
         match intake {
--- a/crates/core/src/route/picked.rs
+++ b/crates/core/src/route/picked.rs
@@ -7,13 +7,13 @@
 use super::candidate::Candidate;
 use super::meter::Meter;
 use super::service::ServiceView;
+use crate::AttemptOutcome;
 use crate::EndpointKey;
 use crate::KindName;
 use crate::LoadReport;
 use crate::Meters;
 use crate::RouteSettings;
 use crate::Tick;
-use crate::Verdict;
 
 /// An endpoint that was picked for a request; the request counts as in flight there until
 /// this is dropped.
@@ -56,7 +56,7 @@
     }
 
     /// When the endpoint was picked.
-    pub const fn since(&self) -> Tick {
+    pub const fn picked_at(&self) -> Tick {
         self.picked_at
     }
 
@@ -67,55 +67,55 @@
     }
 
     /// Records the load report of an answer's head.
-    pub fn report(&self, now: Tick, load: LoadReport) {
+    pub fn record_load(&self, now: Tick, load: LoadReport) {
         self.meter.record_load(now, load);
     }
 
     /// Records how much longer the target is cold, as its node reported.
-    pub fn cold_for(&self, now: Tick, left: Duration) {
+    pub fn mark_cold_for(&self, now: Tick, left: Duration) {
         self.meter.set_cold_until(now + left);
     }
 
     /// Records the latency of an answer of that kind, for the endpoint's latency relative to
     /// others.
-    pub fn timed(&self, kind: &KindName, took: Duration) {
+    pub fn record_latency(&self, kind: &KindName, took: Duration) {
         if let Some(ratio) = self.view.meter.kinds.ratio(kind, took) {
             self.meter.relative_latency.record(ratio);
         }
     }
 
     /// Ends the attempt and records its outcome for the endpoint.
-    pub fn finish(self, now: Tick, outcome: Verdict) {
+    pub fn finish(self, now: Tick, outcome: AttemptOutcome) {
         self.record_outcome(now, outcome);
     }
 
-    fn record_outcome(&self, now: Tick, outcome: Verdict) {
+    fn record_outcome(&self, now: Tick, outcome: AttemptOutcome) {
         let cfg = &self.cfg.eject;
         let health = &self.meter.health;
         let is_due = match outcome {
-            Verdict::Answered(took) if self.view.meter.is_slow(took, cfg) => {
+            AttemptOutcome::Answered(took) if self.view.meter.is_slow(took, cfg) => {
                 health.record_slow(cfg)
             }
-            Verdict::Answered(_) => {
+            AttemptOutcome::Answered(_) => {
                 health.record_success();
                 false
             }
-            Verdict::Shed => {
+            AttemptOutcome::Shed => {
                 health.record_response();
                 false
             }
-            Verdict::Cold(wait) => {
+            AttemptOutcome::Cold(wait) => {
                 health.record_response();
                 self.meter.pause(now + wait.min(self.cfg.drain_pause));
                 false
             }
-            Verdict::Draining => {
+            AttemptOutcome::Draining => {
                 self.meter.pause(now + self.cfg.drain_pause);
                 false
             }
-            Verdict::NoConnection => health.record_connect_failure(cfg),
-            Verdict::Failed => health.record_error(cfg),
-            Verdict::Cancelled => false,
+            AttemptOutcome::NoConnection => health.record_connect_failure(cfg),
+            AttemptOutcome::Failed => health.record_error(cfg),
+            AttemptOutcome::Cancelled => false,
         };
         if is_due {
             self.eject(now);
--- a/crates/core/src/route/picker.rs
+++ b/crates/core/src/route/picker.rs
@@ -13,16 +13,16 @@
 use super::rendezvous::Score;
 use super::service::ServiceView;
 use super::subset::arrange_subset;
-use crate::Budget;
 use crate::EndpointKey;
 use crate::Homes;
 use crate::InstanceState;
+use crate::Locality;
 use crate::Meters;
 use crate::Picked;
-use crate::Position;
 use crate::Reason;
 use crate::Refusal;
 use crate::RequestKey;
+use crate::RetryBudget;
 use crate::RouteSettings;
 use crate::ServiceKey;
 use crate::Snapshot;
@@ -44,7 +44,7 @@
     /// Binds the meters to a snapshot for a node at `position`.
     pub fn build(
         snapshot: &Snapshot,
-        position: &Position,
+        position: &Locality,
         cfg: RouteSettings,
         meters: &Arc<Meters>,
         now: Tick,
@@ -118,7 +118,7 @@
         }
         let is_listed = !view.candidates.is_empty();
         if is_listed && !view.candidates.iter().any(|c| homes.allows(&c.region)) {
-            return Err(Refusal::not_run(Step::Route, Reason::NotAtHome));
+            return Err(Refusal::not_run(Step::Route, Reason::OutsideHomes));
         }
         view.meter.picks.record(now);
         let takes_cold = rng.random_range(0.0..1.0) < view.cold_share(now);
@@ -152,7 +152,7 @@
     }
 
     /// Whether an endpoint in the route's regions other than those in `avoid` can be picked.
-    pub fn has_other(
+    pub fn has_alternative(
         &self,
         service: ServiceKey,
         homes: &Homes,
@@ -185,14 +185,14 @@
         let Some(view) = self.services.get(service) else {
             return Err(refusal);
         };
-        let by_score = |c: &&Candidate| (c.score.against(key.score()), c.id.clone());
+        let by_score = |c: &&Candidate| (c.score.combine(key.score()), c.id.clone());
         let owners = view.candidates.iter().chain(&view.evacuated);
         match owners.max_by_key(by_score) {
             Some(owner) if view.evacuated.iter().any(|c| c.key == owner.key) => {
                 Err(Refusal::not_run(Step::Route, Reason::Evacuated))
             }
             Some(owner) if !homes.allows(&owner.region) => {
-                Err(Refusal::not_run(Step::Route, Reason::NotAtHome))
+                Err(Refusal::not_run(Step::Route, Reason::OutsideHomes))
             }
             Some(owner) => Ok(self.count_pick(view, owner, now)),
             None => Err(refusal),
@@ -200,7 +200,7 @@
     }
 
     /// The retry budget of a service.
-    pub fn budget(&self, service: ServiceKey) -> Option<&Budget> {
+    pub fn budget(&self, service: ServiceKey) -> Option<&RetryBudget> {
         self.services.get(service).map(|view| &view.meter.budget)
     }
 
--- a/crates/core/src/route/rendezvous.rs
+++ b/crates/core/src/route/rendezvous.rs
@@ -23,7 +23,7 @@
     }
 
     /// The score of this name for `other`; the name with the highest score is chosen.
-    pub(crate) const fn against(self, other: Score) -> Score {
+    pub(crate) const fn combine(self, other: Score) -> Score {
         Score(mix(self.0 ^ mix(other.0)))
     }
 }
--- a/crates/core/src/route/service.rs
+++ b/crates/core/src/route/service.rs
@@ -8,8 +8,8 @@
 use super::candidate::Candidate;
 use super::rate::Rate;
 use super::relative_latency::KindLatencies;
-use crate::Budget;
 use crate::EjectSettings;
+use crate::RetryBudget;
 use crate::Tick;
 
 /// The weight of the newest answer in the average, as a right shift.
@@ -18,7 +18,7 @@
 /// The meter of a service as a whole, kept across snapshots.
 #[derive(Debug, Default)]
 pub(super) struct ServiceMeter {
-    pub(super) budget: Budget,
+    pub(super) budget: RetryBudget,
     pub(super) kinds: KindLatencies,
     /// Requests of the service that this node picked an endpoint for.
     pub(super) picks: Rate,
--- a/crates/core/src/route/subset.rs
+++ b/crates/core/src/route/subset.rs
@@ -17,7 +17,7 @@
     cfg: &RouteSettings,
 ) -> usize {
     let size = candidates.len().min(cfg.subset_size.max(1));
-    candidates.sort_by_key(|c| (c.tier, std::cmp::Reverse(c.score.against(node))));
+    candidates.sort_by_key(|c| (c.tier, std::cmp::Reverse(c.score.combine(node))));
     let near = candidates.iter().filter(|c| c.tier == 0).count();
     let far = candidates.len() - near;
     let kept_far = far.min(cfg.subset_other_domains.min(size));
--- a/crates/core/src/route/tests/choice.rs
+++ b/crates/core/src/route/tests/choice.rs
@@ -11,6 +11,7 @@
 use super::fixture::elsewhere;
 use super::fixture::far;
 use super::fixture::near;
+use crate::AttemptOutcome;
 use crate::Homes;
 use crate::InstanceState;
 use crate::Intake;
@@ -21,9 +22,8 @@
 use crate::RequestKey;
 use crate::RouteSettings;
 use crate::ServiceName;
+use crate::TargetGeneration;
 use crate::TargetId;
-use crate::TargetLife;
-use crate::Verdict;
 
 #[test]
 fn nearest_tier_is_used_until_full() {
@@ -66,7 +66,7 @@
     );
     let has_other = |fixture: &Fixture| {
         let (service, homes) = (fixture.service, &fixture.homes);
-        fixture.picker.has_other(service, homes, NOW, &avoid)
+        fixture.picker.has_alternative(service, homes, NOW, &avoid)
     };
     assert!(!has_other(&fixture));
     fixture.homes = homes("ulaanbaatar");
@@ -74,7 +74,7 @@
     fixture.homes = homes("nowhere");
     assert_eq!(
         fixture.pick_except(NOW, &[]).unwrap_err(),
-        Reason::NotAtHome
+        Reason::OutsideHomes
     );
 }
 
@@ -94,7 +94,7 @@
     for n in 0..50 {
         match asked(n) {
             Ok(id) => assert_eq!(id, "r"),
-            Err(refusal) => assert_eq!(refusal.reason(), Reason::NotAtHome),
+            Err(refusal) => assert_eq!(refusal.reason(), Reason::OutsideHomes),
         }
     }
 }
@@ -109,7 +109,7 @@
     };
     let picked = fixture.pick(NOW);
     let id = fixture.id(picked.endpoint()).to_string();
-    picked.report(NOW, busy);
+    picked.record_load(NOW, busy);
     drop(picked);
     assert!(!fixture.pick_counts(NOW, 50).contains_key(&id));
     let old = NOW + Duration::from_secs(2);
@@ -155,7 +155,7 @@
     match unavailable {
         Unavailable::Closed => ["a", "b"].map(|id| fixture.mark(id, Intake::Closed, NOW)),
         Unavailable::Draining => {
-            ["a", "b"].map(|_| fixture.pick(NOW).finish(NOW, Verdict::Draining))
+            ["a", "b"].map(|_| fixture.pick(NOW).finish(NOW, AttemptOutcome::Draining))
         }
         Unavailable::Avoided => {
             ["a", "b"].map(|_| avoid.push(fixture.pick_except(NOW, &avoid).unwrap().endpoint()))
@@ -192,14 +192,14 @@
 fn ejected_share_is_bounded() {
     let mut fixture = Fixture::new("caller", near(&["a", "b", "c", "d"]));
     for _ in 0..400 {
-        fixture.pick(NOW).finish(NOW, Verdict::NoConnection);
+        fixture.pick(NOW).finish(NOW, AttemptOutcome::NoConnection);
     }
     assert_eq!(fixture.pick_counts(NOW, 200).len(), 2);
     let mut single = Fixture::new("caller", near(&["a"]));
-    single.finish_picks_of("a", NOW, Verdict::Failed, 9);
+    single.finish_picks_of("a", NOW, AttemptOutcome::Failed, 9);
     assert_eq!(single.pick_counts(NOW, 5).len(), 1);
     let mut pair = Fixture::new("caller", near(&["a", "b"]));
-    pair.finish_picks_of("a", NOW, Verdict::Failed, 5);
+    pair.finish_picks_of("a", NOW, AttemptOutcome::Failed, 5);
     pair.mark("b", Intake::Closed, NOW);
     assert!(
         pair.pick_counts(NOW, 5).contains_key("a"),
@@ -210,7 +210,7 @@
 #[test]
 fn slow_answers_are_compared_with_average_of_service() {
     let mut fixture = Fixture::new("caller", near(&["a", "b", "c"]));
-    let answer = |ms| Verdict::Answered(Duration::from_millis(ms));
+    let answer = |ms| AttemptOutcome::Answered(Duration::from_millis(ms));
     fixture.finish_picks_of("a", NOW, answer(30), 20);
     fixture.finish_picks_of("b", NOW, answer(300), 7);
     assert!(
@@ -234,8 +234,8 @@
         let took = Duration::from_millis(if id == "slow" { 600 } else { 120 });
         now = now + Duration::from_millis(5);
         *chosen.entry(id).or_insert(0) += 1;
-        picked.timed(&kind, took);
-        picked.finish(now, Verdict::Answered(took));
+        picked.record_latency(&kind, took);
+        picked.finish(now, AttemptOutcome::Answered(took));
     }
     assert!(chosen["slow"] < 60, "{chosen:?}");
 }
@@ -245,7 +245,7 @@
 #[case::new_generation(200, true)]
 #[case::same_generation(100, false)]
 fn ejection_ends_with_new_generation_of_target(#[case] born: u64, #[case] open: bool) {
-    let generation = |born| TargetLife {
+    let generation = |born| TargetGeneration {
         id: TargetId::new("t-1").unwrap(),
         listed_at: born,
         born: Some(born),
@@ -257,7 +257,7 @@
     };
     let mut fixture = Fixture::new("caller", listed(100));
     let failures = usize::try_from(RouteSettings::default().eject.errors).unwrap();
-    fixture.finish_picks_of("a", NOW, Verdict::Failed, failures);
+    fixture.finish_picks_of("a", NOW, AttemptOutcome::Failed, failures);
     assert!(
         !fixture.pick_counts(NOW, 50).contains_key("a"),
         "the endpoint is ejected"
--- a/crates/core/src/route/tests/fixture.rs
+++ b/crates/core/src/route/tests/fixture.rs
@@ -6,6 +6,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
+use crate::AttemptOutcome;
 use crate::Catalogue;
 use crate::DomainName;
 use crate::EndpointKey;
@@ -14,10 +15,10 @@
 use crate::InstanceId;
 use crate::InstanceList;
 use crate::Intake;
+use crate::Locality;
 use crate::Meters;
 use crate::Picked;
 use crate::Picker;
-use crate::Position;
 use crate::Reason;
 use crate::RegionName;
 use crate::Revision;
@@ -26,7 +27,6 @@
 use crate::ServiceName;
 use crate::Snapshot;
 use crate::Tick;
-use crate::Verdict;
 use crate::catalogue;
 use crate::testing::instance;
 
@@ -115,11 +115,18 @@
     }
 
     pub(super) fn mark(&self, id: &str, intake: Intake, now: Tick) {
-        self.meters.mark(&InstanceId::new(id).unwrap(), intake, now);
+        self.meters
+            .set_intake(&InstanceId::new(id).unwrap(), intake, now);
     }
 
     /// Picks endpoints until `times` picks of the endpoint `id` ended with `outcome`.
-    pub(super) fn finish_picks_of(&mut self, id: &str, now: Tick, outcome: Verdict, times: usize) {
+    pub(super) fn finish_picks_of(
+        &mut self,
+        id: &str,
+        now: Tick,
+        outcome: AttemptOutcome,
+        times: usize,
+    ) {
         let mut left = times;
         for _ in 0..1_000 * times {
             let picked = self.pick(now);
@@ -151,7 +158,7 @@
     cfg: RouteSettings,
     now: Tick,
 ) -> Picker {
-    let position = Position {
+    let position = Locality {
         instance: InstanceId::new(node).unwrap(),
         domain: DomainName::new(NEAR).unwrap(),
         region: RegionName::new("ulaanbaatar").unwrap(),
--- a/crates/core/src/route/tests/fleet.rs
+++ b/crates/core/src/route/tests/fleet.rs
@@ -9,13 +9,13 @@
 use super::fixture::NOW;
 use super::fixture::SERVICE;
 use super::fixture::fleet_of;
+use crate::AttemptOutcome;
 use crate::EndpointKey;
 use crate::Instance;
 use crate::InstanceId;
 use crate::Intake;
 use crate::RequestKey;
 use crate::ServiceName;
-use crate::Verdict;
 
 #[derive(Debug)]
 struct Fleet {
@@ -82,7 +82,7 @@
     let mut owned = HashMap::new();
     let here = Fixture::new("caller-1", fleet_of(3, 3));
     let mut there = Fixture::new("caller-2", fleet_of(3, 3));
-    there.finish_picks_of("n1", NOW, Verdict::NoConnection, 3);
+    there.finish_picks_of("n1", NOW, AttemptOutcome::NoConnection, 3);
     for i in 0..600 {
         let key = RequestKey::new(&service, "POST /approvals", &i.to_string()).unwrap();
         let [a, b] = [&here, &there].map(|fixture| {
--- a/crates/core/src/route/tests/load.rs
+++ b/crates/core/src/route/tests/load.rs
@@ -12,12 +12,12 @@
 use super::fixture::Fixture;
 use super::fixture::NOW;
 use super::fixture::near;
+use crate::AttemptOutcome;
 use crate::KindName;
 use crate::LoadReport;
 use crate::Picked;
 use crate::RouteSettings;
 use crate::Tick;
-use crate::Verdict;
 
 /// Nodes that send requests, each with the meters of its own answers alone.
 const NODES: usize = 12;
@@ -129,9 +129,9 @@
                 slots: field(SLOTS),
                 queued: field(left.saturating_sub(SLOTS)),
             };
-            sent.picked.report(at, load);
-            sent.picked.timed(&self.kind, took);
-            sent.picked.finish(at, Verdict::Answered(took));
+            sent.picked.record_load(at, load);
+            sent.picked.record_latency(&self.kind, took);
+            sent.picked.finish(at, AttemptOutcome::Answered(took));
             late += usize::from(n >= LEARNING && took > SOFT_DEADLINE);
         }
         late
--- a/crates/core/src/route/tests/properties.rs
+++ b/crates/core/src/route/tests/properties.rs
@@ -99,7 +99,7 @@
         let (mut fixture, avoid) = fixture_of(&cases);
         let any_available = cases.iter().any(EndpointCase::may_be_picked);
         let has_other =
-            fixture.picker.has_other(fixture.service, &fixture.homes, NOW, &avoid);
+            fixture.picker.has_alternative(fixture.service, &fixture.homes, NOW, &avoid);
         assert_eq!(has_other, any_available);
         for _ in 0..16 {
             match fixture.pick_except(NOW, &avoid) {
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/spread.rs
@@ -1,9 +1,9 @@
 /*!
 Dissemination of catalogue versions, instance lists and endpoint states.
 
-One [`Spread`] runs on each node. It performs no I/O and has no clock: the
+One [`SpreadMachine`] runs on each node. It performs no I/O and has no clock: the
 node passes it events with the time and carries out the actions that it
-returns. [`Naive`] is the baseline for comparison, in which each node reads and
+returns. [`NaiveSpread`] is the baseline for comparison, in which each node reads and
 watches the platform itself; both implement [`Disseminate`].
 
 # Guarantees and trade-offs
@@ -56,8 +56,8 @@
 use sassafrasspool_core::LocalNode;
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::SourceResult;
-use sassafrasspool_core::Spread;
 use sassafrasspool_core::SpreadConfig;
+use sassafrasspool_core::SpreadMachine;
 use sassafrasspool_core::Stream;
 use sassafrasspool_core::Tick;
 
@@ -69,7 +69,7 @@
     seeds: Vec::new(),
 };
 let mut now = Tick::ZERO;
-let mut spread = Spread::new(SpreadConfig::default(), local, 7, now);
+let mut spread = SpreadMachine::new(SpreadConfig::default(), local, 7, now);
 let mut applied = None;
 while applied.is_none() {
     now = spread.next_wakeup().max(now + Duration::from_millis(1));
@@ -121,13 +121,13 @@
 pub use self::heads::Heads;
 pub use self::list_proof::ListProof;
 pub use self::local::LocalNode;
-pub use self::machine::Spread;
+pub use self::machine::SpreadMachine;
 pub use self::message::Announce;
 pub use self::message::PeerMessage;
 pub use self::message::Pull;
 pub use self::message::Reconcile;
 pub use self::message::Sync;
-pub use self::naive::Naive;
+pub use self::naive::NaiveSpread;
 pub use self::reply::PeerReply;
 pub use self::reply::SyncReply;
 pub use self::status::SpreadStatus;
--- a/crates/core/src/spread/action.rs
+++ b/crates/core/src/spread/action.rs
@@ -10,10 +10,10 @@
 use crate::Freshness;
 use crate::InstanceList;
 use crate::Origin;
+use crate::QuarantineState;
 use crate::Revision;
 use crate::Snapshot;
 use crate::Stream;
-use crate::Verdicts;
 use crate::Version;
 
 /// An action that the node carries out.
@@ -48,7 +48,7 @@
     /// A newer state of an endpoint was received.
     Endpoint(EndpointState),
     /// Replace the set of requests that are withheld from targets.
-    Quarantine(Arc<Verdicts>),
+    Quarantine(Arc<QuarantineState>),
     /// Write a record of the audit trail.
     Audit(AuditEvent),
 }
--- a/crates/core/src/spread/audit.rs
+++ b/crates/core/src/spread/audit.rs
@@ -128,7 +128,8 @@
     },
     /// An instance list was deferred because live entries are missing that may
     /// come back; the list held before stays in force.
-    ListWaits {
+    #[serde(rename = "list-waits")]
+    ListDeferred {
         /// The deferred revision.
         offered: Revision,
         /// Number of missing live entries.
--- a/crates/core/src/spread/event.rs
+++ b/crates/core/src/spread/event.rs
@@ -6,10 +6,10 @@
 use crate::CallId;
 use crate::CatalogueItem;
 use crate::Instance;
+use crate::Observation;
 use crate::PeerReply;
 use crate::Phase;
 use crate::Revision;
-use crate::Sighting;
 use crate::Stream;
 
 /// An event with which the state machine is advanced.
@@ -41,9 +41,9 @@
     LocalPhase(Phase),
     /// A crash or an answer of the local target was observed, or an operator
     /// released a request.
-    Sighted {
+    Observed {
         /// What was observed.
-        sighting: Sighting,
+        sighting: Observation,
         /// How long ago it was observed.
         ago: Duration,
     },
@@ -62,7 +62,7 @@
         text: String,
     },
     /// A catalogue that the platform publishes as items instead of as a text.
-    Items {
+    CatalogueItems {
         /// Its revision.
         revision: Revision,
         /// Its items.
@@ -89,7 +89,7 @@
         newest: Option<Revision>,
     },
     /// Nothing was published yet.
-    Nothing,
+    NothingPublished,
     /// The platform's read budget is exhausted.
     Busy {
         /// Time after which the read may be retried.
--- a/crates/core/src/spread/list_proof.rs
+++ b/crates/core/src/spread/list_proof.rs
@@ -27,7 +27,7 @@
 /// its time is no later than the moment at which the platform gave it. The time
 /// may lie before the start of the node's clock.
 #[derive(Debug, Default)]
-pub(super) struct ListClock {
+pub(super) struct NewestListProof {
     newest: Option<Proof>,
 }
 
@@ -37,7 +37,7 @@
     at_us: i64,
 }
 
-impl ListClock {
+impl NewestListProof {
     /// Records an answer of the platform to a read that started at
     /// `read_started`.
     ///
--- a/crates/core/src/spread/machine.rs
+++ b/crates/core/src/spread/machine.rs
@@ -15,7 +15,7 @@
 use super::history::History;
 use super::join_state::JoinState;
 use super::join_state::Joining;
-use super::list_proof::ListClock;
+use super::list_proof::NewestListProof;
 use super::list_regression::ListRegressionGuard;
 use super::peers::Peers;
 use super::pull_state::PullState;
@@ -37,13 +37,13 @@
 use crate::SpreadStatus;
 use crate::Stream;
 use crate::Tick;
-use crate::admit::Bucket;
-use crate::membership::Members;
+use crate::admit::TokenBucket;
+use crate::membership::MembershipTable;
 use crate::quarantine::PendingAnswers;
 use crate::quarantine::Reports;
 use crate::reader::ContactClock;
 use crate::reader::ReadBudget;
-use crate::reader::Role;
+use crate::reader::ReaderRole;
 
 mod announce;
 mod answer;
@@ -64,7 +64,7 @@
 /// Each head that it advertises is of a valid version whose body it holds, so
 /// that a refused version is never offered to a peer.
 #[derive(Debug)]
-pub struct Spread {
+pub struct SpreadMachine {
     cfg: SpreadConfig,
     local: LocalNode,
     rng: SmallRng,
@@ -76,19 +76,19 @@
     pulls: [PullState; 2],
     calls: Calls,
     gossip: Gossip,
-    members: Members,
+    members: MembershipTable,
     reports: Reports,
     pending_answers: PendingAnswers,
     /// Rate limit of the reports that are forwarded at once.
-    report_budget: Bucket,
+    report_budget: TokenBucket,
     /// Number of reports that this process made.
     report_count: u64,
     own_state: EndpointState,
     /// The incarnation of another process that announces the same instance id.
     replaced_by: Option<u64>,
-    role: Role,
+    role: ReaderRole,
     contact: ContactClock,
-    list_proof: ListClock,
+    list_proof: NewestListProof,
     list_regression: ListRegressionGuard,
     budget: ReadBudget,
     reads: [SourceReads; 2],
@@ -100,10 +100,10 @@
     last_event_at: Tick,
 }
 
-impl Spread {
+impl SpreadMachine {
     /// Creates the state of a node that starts at `now`; `seed` seeds its
     /// random choices.
-    pub fn new(cfg: SpreadConfig, local: LocalNode, seed: u64, now: Tick) -> Spread {
+    pub fn new(cfg: SpreadConfig, local: LocalNode, seed: u64, now: Tick) -> SpreadMachine {
         let mut rng = SmallRng::seed_from_u64(seed);
         let own_state = EndpointState {
             instance: local.id.clone(),
@@ -111,9 +111,9 @@
             sequence: 0,
             phase: Phase::Starting,
         };
-        let mut members = Members::new();
+        let mut members = MembershipTable::new();
         members.merge(now, &own_state, None);
-        Spread {
+        SpreadMachine {
             join_state: JoinState::Joining(Joining::new(now)),
             store: VersionStore::default(),
             catalogue_history: history(Stream::Catalogue, &cfg),
@@ -125,13 +125,13 @@
             members,
             reports: Reports::default(),
             pending_answers: PendingAnswers::default(),
-            report_budget: Bucket::full(),
+            report_budget: TokenBucket::full(),
             report_count: 0,
             own_state,
             replaced_by: None,
-            role: Role::new(&cfg, &mut rng),
+            role: ReaderRole::new(&cfg, &mut rng),
             contact: ContactClock::default(),
-            list_proof: ListClock::default(),
+            list_proof: NewestListProof::default(),
             list_regression: ListRegressionGuard::default(),
             budget: ReadBudget::new(&cfg, &mut rng, now),
             reads: Stream::ALL.map(|stream| SourceReads::new(stream, &cfg)),
@@ -160,7 +160,7 @@
                 self.handle_source_result(now, stream, result, out)
             }
             Event::LocalPhase(phase) => self.enter_phase(now, phase, out),
-            Event::Sighted { sighting, ago } => self.handle_observation(now, sighting, ago, out),
+            Event::Observed { sighting, ago } => self.handle_observation(now, sighting, ago, out),
             Event::Seeds(seeds) => self.local.seeds = seeds,
         }
         self.run_due_work(now, out);
@@ -228,9 +228,9 @@
     }
 }
 
-impl Disseminate for Spread {
+impl Disseminate for SpreadMachine {
     fn handle(&mut self, now: Tick, event: Event, out: &mut Vec<Action>) {
-        Spread::handle(self, now, event, out);
+        SpreadMachine::handle(self, now, event, out);
     }
 
     fn answer(
@@ -240,15 +240,15 @@
         message: PeerMessage,
         out: &mut Vec<Action>,
     ) -> PeerReply {
-        Spread::answer(self, now, from, message, out)
+        SpreadMachine::answer(self, now, from, message, out)
     }
 
     fn next_wakeup(&self) -> Tick {
-        Spread::next_wakeup(self)
+        SpreadMachine::next_wakeup(self)
     }
 
     fn status(&self, now: Tick) -> SpreadStatus {
-        Spread::status(self, now)
+        SpreadMachine::status(self, now)
     }
 }
 
--- a/crates/core/src/spread/machine/announce.rs
+++ b/crates/core/src/spread/machine/announce.rs
@@ -1,6 +1,6 @@
 //! Announcements of changes.
 
-use super::Spread;
+use super::SpreadMachine;
 use crate::Action;
 use crate::Announce;
 use crate::Body;
@@ -8,14 +8,14 @@
 use crate::Phase;
 use crate::Stream;
 use crate::Tick;
-use crate::membership::Members;
+use crate::membership::MembershipTable;
 use crate::spread::calls::Address;
 use crate::spread::calls::Purpose;
 
 /// Maximum number of endpoint states in one announcement.
 pub(super) const MAX_ANNOUNCED_STATES: usize = 64;
 
-impl Spread {
+impl SpreadMachine {
     pub(super) fn announce_if_due(&mut self, now: Tick, out: &mut Vec<Action>) {
         if self.gossip.announce_due().is_none_or(|due| due > now) {
             return;
@@ -136,7 +136,7 @@
 }
 
 /// Whether a peer announced that it has ended.
-pub(super) fn is_gone(members: &Members, peer: &Address) -> bool {
+pub(super) fn is_gone(members: &MembershipTable, peer: &Address) -> bool {
     let state = peer.id.as_ref().and_then(|id| members.get(id));
     state.is_some_and(|state| state.phase == Phase::Gone)
 }
--- a/crates/core/src/spread/machine/answer.rs
+++ b/crates/core/src/spread/machine/answer.rs
@@ -1,6 +1,6 @@
 //! Replies to the messages of peers.
 
-use super::Spread;
+use super::SpreadMachine;
 use crate::Action;
 use crate::Announce;
 use crate::Heads;
@@ -16,7 +16,7 @@
 use crate::Tick;
 use crate::spread::join_state::JoinState;
 
-impl Spread {
+impl SpreadMachine {
     pub(super) fn answer_message(
         &mut self,
         now: Tick,
--- a/crates/core/src/spread/machine/join.rs
+++ b/crates/core/src/spread/machine/join.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Spread;
+use super::SpreadMachine;
 use crate::Action;
 use crate::AuditEvent;
 use crate::Catalogue;
@@ -19,7 +19,7 @@
 /// Mean time between two rounds of comparisons while joining.
 pub(super) const JOIN_SYNC_INTERVAL: Duration = Duration::from_millis(500);
 
-impl Spread {
+impl SpreadMachine {
     /// Starts comparisons with some peers: listed ones if there is a list, else
     /// the seeds and the senders of messages.
     pub(super) fn send_join_syncs(&mut self, now: Tick, out: &mut Vec<Action>) {
--- a/crates/core/src/spread/machine/pull.rs
+++ b/crates/core/src/spread/machine/pull.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::Spread;
+use super::SpreadMachine;
 use crate::Action;
 use crate::AuditEvent;
 use crate::Body;
@@ -18,7 +18,7 @@
 use crate::spread::calls::Purpose;
 use crate::spread::version_store::OfferOutcome;
 
-impl Spread {
+impl SpreadMachine {
     /// Compares a peer's heads with the held versions, and pulls the versions
     /// that are lacking.
     pub(super) fn merge_heads(
--- a/crates/core/src/spread/machine/read.rs
+++ b/crates/core/src/spread/machine/read.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Spread;
+use super::SpreadMachine;
 use crate::Action;
 use crate::AuditEvent;
 use crate::Catalogue;
@@ -14,7 +14,7 @@
 use crate::Stream;
 use crate::Tick;
 use crate::Version;
-use crate::reader::Place;
+use crate::reader::Placement;
 use crate::spread::join_state::JoinState;
 use crate::spread::source_reads::CheckPolicy;
 use crate::spread::source_reads::EMPTY_ANSWER_DELAY;
@@ -26,7 +26,7 @@
 /// within that time.
 const MAX_SYNC_REPLY_AGE: Duration = Duration::from_secs(1);
 
-impl Spread {
+impl SpreadMachine {
     /// Decides whether this node reads, and starts the reads that are due.
     pub(super) fn start_due_reads(&mut self, now: Tick, out: &mut Vec<Action>) {
         let age = self.contact_age(now);
@@ -173,7 +173,7 @@
                 self.note_source_answer(now, stream, Some(revision));
                 self.offer_catalogue_text(now, revision, &text, out);
             }
-            SourceResult::Items { revision, items } => {
+            SourceResult::CatalogueItems { revision, items } => {
                 self.note_source_answer(now, stream, Some(revision));
                 let before = self.store.catalogue().cloned();
                 let outcome = self.store.offer_items(revision, items, out);
@@ -203,7 +203,7 @@
                 self.refuse_malformed(stream, revision, &reason, out);
             }
             SourceResult::Unchanged { newest } => self.note_unchanged(now, stream, newest, out),
-            SourceResult::Nothing => {
+            SourceResult::NothingPublished => {
                 self.contact.prove(now, self.role.turn());
                 self.reads[stream as usize].note_nothing_published(now, &mut self.rng);
             }
@@ -245,7 +245,7 @@
             return false;
         };
         self.reads[Stream::Instances as usize].defer_until(now, deferral.until);
-        out.push(Action::Audit(AuditEvent::ListWaits {
+        out.push(Action::Audit(AuditEvent::ListDeferred {
             offered: list.version().revision(),
             missing: deferral.missing,
             wait: deferral.until.since(now),
@@ -363,7 +363,7 @@
         let Some(list) = self.store.instances() else {
             return;
         };
-        let place = Place::find(list, &self.local.id, &self.local.domain);
+        let place = Placement::find(list, &self.local.id, &self.local.domain);
         let before = self.role.reads();
         self.was_listed |= place.listed;
         self.role.set_place(place.clone());
--- a/crates/core/src/spread/machine/reports.rs
+++ b/crates/core/src/spread/machine/reports.rs
@@ -4,15 +4,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::Spread;
+use super::SpreadMachine;
 use crate::Action;
 use crate::Announce;
 use crate::AuditEvent;
+use crate::Observation;
 use crate::Origin;
 use crate::PeerMessage;
 use crate::Report;
 use crate::ReportId;
-use crate::Sighting;
 use crate::SyncReply;
 use crate::Tick;
 use crate::spread::calls::Address;
@@ -32,30 +32,30 @@
 /// Burst of that rate limit, as the time over which unused rate accumulates.
 const FORWARDED_REPORTS_BURST: Duration = Duration::from_secs(8);
 
-impl Spread {
+impl SpreadMachine {
     /// Handles an observed crash or answer of the local target, or an
     /// operator's release of a request at this node.
     pub(super) fn handle_observation(
         &mut self,
         now: Tick,
-        sighting: Sighting,
+        sighting: Observation,
         ago: Duration,
         out: &mut Vec<Action>,
     ) {
         match &sighting {
-            Sighting::Crashed(ran) => {
+            Observation::Crashed(ran) => {
                 out.push(Action::Audit(AuditEvent::TargetCrashed {
                     ran: ran.clone(),
                 }));
                 self.add_own_report(now, sighting, ago, out);
             }
-            Sighting::Released(content) => {
+            Observation::Released(content) => {
                 out.push(Action::Audit(AuditEvent::ReleaseOrdered {
                     content: *content,
                 }));
                 self.add_own_report(now, sighting, ago, out);
             }
-            Sighting::Answered(content) => {
+            Observation::Answered(content) => {
                 let since_start = now.since(Tick::ZERO).saturating_sub(ago);
                 let answered = Tick::ZERO + since_start;
                 let nodes = self.peers.len() + 1;
@@ -68,7 +68,7 @@
     /// Reports the due answers that no other node has reported meanwhile.
     pub(super) fn report_due_answers(&mut self, now: Tick, out: &mut Vec<Action>) {
         for (content, answered) in self.pending_answers.take_due(now, self.reports.verdicts()) {
-            let sighting = Sighting::Answered(content);
+            let sighting = Observation::Answered(content);
             self.add_own_report(now, sighting, now.since(answered), out);
         }
     }
@@ -76,7 +76,7 @@
     fn add_own_report(
         &mut self,
         now: Tick,
-        sighting: Sighting,
+        sighting: Observation,
         ago: Duration,
         out: &mut Vec<Action>,
     ) {
--- a/crates/core/src/spread/machine/states.rs
+++ b/crates/core/src/spread/machine/states.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Spread;
+use super::SpreadMachine;
 use super::announce::MAX_ANNOUNCED_STATES;
 use crate::Action;
 use crate::AuditEvent;
@@ -10,12 +10,12 @@
 use crate::Origin;
 use crate::Phase;
 use crate::Tick;
-use crate::membership::Merged;
+use crate::membership::MergeOutcome;
 
 /// How long after its start a node raises its incarnation above former ones.
 const INCARNATION_CLAIM_PERIOD: Duration = Duration::from_secs(60);
 
-impl Spread {
+impl SpreadMachine {
     /// Handles a new phase of the local endpoint.
     pub(super) fn enter_phase(&mut self, now: Tick, phase: Phase, out: &mut Vec<Action>) {
         if self.own_state.phase == phase {
@@ -47,9 +47,9 @@
             }
             let list = self.store.instances().map(AsRef::as_ref);
             match self.members.merge(now, state, list) {
-                Merged::News(_) if many => out.push(Action::Endpoint(state.clone())),
-                Merged::News(before) => self.announce_state(now, state, before, origin, out),
-                Merged::Known | Merged::Full => {}
+                MergeOutcome::Newer(_) if many => out.push(Action::Endpoint(state.clone())),
+                MergeOutcome::Newer(before) => self.announce_state(now, state, before, origin, out),
+                MergeOutcome::NotNewer | MergeOutcome::TableFull => {}
             }
         }
     }
@@ -85,7 +85,7 @@
     fn announce_own_state(&mut self, now: Tick, out: &mut Vec<Action>) {
         let own = self.own_state.clone();
         let list = self.store.instances().map(AsRef::as_ref);
-        if let Merged::News(before) = self.members.merge(now, &own, list) {
+        if let MergeOutcome::Newer(before) = self.members.merge(now, &own, list) {
             let origin = Origin::Peer(self.local.id.clone());
             self.announce_state(now, &own, before, &origin, out);
         }
--- a/crates/core/src/spread/machine/sync.rs
+++ b/crates/core/src/spread/machine/sync.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::Spread;
+use super::SpreadMachine;
 use super::announce::is_gone;
 use super::join::JOIN_SYNC_INTERVAL;
 use crate::Action;
@@ -29,7 +29,7 @@
 /// as soon as the others.
 const UNLISTED_SYNC_INTERVAL: Duration = Duration::from_millis(150);
 
-impl Spread {
+impl SpreadMachine {
     pub(super) fn sync_if_due(&mut self, now: Tick, out: &mut Vec<Action>) {
         if self.gossip.next_sync > now {
             return;
--- a/crates/core/src/spread/machine/wakeup.rs
+++ b/crates/core/src/spread/machine/wakeup.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Spread;
+use super::SpreadMachine;
 use crate::Action;
 use crate::AuditEvent;
 use crate::Stream;
@@ -15,7 +15,7 @@
 /// Minimum delay until the next wakeup, so that the caller can't busy-loop.
 const MIN_WAKEUP_DELAY: Duration = Duration::from_millis(1);
 
-impl Spread {
+impl SpreadMachine {
     /// When [`Event::Wakeup`](crate::Event::Wakeup) is due next.
     pub fn next_wakeup(&self) -> Tick {
         let now = self.last_event_at;
--- a/crates/core/src/spread/naive.rs
+++ b/crates/core/src/spread/naive.rs
@@ -32,7 +32,7 @@
 /// A node that reads and watches the platform itself, full bodies each time,
 /// and sends no messages to peers.
 #[derive(Debug)]
-pub struct Naive {
+pub struct NaiveSpread {
     local: LocalNode,
     rng: SmallRng,
     store: VersionStore,
@@ -41,12 +41,12 @@
     joined: bool,
 }
 
-impl Naive {
+impl NaiveSpread {
     /// Creates the state of a node that starts at `now`; `seed` seeds its
     /// random choices.
-    pub fn new(cfg: SpreadConfig, local: LocalNode, seed: u64, now: Tick) -> Naive {
+    pub fn new(cfg: SpreadConfig, local: LocalNode, seed: u64, now: Tick) -> NaiveSpread {
         let reads = Stream::ALL.map(|stream| SourceReads::new(stream, &cfg));
-        Naive {
+        NaiveSpread {
             local,
             rng: SmallRng::seed_from_u64(seed),
             store: VersionStore::default(),
@@ -78,7 +78,7 @@
                 reads.succeed(now, Some(revision));
                 self.store.offer_text(revision, &text, out)
             }
-            SourceResult::Items { revision, items } => {
+            SourceResult::CatalogueItems { revision, items } => {
                 reads.succeed(now, Some(revision));
                 self.store.offer_items(revision, items, out)
             }
@@ -100,7 +100,7 @@
                 reads.succeed(now, None);
                 OfferOutcome::AlreadyHeld
             }
-            SourceResult::Nothing => {
+            SourceResult::NothingPublished => {
                 reads.note_nothing_published(now, &mut self.rng);
                 OfferOutcome::AlreadyHeld
             }
@@ -141,7 +141,7 @@
     }
 }
 
-impl Disseminate for Naive {
+impl Disseminate for NaiveSpread {
     fn handle(&mut self, now: Tick, event: Event, out: &mut Vec<Action>) {
         if let Event::SourceRead { stream, result } = event {
             self.handle_source_result(now, stream, result, out);
--- a/crates/core/src/spread/tests/crashes.rs
+++ b/crates/core/src/spread/tests/crashes.rs
@@ -7,10 +7,10 @@
 use super::net::Net;
 use super::net::joined_net_with;
 use super::net::scarce_reads_config;
-use crate::CRASHES;
+use crate::CRASHES_TO_QUARANTINE;
 use crate::Content;
 use crate::Event;
-use crate::Sighting;
+use crate::Observation;
 
 /// Time for the reports of a third crash to reach all nodes.
 const DISSEMINATION_TIMEOUT: Duration = Duration::from_secs(3);
@@ -28,13 +28,13 @@
 
 /// Crashes the target of a node while it runs a harmless and the crashing request.
 fn crash_target(net: &mut Net, n: usize) {
-    let observation = Sighting::Crashed(vec![harmless(n), crashing()]);
+    let observation = Observation::Crashed(vec![harmless(n), crashing()]);
     observe(net, n, observation);
 }
 
-fn observe(net: &mut Net, n: usize, observation: Sighting) {
+fn observe(net: &mut Net, n: usize, observation: Observation) {
     let ago = Duration::ZERO;
-    let event = Event::Sighted {
+    let event = Event::Observed {
         sighting: observation,
         ago,
     };
@@ -44,7 +44,7 @@
 /// A fleet in which every node holds a request in quarantine that crashed three targets.
 fn quarantined_net(nodes: usize, seed: u64) -> Net {
     let mut net = joined_net_with(nodes, seed, scarce_reads_config());
-    for n in 0..CRASHES {
+    for n in 0..CRASHES_TO_QUARANTINE {
         crash_target(&mut net, n);
     }
     net.run_until(DISSEMINATION_TIMEOUT, all_quarantine);
@@ -67,15 +67,16 @@
 #[case::large(200)]
 fn a_request_that_crashed_three_targets_is_quarantined_everywhere(#[case] nodes: usize) {
     let mut net = joined_net_with(nodes, 1, scarce_reads_config());
-    for n in 0..CRASHES {
+    for n in 0..CRASHES_TO_QUARANTINE {
         assert!(!(0..nodes).any(|n| quarantines(&net, n, crashing())));
         crash_target(&mut net, n);
         net.run_for(CRASH_INTERVAL);
     }
     let took = net.run_until(DISSEMINATION_TIMEOUT, all_quarantine);
     assert!(took < Duration::from_secs(1), "{took:?}");
-    let harmless_allowed =
-        |net: &Net| (0..nodes).all(|n| (0..CRASHES).all(|of| !quarantines(net, n, harmless(of))));
+    let harmless_allowed = |net: &Net| {
+        (0..nodes).all(|n| (0..CRASHES_TO_QUARANTINE).all(|of| !quarantines(net, n, harmless(of))))
+    };
     assert!(harmless_allowed(&net));
     net.run_for(Duration::from_secs(30));
     assert!(all_quarantine(&net) && harmless_allowed(&net));
@@ -88,7 +89,7 @@
     for seed in 0..16 {
         let mut net = joined_net_with(14, seed, scarce_reads_config());
         net.loss_percent = 60;
-        for n in 0..CRASHES {
+        for n in 0..CRASHES_TO_QUARANTINE {
             crash_target(&mut net, n);
             net.run_for(CRASH_INTERVAL);
         }
@@ -143,7 +144,7 @@
     let mut net = joined_net_with(14, 3, scarce_reads_config());
     net.pause(9);
     net.run_for(Duration::from_secs(1));
-    for n in 0..CRASHES {
+    for n in 0..CRASHES_TO_QUARANTINE {
         crash_target(&mut net, n);
     }
     net.run_for(Duration::from_secs(12));
@@ -156,7 +157,7 @@
 fn an_answer_at_one_node_ends_the_quarantine_everywhere() {
     let mut net = quarantined_net(14, 4);
     assert!(net.node(9).verdicts.doubts(crashing().whole()));
-    observe(&mut net, 9, Sighting::Answered(crashing().whole()));
+    observe(&mut net, 9, Observation::Answered(crashing().whole()));
     net.run_until(Duration::from_secs(1), |net| {
         !(0..14).any(|n| quarantines(net, n, crashing()))
     });
@@ -173,7 +174,7 @@
         bytes(net) - before
     };
     let idle = bytes_of_a_minute(&mut net);
-    for n in 0..CRASHES {
+    for n in 0..CRASHES_TO_QUARANTINE {
         crash_target(&mut net, n);
     }
     net.run_until(DISSEMINATION_TIMEOUT, all_quarantine);
@@ -195,7 +196,7 @@
     let mut net = quarantined_net(200, 6);
     let before = max_bytes_of_a_node(&net);
     for n in 0..200 {
-        observe(&mut net, n, Sighting::Answered(crashing().whole()));
+        observe(&mut net, n, Observation::Answered(crashing().whole()));
     }
     net.run_until(Duration::from_secs(2), |net| {
         !(0..200).any(|n| quarantines(net, n, crashing()))
@@ -211,7 +212,7 @@
     let before = max_bytes_of_a_node(&net);
     for n in 0..40 {
         let ran = (0..20).map(|m| harmless(1_000 + 20 * n + m)).collect();
-        observe(&mut net, n, Sighting::Crashed(ran));
+        observe(&mut net, n, Observation::Crashed(ran));
     }
     let seconds = 20;
     net.run_for(Duration::from_secs(seconds));
@@ -226,12 +227,12 @@
 fn a_release_reaches_every_node_and_ends_with_further_crashes() {
     let mut net = quarantined_net(14, 3);
     let released = |net: &Net| (0..14).all(|n| !quarantines(net, n, crashing()));
-    observe(&mut net, 5, Sighting::Released(crashing().whole()));
+    observe(&mut net, 5, Observation::Released(crashing().whole()));
     let took = net.run_until(DISSEMINATION_TIMEOUT, released);
     assert!(took < Duration::from_secs(1), "{took:?}");
     net.run_for(Duration::from_secs(30));
     assert!(released(&net));
-    for n in 0..CRASHES {
+    for n in 0..CRASHES_TO_QUARANTINE {
         crash_target(&mut net, n);
         net.run_for(CRASH_INTERVAL);
     }
--- a/crates/core/src/spread/tests/list_proofs.rs
+++ b/crates/core/src/spread/tests/list_proofs.rs
@@ -15,7 +15,7 @@
 use crate::Revision;
 use crate::Stream;
 use crate::Tick;
-use crate::spread::list_proof::ListClock;
+use crate::spread::list_proof::NewestListProof;
 
 /// The publication time of each list revision, in microseconds.
 struct Publications(Vec<(i64, u64)>);
@@ -109,10 +109,7 @@
         net.run_for(Duration::from_millis(400));
         oldest = oldest.max(assert_proofs(&net, &published));
     }
-    assert!(
-        oldest < crate::RepeatSettings::default().lease,
-        "{oldest:?}"
-    );
+    assert!(oldest < crate::DedupSettings::default().lease, "{oldest:?}");
 }
 
 /// Guards against an answer that counts as fresh although it was delayed in a buffer.
@@ -124,7 +121,7 @@
             age_ms,
         })
     };
-    let mut clock = ListClock::default();
+    let mut clock = NewestListProof::default();
     assert_eq!(clock.current(Tick::ZERO), None);
     clock.merge(Tick::from_millis(10_000), proof(4, 3_000));
     let now = Tick::from_millis(20_000);
--- a/crates/core/src/spread/tests/net/control.rs
+++ b/crates/core/src/spread/tests/net/control.rs
@@ -5,9 +5,9 @@
 use super::node::Node;
 use super::record::published;
 use crate::Event;
-use crate::Naive;
+use crate::NaiveSpread;
 use crate::Phase;
-use crate::Spread;
+use crate::SpreadMachine;
 use crate::Tick;
 
 impl Net {
@@ -23,8 +23,8 @@
         let local = node::local_node(n, started_ms, self.seeds.clone());
         let cfg = self.cfg.clone();
         let machine: Box<dyn crate::Disseminate> = match self.naive {
-            true => Box::new(Naive::new(cfg, local, seed, self.now)),
-            false => Box::new(Spread::new(cfg, local, seed, self.now)),
+            true => Box::new(NaiveSpread::new(cfg, local, seed, self.now)),
+            false => Box::new(SpreadMachine::new(cfg, local, seed, self.now)),
         };
         self.nodes[n] = Some(Node::new(machine, self.generation));
         self.wakeups[n] = Tick::from_micros(u64::MAX);
--- a/crates/core/src/spread/tests/net/record.rs
+++ b/crates/core/src/spread/tests/net/record.rs
@@ -12,7 +12,7 @@
 use crate::Stream;
 use crate::catalogue;
 use crate::history;
-use crate::history::Held;
+use crate::history::SnapshotFacts;
 
 impl Net {
     pub(super) fn record_list(&mut self) {
@@ -33,7 +33,7 @@
         };
         let generation = self.nodes[n].as_ref().unwrap().generation;
         let node = InstanceId::new(&format!("wd-{n}.{generation}")).unwrap();
-        let held = Arc::new(Held::of(&applied.snapshot).unwrap());
+        let held = Arc::new(SnapshotFacts::of(&applied.snapshot).unwrap());
         self.history
             .record(self.now, history::Event::InForce { node, held });
     }
--- a/crates/core/src/spread/tests/node.rs
+++ b/crates/core/src/spread/tests/node.rs
@@ -14,8 +14,8 @@
 use crate::InstanceId;
 use crate::LocalNode;
 use crate::PeerMessage;
+use crate::QuarantineState;
 use crate::Snapshot;
-use crate::Verdicts;
 use crate::testing;
 
 /// An input that is delivered to a node, or queued while it is paused.
@@ -42,7 +42,7 @@
     pub(super) applied: Vec<(u64, u64)>,
     pub(super) audit: Vec<AuditEvent>,
     pub(super) states: Vec<EndpointState>,
-    pub(super) verdicts: Arc<Verdicts>,
+    pub(super) verdicts: Arc<QuarantineState>,
     /// Encoded bytes of sent messages and replies.
     pub(super) bytes_sent: usize,
     /// Revisions of the catalogue that the node announced.
--- a/crates/core/src/spread/tests/outages.rs
+++ b/crates/core/src/spread/tests/outages.rs
@@ -146,7 +146,7 @@
     }
     let audited = |node: &Node| {
         let deferred = |event: &AuditEvent| match event {
-            AuditEvent::ListWaits { missing, .. } => *missing == 12,
+            AuditEvent::ListDeferred { missing, .. } => *missing == 12,
             _ => false,
         };
         node.audit.iter().any(deferred)
--- a/crates/core/src/spread/tests/platform.rs
+++ b/crates/core/src/spread/tests/platform.rs
@@ -80,7 +80,7 @@
         let lag = self.lag.filter(|_| freshness == Freshness::MayLag);
         let newest = self.newest_of(stream, lag.or(self.stale));
         if newest == 0 {
-            return Some(SourceResult::Nothing);
+            return Some(SourceResult::NothingPublished);
         }
         let has_newer = match self.serves_older {
             true => after.is_none_or(|after| after.get() != newest),
--- a/crates/core/tests/at_most_once/node.rs
+++ b/crates/core/tests/at_most_once/node.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
+use sassafrasspool_core::DedupSettings;
+use sassafrasspool_core::DedupWindow;
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::InstanceList;
-use sassafrasspool_core::RepeatSettings;
-use sassafrasspool_core::RepeatWindow;
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::ServiceName;
 use sassafrasspool_core::Tick;
@@ -31,7 +31,7 @@
     pub(crate) partitioned: bool,
     pub(crate) paused: bool,
     pub(crate) known: KnownList,
-    pub(crate) window: RepeatWindow,
+    pub(crate) window: DedupWindow,
 }
 
 impl Node {
@@ -72,16 +72,16 @@
     }
 }
 
-fn window(id: &InstanceId, fault: Fault) -> RepeatWindow {
+fn window(id: &InstanceId, fault: Fault) -> DedupWindow {
     let hold = match fault {
         Fault::HoldTooShort => HOLD / 10,
         _ => HOLD,
     };
-    let cfg = RepeatSettings {
+    let cfg = DedupSettings {
         hold,
         lease: LEASE,
-        ..RepeatSettings::default()
+        ..DedupSettings::default()
     };
     let service = ServiceName::new("adjuster-desk").unwrap();
-    RepeatWindow::new(cfg, id.clone(), service).unwrap()
+    DedupWindow::new(cfg, id.clone(), service).unwrap()
 }
--- a/crates/core/tests/at_most_once/world.rs
+++ b/crates/core/tests/at_most_once/world.rs
@@ -7,12 +7,12 @@
 use sassafrasspool_core::Attempt;
 use sassafrasspool_core::InstanceList;
 use sassafrasspool_core::Revision;
-use sassafrasspool_core::Running;
+use sassafrasspool_core::RunPermit;
 use sassafrasspool_core::Tick;
 use sassafrasspool_core::history::Bounds;
+use sassafrasspool_core::history::Guarantee;
 use sassafrasspool_core::history::History;
 use sassafrasspool_core::history::OperationId;
-use sassafrasspool_core::history::Promise;
 use sassafrasspool_core::history::RequestId;
 use sassafrasspool_core::history::check;
 
@@ -44,7 +44,7 @@
 /// A request with a permit of its owner, before or after the hand-over.
 struct Open {
     sent: Sent,
-    running: Running,
+    running: RunPermit,
     handed_over: bool,
 }
 
@@ -113,7 +113,7 @@
 
     /// Returns every violation of the run.
     pub(crate) fn finish(self) -> Vec<String> {
-        let checked = [Promise::AtMostOnce, Promise::TrueRefusal];
+        let checked = [Guarantee::AtMostOnce, Guarantee::TrueRefusal];
         let found = check(&self.history, &Bounds::default());
         let found = found.iter().filter(|v| checked.contains(&v.promise()));
         let violations = found.map(ToString::to_string);
--- a/crates/core/tests/at_most_once/world/calls.rs
+++ b/crates/core/tests/at_most_once/world/calls.rs
@@ -1,13 +1,13 @@
 //! Requests, from the caller to the answer.
 
 use sassafrasspool_core::Attempt;
-use sassafrasspool_core::Begin;
+use sassafrasspool_core::AttemptDecision;
 use sassafrasspool_core::Homes;
 use sassafrasspool_core::Loss;
 use sassafrasspool_core::LossCause;
 use sassafrasspool_core::Outcome;
 use sassafrasspool_core::Refusal;
-use sassafrasspool_core::Running;
+use sassafrasspool_core::RunPermit;
 use sassafrasspool_core::ServiceName;
 use sassafrasspool_core::StoredAnswer;
 use sassafrasspool_core::history::Event;
@@ -114,14 +114,14 @@
         }
         let key = key(self.requests[&sent.request]);
         let window = &self.nodes[sent.owner].window;
-        match window.begin(self.now, key, sent.attempt) {
-            Begin::Run(running) => self.open.push(Open {
+        match window.begin_attempt(self.now, key, sent.attempt) {
+            AttemptDecision::Run(running) => self.open.push(Open {
                 sent,
                 running,
                 handed_over: false,
             }),
-            Begin::Answer(_) => self.record_answer(sent.request),
-            Begin::Refuse(refusal) => self.refuse(sent.request, sent.attempt, refusal),
+            AttemptDecision::Answer(_) => self.record_answer(sent.request),
+            AttemptDecision::Refuse(refusal) => self.refuse(sent.request, sent.attempt, refusal),
         }
     }
 
@@ -134,7 +134,7 @@
             return;
         }
         let mut open = self.open.swap_remove(i);
-        match open.running.check(self.now) {
+        match open.running.recheck(self.now) {
             Ok(running) => open.running = running,
             Err(refusal) => return self.refuse(open.sent.request, open.sent.attempt, refusal),
         }
@@ -167,7 +167,7 @@
             headers: Vec::new(),
             body: Vec::new(),
         };
-        open.running.done(self.now, answer);
+        open.running.complete(self.now, answer);
         if arrives && self.can_reach(open.sent.hop, open.sent.owner) {
             self.record_answer(open.sent.request);
         } else {
@@ -175,7 +175,7 @@
         }
     }
 
-    pub(super) fn mark_unknown(&self, running: Running) {
+    pub(super) fn mark_unknown(&self, running: RunPermit) {
         let loss = Loss::new(
             sassafrasspool_core::Step::Forward,
             LossCause::ConnectionLost,
@@ -185,9 +185,9 @@
             Fault::UnknownOutcomeForgotten => {
                 let step = sassafrasspool_core::Step::Forward;
                 let reason = sassafrasspool_core::Reason::Connect;
-                let _ = running.refused(Refusal::not_run(step, reason));
+                let _ = running.release(Refusal::not_run(step, reason));
             }
-            _ => running.lost(self.now),
+            _ => running.mark_unknown(self.now),
         }
     }
 }
--- a/crates/core/tests/at_most_once/world/outcomes.rs
+++ b/crates/core/tests/at_most_once/world/outcomes.rs
@@ -1,15 +1,15 @@
 //! The outcomes that callers receive.
 
 use sassafrasspool_core::Attempt;
-use sassafrasspool_core::Budget;
 use sassafrasspool_core::Deadline;
 use sassafrasspool_core::Failure;
 use sassafrasspool_core::Hop;
-use sassafrasspool_core::Next;
 use sassafrasspool_core::Outcome;
 use sassafrasspool_core::Refusal;
+use sassafrasspool_core::RetryBudget;
+use sassafrasspool_core::RetryDecision;
 use sassafrasspool_core::RetryLimits;
-use sassafrasspool_core::Tries;
+use sassafrasspool_core::RetryState;
 use sassafrasspool_core::history::Event;
 use sassafrasspool_core::history::RequestId;
 
@@ -25,12 +25,13 @@
             budget_percent: 0,
             burst: 100,
         };
-        let budget = Budget::new();
+        let budget = RetryBudget::new();
         let deadline = Deadline::at(self.now);
-        let tries = Tries::first(Hop::First, false, &limits, deadline, &budget);
-        let Next::Stop(failure) = tries
-            .keyed(attempt)
-            .after(self.now, refusal.into(), &budget)
+        let tries = RetryState::first(Hop::First, false, &limits, deadline, &budget);
+        let RetryDecision::Stop(failure) =
+            tries
+                .keyed(attempt)
+                .after(self.now, refusal.into(), &budget)
         else {
             panic!("the deadline has passed");
         };
--- a/crates/core/tests/at_most_once/world/setup.rs
+++ b/crates/core/tests/at_most_once/world/setup.rs
@@ -8,9 +8,9 @@
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::InstanceList;
 use sassafrasspool_core::InstanceState;
+use sassafrasspool_core::Locality;
 use sassafrasspool_core::Meters;
 use sassafrasspool_core::Picker;
-use sassafrasspool_core::Position;
 use sassafrasspool_core::RequestKey;
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::RouteSettings;
@@ -72,7 +72,7 @@
     let published = Catalogue::new(Revision::new(1).unwrap(), items).unwrap();
     let snapshot = Snapshot::build(&published, list).unwrap();
     let at = instance(0);
-    let position = Position {
+    let position = Locality {
         instance: at.id,
         domain: at.domain,
         region: at.region,
--- a/crates/core/tests/requests/main.rs
+++ b/crates/core/tests/requests/main.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use sassafrasspool_core::Class;
-use sassafrasspool_core::history::Promise;
+use sassafrasspool_core::history::Guarantee;
 
 use self::load::Load;
 use self::policy::Policy;
@@ -60,16 +60,16 @@
 #[derive(Debug)]
 struct BrokenRule {
     policy: Policy,
-    violated: Promise,
+    violated: Guarantee,
 }
 
 /// Guards against a checker that finds no violation when a rule is not followed.
 #[rstest]
-#[case(BrokenRule { policy: Policy::RetryUnknown, violated: Promise::AtMostOnce })]
-#[case(BrokenRule { policy: Policy::UnknownAsNotRun, violated: Promise::TrueRefusal })]
-#[case(BrokenRule { policy: Policy::AdmitWhileDraining, violated: Promise::LeavingRests })]
-#[case(BrokenRule { policy: Policy::StopWithoutWaiting, violated: Promise::GracefulStop })]
-#[case(BrokenRule { policy: Policy::DropRefusals, violated: Promise::WholeAnswer })]
+#[case(BrokenRule { policy: Policy::RetryUnknown, violated: Guarantee::AtMostOnce })]
+#[case(BrokenRule { policy: Policy::UnknownAsNotRun, violated: Guarantee::TrueRefusal })]
+#[case(BrokenRule { policy: Policy::AdmitWhileDraining, violated: Guarantee::NoWorkWhileLeaving })]
+#[case(BrokenRule { policy: Policy::StopWithoutWaiting, violated: Guarantee::GracefulStop })]
+#[case(BrokenRule { policy: Policy::DropRefusals, violated: Guarantee::WholeAnswer })]
 fn a_policy_without_a_rule_is_detected(#[case] case: BrokenRule) {
     let found = (1..=20).any(|seed| {
         let load = Load::mixed(CAPACITY_PER_S, Duration::from_secs(10));
--- a/crates/core/tests/requests/sim/calls.rs
+++ b/crates/core/tests/requests/sim/calls.rs
@@ -3,6 +3,8 @@
 use std::time::Duration;
 
 use rand::RngExt;
+use sassafrasspool_core::AdmissionDecision;
+use sassafrasspool_core::AttemptOutcome;
 use sassafrasspool_core::Class;
 use sassafrasspool_core::Deadline;
 use sassafrasspool_core::Failure;
@@ -10,17 +12,15 @@
 use sassafrasspool_core::Hop;
 use sassafrasspool_core::Loss;
 use sassafrasspool_core::LossCause;
-use sassafrasspool_core::Next;
-use sassafrasspool_core::Offer;
 use sassafrasspool_core::Outcome;
 use sassafrasspool_core::Permit;
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Received;
 use sassafrasspool_core::Refusal;
 use sassafrasspool_core::Request;
+use sassafrasspool_core::RetryDecision;
+use sassafrasspool_core::RetryState;
 use sassafrasspool_core::Step;
-use sassafrasspool_core::Tries;
-use sassafrasspool_core::Verdict;
 use sassafrasspool_core::history::Event;
 use sassafrasspool_core::history::OperationId;
 use sassafrasspool_core::history::RequestId;
@@ -47,7 +47,7 @@
         let deadline = Deadline::within(self.now, DEADLINE);
         let budget = self.callers[caller].1.budget(self.service).unwrap();
         let is_repeatable = self.policy == Policy::RetryUnknown;
-        let tries = Tries::first(
+        let tries = RetryState::first(
             Hop::First,
             is_repeatable,
             &self.limits.retry,
@@ -102,13 +102,13 @@
         call.incarnation = endpoint.incarnation;
         if matches!(endpoint.stage, Stage::Down) {
             let refusal = Refusal::not_run(Step::Connect, Reason::Connect);
-            return self.fail_attempt(id, refusal.into(), Verdict::NoConnection);
+            return self.fail_attempt(id, refusal.into(), AttemptOutcome::NoConnection);
         }
         if self.policy == Policy::Naive {
             let busy = endpoint.running >= endpoint.instance.slots;
             if busy || matches!(endpoint.stage, Stage::Draining(_)) {
                 let refusal = Refusal::not_run(Step::Admission, Reason::QueueFull);
-                return self.fail_attempt(id, refusal.into(), Verdict::Shed);
+                return self.fail_attempt(id, refusal.into(), AttemptOutcome::Shed);
             }
             endpoint.running += 1;
             call.naive_run = true;
@@ -120,14 +120,14 @@
             Box::new(move |verdict| wakes.lock().unwrap().push((id, verdict)))
         };
         let ask = request.ask(&self.limits);
-        match endpoint.admission.offer(self.now, &ask, waker) {
-            Offer::Admitted(permit) => self.hand_over(id, request, permit),
-            Offer::Queued(queued) => {
-                let until = queued.until();
+        match endpoint.admission.request_slot(self.now, &ask, waker) {
+            AdmissionDecision::Admitted(permit) => self.hand_over(id, request, permit),
+            AdmissionDecision::Queued(queued) => {
+                let until = queued.expires_at();
                 call.queued = Some((queued, request));
                 self.schedule_at(until, Work::ExpireQueued(id));
             }
-            Offer::Refused(refusal) => self.fail_refused(id, refusal),
+            AdmissionDecision::Refused(refusal) => self.fail_refused(id, refusal),
         }
     }
 
@@ -162,8 +162,8 @@
 
     pub(super) fn fail_refused(&mut self, id: u64, refusal: Refusal) {
         let verdict = match refusal.reason() {
-            Reason::Draining => Verdict::Draining,
-            _ => Verdict::Shed,
+            Reason::Draining => AttemptOutcome::Draining,
+            _ => AttemptOutcome::Shed,
         };
         self.fail_attempt(id, refusal.into(), verdict);
     }
@@ -225,9 +225,9 @@
         let target = endpoint.instance.id.clone();
         let load = endpoint.load();
         if let Some(picked) = call.picked.take() {
-            let took = self.now.since(picked.since());
-            picked.report(self.now, load);
-            picked.finish(self.now, Verdict::Answered(took));
+            let took = self.now.since(picked.picked_at());
+            picked.record_load(self.now, load);
+            picked.finish(self.now, AttemptOutcome::Answered(took));
         }
         let ended = std::mem::replace(&mut call.ended, true);
         let class = call.class;
@@ -250,7 +250,7 @@
             return;
         }
         if let Some(picked) = call.picked.take() {
-            picked.finish(self.now, Verdict::Failed);
+            picked.finish(self.now, AttemptOutcome::Failed);
         }
         // A request that is still queued was not run.
         let failure = match call.queued.take() {
@@ -266,7 +266,7 @@
     }
 
     /// An attempt got no answer.
-    pub(super) fn fail_attempt(&mut self, id: u64, failure: Failure, verdict: Verdict) {
+    pub(super) fn fail_attempt(&mut self, id: u64, failure: Failure, verdict: AttemptOutcome) {
         let call = self.calls.get_mut(&id).unwrap();
         if call.ended {
             return;
@@ -277,8 +277,8 @@
         picked.finish(self.now, verdict);
         let budget = self.callers[call.caller].1.budget(self.service).unwrap();
         match call.tries.after(self.now, failure, budget) {
-            Next::Again => self.send(id, failure),
-            Next::Stop(failure) => self.end(id, failure),
+            RetryDecision::Retry => self.send(id, failure),
+            RetryDecision::Stop(failure) => self.end(id, failure),
         }
     }
 
--- a/crates/core/tests/requests/sim/faults.rs
+++ b/crates/core/tests/requests/sim/faults.rs
@@ -5,13 +5,13 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
+use sassafrasspool_core::AttemptOutcome;
 use sassafrasspool_core::Intake;
 use sassafrasspool_core::Loss;
 use sassafrasspool_core::LossCause;
 use sassafrasspool_core::Progress;
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Step;
-use sassafrasspool_core::Verdict;
 use sassafrasspool_core::history::Bounds;
 use sassafrasspool_core::history::Event;
 
@@ -110,7 +110,7 @@
                 let _ = request.lost(self.now, LossCause::ConnectionLost);
             }
             let loss = Loss::new(Step::Forward, LossCause::ConnectionLost);
-            self.fail_attempt(id, loss.into(), Verdict::Failed);
+            self.fail_attempt(id, loss.into(), AttemptOutcome::Failed);
         }
     }
 
@@ -147,11 +147,11 @@
         let wait = naive || self.policy == Policy::AdmitWhileDraining;
         let wait = wait && self.now < endpoint.stops_at_latest;
         match drain.poll(self.now) {
-            Progress::Over(over) if !wait => {
+            Progress::Finished(over) if !wait => {
                 let cut = over.cut();
                 self.stop(i, cut);
             }
-            Progress::Over(over) => {
+            Progress::Finished(over) => {
                 endpoint.stage = Stage::Draining(over.reopen().begin(self.now, DRAIN_BOUND));
                 self.schedule_after(Duration::from_millis(10), Work::PollDrain(i));
             }
@@ -184,7 +184,7 @@
             return;
         }
         for (meters, _) in &self.callers {
-            meters.mark(&endpoint.instance.id, intake, self.now);
+            meters.set_intake(&endpoint.instance.id, intake, self.now);
         }
     }
 }
--- a/crates/core/tests/requests/sim/setup.rs
+++ b/crates/core/tests/requests/sim/setup.rs
@@ -8,9 +8,9 @@
 use sassafrasspool_core::Instance;
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::InstanceState;
+use sassafrasspool_core::Locality;
 use sassafrasspool_core::Meters;
 use sassafrasspool_core::Picker;
-use sassafrasspool_core::Position;
 use sassafrasspool_core::RouteSettings;
 use sassafrasspool_core::ServiceName;
 use sassafrasspool_core::Snapshot;
@@ -20,7 +20,7 @@
 
 pub(super) fn caller(domain: &str, snapshot: &Snapshot) -> (Arc<Meters>, Picker) {
     let at = instance(0);
-    let position = Position {
+    let position = Locality {
         instance: InstanceId::new(&format!("caller-{domain}")).unwrap(),
         domain: sassafrasspool_core::DomainName::new(domain).unwrap(),
         region: at.region,
--- a/crates/node/src/audit/record.rs
+++ b/crates/node/src/audit/record.rs
@@ -106,7 +106,7 @@
             let verb = if *reading { "began" } else { "ended" };
             ("reading", format!("{verb} at rank {rank}"))
         }
-        AuditEvent::ListWaits {
+        AuditEvent::ListDeferred {
             offered,
             missing,
             wait,
--- a/crates/node/src/control/outside.rs
+++ b/crates/node/src/control/outside.rs
@@ -128,11 +128,11 @@
 fn result_name(result: &SourceResult) -> &'static str {
     match result {
         SourceResult::Catalogue { .. }
-        | SourceResult::Items { .. }
+        | SourceResult::CatalogueItems { .. }
         | SourceResult::Instances { .. } => "value",
         SourceResult::Malformed { .. } => "malformed",
         SourceResult::Unchanged { .. } => "unchanged",
-        SourceResult::Nothing => "nothing",
+        SourceResult::NothingPublished => "nothing",
         SourceResult::Busy { .. } => "busy",
         SourceResult::Failed { .. } => "failed",
     }
--- a/crates/node/src/control/probe/tests.rs
+++ b/crates/node/src/control/probe/tests.rs
@@ -11,8 +11,8 @@
 use rstest::rstest;
 use sassafrasspool_core::Incarnation;
 use sassafrasspool_core::Instance;
+use sassafrasspool_core::TargetGeneration;
 use sassafrasspool_core::TargetId;
-use sassafrasspool_core::TargetLife;
 use tokio::net::TcpListener;
 
 use super::follow_coldness;
@@ -60,7 +60,7 @@
 
 fn view() -> View {
     let instance = Instance {
-        target: Some(TargetLife {
+        target: Some(TargetGeneration {
             id: TargetId::new("i-1").expect("a name"),
             listed_at: 1,
             born: None,
