--- a/crates/node/src/control/tests.rs
+++ b/crates/node/src/control/tests.rs
@@ -145,9 +145,9 @@
     };
     let changes = [
         reach.note(Stream::Catalogue, &failed),
-        reach.note(Stream::Instances, &SourceResult::Nothing),
+        reach.note(Stream::Instances, &SourceResult::NothingPublished),
         reach.note(Stream::Catalogue, &failed),
-        reach.note(Stream::Catalogue, &SourceResult::Nothing),
+        reach.note(Stream::Catalogue, &SourceResult::NothingPublished),
     ];
     let [lost, regained] = [Change::Lost, Change::Regained { missed: 2 }].map(Some);
     assert_eq!(changes, [lost, None, None, regained]);
--- a/crates/node/src/node/spread.rs
+++ b/crates/node/src/node/spread.rs
@@ -7,8 +7,8 @@
 use sassafrasspool_core::Disseminate;
 use sassafrasspool_core::Incarnation;
 use sassafrasspool_core::LocalNode;
-use sassafrasspool_core::Naive;
-use sassafrasspool_core::Spread;
+use sassafrasspool_core::NaiveSpread;
+use sassafrasspool_core::SpreadMachine;
 use sassafrasspool_core::Tick;
 
 use crate::Settings;
@@ -38,8 +38,8 @@
     };
     let cfg = settings.spread.config.clone();
     match settings.spread.strategy {
-        Strategy::Spread => Box::new(Spread::new(cfg, local, seed, now)),
-        Strategy::Naive => Box::new(Naive::new(cfg, local, seed, now)),
+        Strategy::Spread => Box::new(SpreadMachine::new(cfg, local, seed, now)),
+        Strategy::Naive => Box::new(NaiveSpread::new(cfg, local, seed, now)),
     }
 }
 
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
+use sassafrasspool_core::DedupSettings;
 use sassafrasspool_core::DomainName;
 use sassafrasspool_core::Faults;
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::RegionName;
-use sassafrasspool_core::RepeatSettings;
 use sassafrasspool_core::ServiceName;
 
 pub use self::control::ControlSettings;
@@ -64,7 +64,7 @@
     /// Threads that move requests.
     pub traffic_threads: usize,
     /// How repeats of a request are recognised; the same on every node.
-    pub repeat: RepeatSettings,
+    pub repeat: DedupSettings,
     /// How the node logs.
     pub log: LogSettings,
     /// How the node stops.
--- a/crates/node/src/settings/repeat.rs
+++ b/crates/node/src/settings/repeat.rs
@@ -2,8 +2,8 @@
 
 use std::ops::RangeInclusive;
 
+use sassafrasspool_core::DedupSettings;
 use sassafrasspool_core::Faults;
-use sassafrasspool_core::RepeatSettings;
 use sassafrasspool_core::yaml::Table;
 
 use super::value::millis_or;
@@ -20,14 +20,14 @@
 const BYTES: RangeInclusive<u64> = 0..=1_073_741_824;
 
 /// Reads the window of request keys.
-pub(super) fn read(mut table: Table<'_>, faults: &mut Faults) -> Option<RepeatSettings> {
-    let default = RepeatSettings::default();
+pub(super) fn read(mut table: Table<'_>, faults: &mut Faults) -> Option<DedupSettings> {
+    let default = DedupSettings::default();
     let hold = millis_or(&mut table, "hold_ms", HOLD_MS, default.hold, faults);
     let lease = millis_or(&mut table, "lease_ms", LEASE_MS, default.lease, faults);
     let max_keys = usize_or(&mut table, "max_keys", KEYS, default.max_keys, faults);
     let max_bytes = usize_or(&mut table, "max_bytes", BYTES, default.max_bytes, faults);
     table.finish(faults);
-    Some(RepeatSettings {
+    Some(DedupSettings {
         hold: hold?,
         lease: lease?,
         max_keys: max_keys?,
--- a/crates/node/src/settings/target.rs
+++ b/crates/node/src/settings/target.rs
@@ -77,7 +77,7 @@
     let over = over.flatten().map(|over| (over * 100.0) as u32);
     let slack = slack.flatten().map(|slack| slack as u32);
     ColdTolerance {
-        over_percent: over.unwrap_or(default.over_percent),
-        slack: slack.unwrap_or(default.slack),
+        max_rate_percent: over.unwrap_or(default.max_rate_percent),
+        slack_requests: slack.unwrap_or(default.slack_requests),
     }
 }
--- a/crates/node/src/settings/tests.rs
+++ b/crates/node/src/settings/tests.rs
@@ -64,7 +64,7 @@
     assert_ne!(text, WHOLE);
     let cold = Settings::parse(&text).expect("settings").target.cold;
     assert_eq!(
-        (cold.over_percent, cold.slack),
+        (cold.max_rate_percent, cold.slack_requests),
         (case.over_percent, case.slack)
     );
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -9,11 +9,11 @@
 use std::sync::atomic::Ordering;
 
 use arc_swap::ArcSwapOption;
+use sassafrasspool_core::DedupWindow;
 use sassafrasspool_core::Incarnation;
 use sassafrasspool_core::InstanceId;
+use sassafrasspool_core::Locality;
 use sassafrasspool_core::Phase;
-use sassafrasspool_core::Position;
-use sassafrasspool_core::RepeatWindow;
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::ServiceName;
 use sassafrasspool_core::Tick;
@@ -194,7 +194,7 @@
 
     /// Says where the node stands in the fleet, before the first view, and
     /// which window remembers the requests with a key that it runs.
-    pub fn place(&self, position: Position, repeat: RepeatWindow) {
+    pub fn place(&self, position: Locality, repeat: DedupWindow) {
         self.routing.place(position, repeat);
     }
 
--- a/crates/node/src/shared/coldness.rs
+++ b/crates/node/src/shared/coldness.rs
@@ -8,7 +8,7 @@
 use sassafrasspool_core::ColdLimit;
 use sassafrasspool_core::ColdStart;
 use sassafrasspool_core::ColdTolerance;
-use sassafrasspool_core::Coldness;
+use sassafrasspool_core::ColdTracker;
 use sassafrasspool_core::Tick;
 use tokio::sync::Notify;
 
@@ -17,7 +17,7 @@
 /// What is known of how cold the own target is.
 #[derive(Debug, Default)]
 pub(crate) struct OwnColdness {
-    state: Mutex<Coldness>,
+    state: Mutex<ColdTracker>,
     /// The target may be warm earlier than is known.
     unproved: Notify,
 }
@@ -80,7 +80,7 @@
         self.lock().probed(now, left);
     }
 
-    fn change<T>(&self, change: impl FnOnce(&mut Coldness) -> T) -> T {
+    fn change<T>(&self, change: impl FnOnce(&mut ColdTracker) -> T) -> T {
         let mut state = self.lock();
         let before = state.is_unproved();
         let result = change(&mut state);
@@ -90,7 +90,7 @@
         result
     }
 
-    fn lock(&self) -> MutexGuard<'_, Coldness> {
+    fn lock(&self) -> MutexGuard<'_, ColdTracker> {
         // Nothing can panic halfway through a change of it.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/node/src/shared/quarantine.rs
+++ b/crates/node/src/shared/quarantine.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use sassafrasspool_core::ANSWER_EXCUSES;
+use sassafrasspool_core::ANSWER_EXEMPTION;
 use sassafrasspool_core::Content;
 use sassafrasspool_core::Event;
 use sassafrasspool_core::Fingerprint;
-use sassafrasspool_core::Sighting;
+use sassafrasspool_core::Observation;
+use sassafrasspool_core::QuarantineState;
 use sassafrasspool_core::Tick;
-use sassafrasspool_core::Verdicts;
 use tokio::sync::watch;
 
 use super::Clock;
@@ -27,7 +27,7 @@
 /// What is in quarantine, and what this node's own target did.
 #[derive(Debug, Default)]
 pub(crate) struct Quarantine {
-    verdicts: ArcSwap<Verdicts>,
+    verdicts: ArcSwap<QuarantineState>,
     /// Told after other verdicts are in force.
     judged: watch::Sender<()>,
     answered: Mutex<Answered>,
@@ -70,7 +70,7 @@
 
     /// Puts other verdicts in force, and tells of what they doubt and the own target has
     /// answered lately.
-    pub(crate) fn judge(&self, now: Tick, verdicts: Arc<Verdicts>) {
+    pub(crate) fn judge(&self, now: Tick, verdicts: Arc<QuarantineState>) {
         let answered: Vec<(Fingerprint, Tick)> = {
             let answered = self.answered.lock();
             let answered = answered.unwrap_or_else(PoisonError::into_inner);
@@ -104,13 +104,13 @@
     /// Notes that the own target crashed while it ran these.
     pub(crate) async fn crashed(&self, ran: Vec<Content>) {
         // A node that has ended tells nobody.
-        self.report(Sighting::Crashed(ran)).await;
+        self.report(Observation::Crashed(ran)).await;
     }
 
     /// Lets requests run again under which targets crashed; false if the node has ended.
     pub(crate) async fn release(&self, content: &Content) -> bool {
         for content in content.fingerprints() {
-            if !self.report(Sighting::Released(content)).await {
+            if !self.report(Observation::Released(content)).await {
                 return false;
             }
         }
@@ -118,12 +118,12 @@
     }
 
     /// Reports what was just seen; false if nobody can be told.
-    async fn report(&self, sighting: Sighting) -> bool {
+    async fn report(&self, sighting: Observation) -> bool {
         let Some(control) = self.control.get() else {
             return false;
         };
         let ago = Duration::ZERO;
-        let event = Event::Sighted { sighting, ago };
+        let event = Event::Observed { sighting, ago };
         control.send(ControlEvent::Spread(event)).await
     }
 
@@ -131,8 +131,8 @@
         let Some(control) = self.control.get() else {
             return;
         };
-        let sighting = Sighting::Answered(content);
-        let event = ControlEvent::Spread(Event::Sighted { sighting, ago });
+        let sighting = Observation::Answered(content);
+        let event = ControlEvent::Spread(Event::Observed { sighting, ago });
         if !control.try_send(event) {
             // The next answer is told again, for as long as there is doubt.
             tracing::debug!(%content, "an answer was not told: the control side is busy");
@@ -152,7 +152,7 @@
 
 impl Answered {
     fn note(&mut self, now: Tick, content: Fingerprint) {
-        let is_old = now.since(self.since) >= ANSWER_EXCUSES;
+        let is_old = now.since(self.since) >= ANSWER_EXEMPTION;
         if is_old || self.newer.len() >= MOST_ANSWERS {
             std::mem::swap(&mut self.newer, &mut self.older);
             self.newer.clear();
--- a/crates/node/src/shared/routing.rs
+++ b/crates/node/src/shared/routing.rs
@@ -10,17 +10,17 @@
 
 use arc_swap::ArcSwapOption;
 use sassafrasspool_core::BoundService;
+use sassafrasspool_core::DedupWindow;
 use sassafrasspool_core::Endpoint;
 use sassafrasspool_core::EndpointKey;
 use sassafrasspool_core::EndpointState;
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::InstanceState;
 use sassafrasspool_core::Intake;
+use sassafrasspool_core::Locality;
 use sassafrasspool_core::Meters;
 use sassafrasspool_core::Phase;
 use sassafrasspool_core::Picker;
-use sassafrasspool_core::Position;
-use sassafrasspool_core::RepeatWindow;
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::RouteSettings;
 use sassafrasspool_core::Tick;
@@ -75,8 +75,8 @@
 /// Where a node stands, and the requests with a key that it has run there.
 #[derive(Debug)]
 struct Place {
-    position: Position,
-    repeat: RepeatWindow,
+    position: Locality,
+    repeat: DedupWindow,
 }
 
 /// Binds views, on the control thread, for the traffic threads to read.
@@ -91,7 +91,7 @@
 
 impl Routing {
     /// Says where the node stands; what is said first counts.
-    pub(super) fn place(&self, position: Position, repeat: RepeatWindow) {
+    pub(super) fn place(&self, position: Locality, repeat: DedupWindow) {
         // A node is placed once, by its settings.
         let _ = self.place.set(Place { position, repeat });
     }
@@ -124,7 +124,7 @@
                 // INVARIANT: Before requests are routed by it, so that the
                 // owner of a key doesn't learn of it later than those who
                 // send it.
-                repeat.snapshot_changed(now, &view.snapshot);
+                repeat.apply_snapshot(now, &view.snapshot);
                 self.meters.retain(&view.snapshot);
                 self.mark_all(&view.states, now);
                 let cfg = RouteSettings::default();
@@ -159,7 +159,7 @@
             before != Some(state.phase)
         });
         for (id, state) in changed {
-            self.meters.mark(id, intake(state.phase), now);
+            self.meters.set_intake(id, intake(state.phase), now);
         }
         *marked = Arc::clone(states);
     }
@@ -169,7 +169,7 @@
     /// kept for it then.
     fn mark_all(&self, states: &Arc<States>, now: Tick) {
         for (id, state) in states.iter() {
-            self.meters.mark(id, intake(state.phase), now);
+            self.meters.set_intake(id, intake(state.phase), now);
         }
         *self.marked() = Arc::clone(states);
     }
--- a/crates/node/src/testing.rs
+++ b/crates/node/src/testing.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use sassafrasspool_core::Catalogue;
+use sassafrasspool_core::DedupSettings;
+use sassafrasspool_core::DedupWindow;
 use sassafrasspool_core::Instance;
 use sassafrasspool_core::InstanceList;
 use sassafrasspool_core::InstanceState;
-use sassafrasspool_core::Position;
-use sassafrasspool_core::RepeatSettings;
-use sassafrasspool_core::RepeatWindow;
+use sassafrasspool_core::Locality;
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::Snapshot;
 use sassafrasspool_core::catalogue;
@@ -21,14 +21,14 @@
 }
 
 /// Where a node beside a desk stands, and what it remembers of requests with a key.
-pub(crate) fn place(id: &str) -> (Position, RepeatWindow) {
-    let position = Position {
+pub(crate) fn place(id: &str) -> (Locality, DedupWindow) {
+    let position = Locality {
         instance: name(id),
         domain: name("bayanzurkh"),
         region: name("ulaanbaatar"),
     };
-    let settings = RepeatSettings::default();
-    let repeat = RepeatWindow::new(settings, name(id), name("workshop-desk"));
+    let settings = DedupSettings::default();
+    let repeat = DedupWindow::new(settings, name(id), name("workshop-desk"));
     (position, repeat.expect("a window"))
 }
 
--- a/crates/node/src/traffic/hub.rs
+++ b/crates/node/src/traffic/hub.rs
@@ -7,16 +7,16 @@
 use sassafrasspool_core::AdmissionSettings;
 use sassafrasspool_core::ColdTolerance;
 use sassafrasspool_core::Content;
+use sassafrasspool_core::DedupWindow;
+use sassafrasspool_core::Locality;
 use sassafrasspool_core::Phase;
-use sassafrasspool_core::Position;
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Refusal;
 use sassafrasspool_core::RegionName;
-use sassafrasspool_core::RepeatWindow;
 use sassafrasspool_core::Result;
 use sassafrasspool_core::ServiceName;
 use sassafrasspool_core::Step;
-use sassafrasspool_core::TargetLife;
+use sassafrasspool_core::TargetGeneration;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
@@ -55,7 +55,7 @@
     pub(super) egress: Counters,
     pub(super) peers: Counters,
     /// The requests with a key that the own target has run.
-    pub(super) repeat: RepeatWindow,
+    pub(super) repeat: DedupWindow,
     /// Bytes of an answer that are kept for repeats.
     pub(super) max_stored: usize,
     /// Cancelled when the node is to stop.
@@ -80,12 +80,12 @@
         shared: Arc<Shared>,
         cancel: CancellationToken,
     ) -> Result<Hub> {
-        let position = Position {
+        let position = Locality {
             instance: cfg.instance.clone(),
             domain: cfg.domain.clone(),
             region: cfg.region.clone(),
         };
-        let repeat = RepeatWindow::new(cfg.repeat, cfg.instance.clone(), cfg.service.clone())?;
+        let repeat = DedupWindow::new(cfg.repeat, cfg.instance.clone(), cfg.service.clone())?;
         shared.place(position, repeat.clone());
         shared.set_service(cfg.service.clone());
         let admission = Admission::new(AdmissionSettings::default(), cfg.target.slots)?;
@@ -121,7 +121,7 @@
     /// A target that starts again under its name is found by no refusal of its
     /// own: a connection to the process before would take a request and stay
     /// silent until its deadline. What is under way ends with its connection.
-    pub(super) fn follow_target(&self, listed: &TargetLife) {
+    pub(super) fn follow_target(&self, listed: &TargetGeneration) {
         if self.own_life.follow(listed) {
             tracing::info!(
                 target = listed.id.as_str(),
--- a/crates/node/src/traffic/inbound/admission.rs
+++ b/crates/node/src/traffic/inbound/admission.rs
@@ -3,8 +3,8 @@
 use std::convert::Infallible;
 
 use sassafrasspool_core::Admission;
-use sassafrasspool_core::Ask;
-use sassafrasspool_core::Offer;
+use sassafrasspool_core::AdmissionDecision;
+use sassafrasspool_core::AdmissionRequest;
 use sassafrasspool_core::Permit;
 use sassafrasspool_core::Queued;
 use sassafrasspool_core::Reason;
@@ -29,11 +29,11 @@
 pub(in crate::traffic) async fn admit(
     admission: &Admission,
     clock: &Clock,
-    ask: &Ask<'_>,
+    ask: &AdmissionRequest<'_>,
     barred: impl Future<Output = Refusal>,
 ) -> Result<Permit, Refusal> {
     let mut told = None;
-    let offer = admission.offer(clock.now(), ask, || {
+    let offer = admission.request_slot(clock.now(), ask, || {
         let (tx, rx) = oneshot::channel::<Verdict>();
         told = Some(rx);
         Box::new(move |verdict| {
@@ -42,9 +42,9 @@
         })
     });
     match (offer, told) {
-        (Offer::Admitted(permit), _) => Ok(permit),
-        (Offer::Refused(refusal), _) => Err(refusal),
-        (Offer::Queued(queued), Some(rx)) => {
+        (AdmissionDecision::Admitted(permit), _) => Ok(permit),
+        (AdmissionDecision::Refused(refusal), _) => Err(refusal),
+        (AdmissionDecision::Queued(queued), Some(rx)) => {
             tokio::select! {
                 biased;
                 told = wait(queued, rx, clock) => told,
@@ -52,20 +52,20 @@
                 never = refill(admission, clock) => match never {},
             }
         }
-        (Offer::Queued(_), None) => Err(time_out()),
+        (AdmissionDecision::Queued(_), None) => Err(time_out()),
     }
 }
 
 /// Gives out what a cold target bears as time passes, while somebody waits.
 async fn refill(admission: &Admission, clock: &Clock) -> Infallible {
-    while let Some(next) = admission.refill(clock.now()) {
+    while let Some(next) = admission.admit_queued(clock.now()) {
         tokio::time::sleep_until(clock.instant(next).into()).await;
     }
     std::future::pending().await
 }
 
 async fn wait(queued: Queued, mut rx: oneshot::Receiver<Verdict>, clock: &Clock) -> Verdict {
-    let until = clock.instant(queued.until());
+    let until = clock.instant(queued.expires_at());
     match tokio::time::timeout_at(until.into(), &mut rx).await {
         Ok(told) => told.unwrap_or_else(|_| Err(time_out())),
         Err(_) => match queued.expire(clock.now()) {
--- a/crates/node/src/traffic/inbound/admission/tests.rs
+++ b/crates/node/src/traffic/inbound/admission/tests.rs
@@ -1,11 +1,11 @@
 use std::time::Duration;
 
 use sassafrasspool_core::Admission;
+use sassafrasspool_core::AdmissionDecision;
 use sassafrasspool_core::AdmissionSettings;
 use sassafrasspool_core::Class;
 use sassafrasspool_core::Deadline;
 use sassafrasspool_core::Limits;
-use sassafrasspool_core::Offer;
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Refusal;
 use sassafrasspool_core::Request;
@@ -36,8 +36,8 @@
     let deadline = Deadline::within(clock.now(), LIMITS.deadline);
     let stage = Request::received(Class::Standard, deadline);
     let ask = stage.ask(&LIMITS);
-    let offer = admission.offer(clock.now(), &ask, || Box::new(drop));
-    let Offer::Admitted(_running) = offer else {
+    let offer = admission.request_slot(clock.now(), &ask, || Box::new(drop));
+    let AdmissionDecision::Admitted(_running) = offer else {
         panic!("the slot is free");
     };
     let (tx, rx) = oneshot::channel();
--- a/crates/node/src/traffic/inbound/body_intake.rs
+++ b/crates/node/src/traffic/inbound/body_intake.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::Request;
-use sassafrasspool_core::Ask;
+use sassafrasspool_core::AdmissionRequest;
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Refusal;
 use sassafrasspool_core::Step;
@@ -56,14 +56,14 @@
 /// Refuses it as not run.
 pub(in crate::traffic) async fn take_in(
     hub: &Hub,
-    ask: &Ask<'_>,
+    ask: &AdmissionRequest<'_>,
     req: Request<Payload>,
 ) -> Result<Request<Payload>, Missed> {
     if req.body().to_come().is_none() {
         return Ok(req);
     }
     let clock = hub.shared.clock();
-    if let Some(refusal) = hub.admission.foresee(clock.now(), ask) {
+    if let Some(refusal) = hub.admission.predict_refusal(clock.now(), ask) {
         return Err(Missed::unsent(refusal, req));
     }
     // What fits into the window is there with the head of the request.
--- a/crates/node/src/traffic/inbound/exchange.rs
+++ b/crates/node/src/traffic/inbound/exchange.rs
@@ -16,7 +16,7 @@
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Refusal;
 use sassafrasspool_core::Request as Stage;
-use sassafrasspool_core::Running;
+use sassafrasspool_core::RunPermit;
 use sassafrasspool_core::Step;
 use sassafrasspool_wire::header::REQUEST_ID;
 
@@ -38,7 +38,7 @@
     pub(in crate::traffic) hub: Arc<Hub>,
     pub(in crate::traffic) stage: Stage<HandedOver>,
     /// The right to run its key, if it has one.
-    pub(in crate::traffic) running: Option<Running>,
+    pub(in crate::traffic) running: Option<RunPermit>,
     pub(in crate::traffic) deadline: Deadline,
     /// Whether the target crashes under it, if it is known what it asks for.
     pub(in crate::traffic) watched: Option<Box<Watched>>,
@@ -152,7 +152,7 @@
         };
         let unsigned = !declined && dialect.lacks_signature(&res);
         if (dialect.echoes_id && others) || unsigned {
-            return Err(self.lost(LossCause::AnswerSpoiled));
+            return Err(self.lost(LossCause::AnswerInvalid));
         }
         if !declined {
             if let Some(named) = &self.life {
@@ -163,7 +163,7 @@
         let reason = match res.status() {
             StatusCode::MISDIRECTED_REQUEST => {
                 self.note_other_life(&res);
-                Reason::OtherLife
+                Reason::OtherGeneration
             }
             _ => Reason::TargetShed,
         };
@@ -203,16 +203,16 @@
     fn lost(self, cause: LossCause) -> Missed {
         let now = self.hub.shared.clock().now();
         if let Some(running) = self.running {
-            running.lost(now);
+            running.mark_unknown(now);
         }
         self.stage.lost(now, cause).into()
     }
 }
 
 /// Leaves the key unused after a refusal.
-pub(in crate::traffic) fn take_back(running: Option<Running>, refusal: Refusal) -> Refusal {
+pub(in crate::traffic) fn take_back(running: Option<RunPermit>, refusal: Refusal) -> Refusal {
     match running {
-        Some(running) => running.refused(refusal),
+        Some(running) => running.release(refusal),
         None => refusal,
     }
 }
--- a/crates/node/src/traffic/inbound/forward.rs
+++ b/crates/node/src/traffic/inbound/forward.rs
@@ -6,8 +6,8 @@
 use http::HeaderValue;
 use http::Request;
 use http::Response;
-use sassafrasspool_core::Ask;
-use sassafrasspool_core::Begin;
+use sassafrasspool_core::AdmissionRequest;
+use sassafrasspool_core::AttemptDecision;
 use sassafrasspool_core::BoundService;
 use sassafrasspool_core::Class;
 use sassafrasspool_core::ColdLimit;
@@ -20,7 +20,7 @@
 use sassafrasspool_core::Refusal;
 use sassafrasspool_core::Request as Stage;
 use sassafrasspool_core::Route;
-use sassafrasspool_core::Running;
+use sassafrasspool_core::RunPermit;
 use sassafrasspool_core::Step;
 use sassafrasspool_core::StoredAnswer;
 use sassafrasspool_core::Tick;
@@ -68,11 +68,15 @@
 
 impl Call<'_> {
     /// What admission is asked for it.
-    pub(in crate::traffic) fn ask<'a>(&'a self, class: Class, limits: &'a Limits) -> Ask<'a> {
-        Ask {
+    pub(in crate::traffic) fn ask<'a>(
+        &'a self,
+        class: Class,
+        limits: &'a Limits,
+    ) -> AdmissionRequest<'a> {
+        AdmissionRequest {
             kind: self.kind.as_ref(),
-            aim: self.aim,
-            settles: self.settles,
+            soft_deadline: self.aim,
+            last_resort: self.settles,
             ..Stage::received(class, self.deadline).ask(limits)
         }
     }
@@ -102,7 +106,7 @@
     };
     // The node that sent it may route by an earlier catalogue.
     if route.is_some_and(|route| !route.homes.allows(&hub.region)) {
-        return Err(Missed::unsent(refuse(Reason::NotAtHome), req));
+        return Err(Missed::unsent(refuse(Reason::OutsideHomes), req));
     }
     let listed = call.routes.own().map(|(endpoint, _)| &endpoint.instance);
     let slots = listed.map(|instance| instance.slots);
@@ -152,9 +156,9 @@
     let service = own_service(worker, call)?;
     let class = call.class.unwrap_or(service.entry.class);
     let mut ask = call.ask(class, &service.entry.limits);
-    ask.cold = cold_limit(worker, service, call);
+    ask.cold_limit = cold_limit(worker, service, call);
     let now = worker.hub.shared.clock().now();
-    match worker.hub.admission.foresee(now, &ask) {
+    match worker.hub.admission.predict_refusal(now, &ask) {
         Some(refusal) => Err(refusal),
         None => worker.hub.arrivals.enter().map(drop),
     }
@@ -184,7 +188,7 @@
 /// Whether a request is run, by its key if it has one.
 #[derive(Debug)]
 enum Begun {
-    Run(Option<Running>),
+    Run(Option<RunPermit>),
     Answer(Arc<StoredAnswer>),
     Refuse(Refusal),
 }
@@ -200,10 +204,10 @@
         Err(refusal) => return Begun::Refuse(refusal),
     };
     let now = hub.shared.clock().now();
-    match hub.repeat.begin(now, keyed.key, keyed.attempt) {
-        Begin::Run(running) => Begun::Run(Some(running)),
-        Begin::Answer(stored) => Begun::Answer(stored),
-        Begin::Refuse(refusal) => Begun::Refuse(refusal),
+    match hub.repeat.begin_attempt(now, keyed.key, keyed.attempt) {
+        AttemptDecision::Run(running) => Begun::Run(Some(running)),
+        AttemptDecision::Answer(stored) => Begun::Answer(stored),
+        AttemptDecision::Refuse(refusal) => Begun::Refuse(refusal),
     }
 }
 
--- a/crates/node/src/traffic/inbound/hand_over.rs
+++ b/crates/node/src/traffic/inbound/hand_over.rs
@@ -70,7 +70,7 @@
         let hub = &self.worker.hub;
         let stage = Stage::received(class, self.call.deadline);
         let mut ask = self.call.ask(class, limits);
-        ask.cold = cold;
+        ask.cold_limit = cold;
         if let Some(slots) = slots {
             ask.slots = Some(slots);
             hub.pool.resize(slots);
--- a/crates/node/src/traffic/inbound/unsent_key.rs
+++ b/crates/node/src/traffic/inbound/unsent_key.rs
@@ -2,7 +2,7 @@
 
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Refusal;
-use sassafrasspool_core::Running;
+use sassafrasspool_core::RunPermit;
 use sassafrasspool_core::Step;
 use sassafrasspool_core::Tick;
 
@@ -14,10 +14,10 @@
 /// when the request is refused or its caller goes away while it waits, leaves
 /// the key unused.
 #[derive(Debug)]
-pub(in crate::traffic) struct UnsentKey(Option<Running>);
+pub(in crate::traffic) struct UnsentKey(Option<RunPermit>);
 
 impl UnsentKey {
-    pub(in crate::traffic) fn new(running: Option<Running>) -> UnsentKey {
+    pub(in crate::traffic) fn new(running: Option<RunPermit>) -> UnsentKey {
         UnsentKey(running)
     }
 
@@ -26,9 +26,12 @@
     /// # Errors
     ///
     /// Refuses if this node may not run the key any more.
-    pub(in crate::traffic) fn hand_over(mut self, now: Tick) -> Result<Option<Running>, Refusal> {
+    pub(in crate::traffic) fn hand_over(mut self, now: Tick) -> Result<Option<RunPermit>, Refusal> {
         // INVARIANT: Nothing is left to be given back by the drop.
-        self.0.take().map(|running| running.check(now)).transpose()
+        self.0
+            .take()
+            .map(|running| running.recheck(now))
+            .transpose()
     }
 }
 
@@ -36,7 +39,7 @@
     fn drop(&mut self) {
         if let Some(running) = self.0.take() {
             // The refusal itself, if there is one, is on its way already.
-            let _ = running.refused(Refusal::not_run(Step::Admission, Reason::CallerGone));
+            let _ = running.release(Refusal::not_run(Step::Admission, Reason::CallerGone));
         }
     }
 }
--- a/crates/node/src/traffic/outbound/access_log.rs
+++ b/crates/node/src/traffic/outbound/access_log.rs
@@ -83,7 +83,7 @@
         self.picked = Some(Chosen {
             endpoint: picked.endpoint(),
             load_percent: picked.load_percent(),
-            since: picked.since(),
+            since: picked.picked_at(),
         });
     }
 
--- a/crates/node/src/traffic/outbound/attempt.rs
+++ b/crates/node/src/traffic/outbound/attempt.rs
@@ -12,6 +12,7 @@
 use http::uri::Authority;
 use http::uri::Scheme;
 use hyper::body::Incoming;
+use sassafrasspool_core::AttemptOutcome;
 use sassafrasspool_core::Class;
 use sassafrasspool_core::Content;
 use sassafrasspool_core::Deadline;
@@ -27,7 +28,6 @@
 use sassafrasspool_core::Refusal;
 use sassafrasspool_core::Step;
 use sassafrasspool_core::Tick;
-use sassafrasspool_core::Verdict;
 use sassafrasspool_wire::header as names;
 
 use crate::Routes;
@@ -78,12 +78,12 @@
         };
         let now = self.worker.hub.shared.clock().now();
         let verdict = match &result {
-            Ok(res) if is_unavailable(res) => Verdict::Failed,
-            Ok(_) => Verdict::Answered(now.since(picked.since())),
+            Ok(res) if is_unavailable(res) => AttemptOutcome::Failed,
+            Ok(_) => AttemptOutcome::Answered(now.since(picked.picked_at())),
             Err(missed) => verdict_of(&missed.failure),
         };
-        if let Verdict::Answered(took) = verdict {
-            picked.timed(self.kind, took);
+        if let AttemptOutcome::Answered(took) = verdict {
+            picked.record_latency(self.kind, took);
         }
         picked.finish(now, verdict);
         result
@@ -197,9 +197,9 @@
             Err(_) => return Err(Loss::new(Step::Forward, LossCause::Timeout).into()),
         };
         if let Some(load) = load_of(&res) {
-            picked.report(clock.now(), load);
+            picked.record_load(clock.now(), load);
             let cold_ms = head::number(res.headers(), &names::COLD_MS).unwrap_or(0);
-            picked.cold_for(clock.now(), Duration::from_millis(cold_ms));
+            picked.mark_cold_for(clock.now(), Duration::from_millis(cold_ms));
         }
         Ok(res)
     }
@@ -274,16 +274,18 @@
 }
 
 /// What a failure says of the endpoint.
-fn verdict_of(failure: &Failure) -> Verdict {
+fn verdict_of(failure: &Failure) -> AttemptOutcome {
     match failure {
-        Failure::Lost(_) => Verdict::Failed,
+        Failure::Lost(_) => AttemptOutcome::Failed,
         Failure::Refused(refusal) => match refusal.reason() {
-            Reason::Connect => Verdict::NoConnection,
-            Reason::Draining | Reason::Starting | Reason::Evacuated => Verdict::Draining,
-            Reason::ColdStart => Verdict::Cold(refusal.retry_after().unwrap_or_default()),
+            Reason::Connect => AttemptOutcome::NoConnection,
+            Reason::Draining | Reason::Starting | Reason::Evacuated => AttemptOutcome::Draining,
+            Reason::ColdStart => AttemptOutcome::Cold(refusal.retry_after().unwrap_or_default()),
             // None of them says anything of the endpoint.
-            Reason::DeadlinePassed | Reason::Quarantined | Reason::NotAtHome => Verdict::Cancelled,
-            _ => Verdict::Shed,
+            Reason::DeadlinePassed | Reason::Quarantined | Reason::OutsideHomes => {
+                AttemptOutcome::Cancelled
+            }
+            _ => AttemptOutcome::Shed,
         },
     }
 }
--- a/crates/node/src/traffic/outbound/first_hop.rs
+++ b/crates/node/src/traffic/outbound/first_hop.rs
@@ -7,21 +7,21 @@
 use rand::Rng;
 use sassafrasspool_core::BoundRoute;
 use sassafrasspool_core::BoundService;
-use sassafrasspool_core::Budget;
 use sassafrasspool_core::Content;
 use sassafrasspool_core::Deadline;
 use sassafrasspool_core::EndpointKey;
 use sassafrasspool_core::Failure;
 use sassafrasspool_core::Hop;
-use sassafrasspool_core::Next;
 use sassafrasspool_core::Picked;
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Refusal;
+use sassafrasspool_core::RetryBudget;
+use sassafrasspool_core::RetryDecision;
+use sassafrasspool_core::RetryState;
 use sassafrasspool_core::Route;
 use sassafrasspool_core::ServiceKey;
 use sassafrasspool_core::Step;
 use sassafrasspool_core::Tick;
-use sassafrasspool_core::Tries;
 use sassafrasspool_wire::header as names;
 
 use crate::Routes;
@@ -51,7 +51,7 @@
     route: &'a BoundRoute,
     to: ServiceKey,
     service: &'a BoundService,
-    budget: &'a Budget,
+    budget: &'a RetryBudget,
     keyed: Option<Keyed>,
     begun: Tick,
     deadline: Deadline,
@@ -169,7 +169,10 @@
             let again = repeat(&req);
             let at = now(self.worker);
             let homes = &self.route.route.homes;
-            let others = self.routes.picker.has_other(self.to, homes, at, &avoid);
+            let others = self
+                .routes
+                .picker
+                .has_alternative(self.to, homes, at, &avoid);
             let settles = again.is_none() || !others || !tries.may_ask_more(at);
             let missed = match self.attempt(picked, req, settles).await {
                 Ok(res) => return Ok(res),
@@ -177,8 +180,8 @@
             };
             trail.miss(&missed.failure);
             let failure = match tries.after(now(self.worker), missed.failure, self.budget) {
-                Next::Again => missed.failure,
-                Next::Stop(failure) => return Err(failure),
+                RetryDecision::Retry => missed.failure,
+                RetryDecision::Stop(failure) => return Err(failure),
             };
             req = match again.or(missed.unsent.map(|req| *req)) {
                 Some(same) => same,
@@ -202,7 +205,7 @@
         }
     }
 
-    fn tries(&self) -> Tries {
+    fn tries(&self) -> RetryState {
         // A chain of nineteen calls in which each hop runs twice what may run
         // twice would make half a million runs out of one. Calls that a target
         // makes for a request are therefore only tried again on the proof that
@@ -210,7 +213,7 @@
         let idempotent = self.route.route.idempotent && self.hop == 1;
         let mut limits = self.service.entry.limits.retry;
         limits.attempts = self.route.route.attempts.unwrap_or(limits.attempts);
-        let tries = Tries::first(Hop::First, idempotent, &limits, self.deadline, self.budget);
+        let tries = RetryState::first(Hop::First, idempotent, &limits, self.deadline, self.budget);
         tries.until(self.aim)
     }
 
--- a/crates/node/src/traffic/outbound/patience.rs
+++ b/crates/node/src/traffic/outbound/patience.rs
@@ -5,15 +5,15 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
+use sassafrasspool_core::CallerTimeouts;
 use sassafrasspool_core::KindName;
-use sassafrasspool_core::Patience;
 
 /// Kinds that are kept apart; requests of more all count as first attempts.
 const MAX_KINDS: usize = 1_024;
 
 /// What callers say of the time that they wait.
 #[derive(Debug, Default)]
-pub(in crate::traffic) struct Patiences(Mutex<HashMap<KindName, Patience>>);
+pub(in crate::traffic) struct Patiences(Mutex<HashMap<KindName, CallerTimeouts>>);
 
 impl Patiences {
     /// Takes in how long a caller says that it waits, and tells how long ago its
@@ -25,7 +25,7 @@
             if held.len() == MAX_KINDS {
                 return Duration::ZERO;
             }
-            held.insert(kind.clone(), Patience::default());
+            held.insert(kind.clone(), CallerTimeouts::default());
         }
         let Some(patience) = held.get_mut(kind) else {
             return Duration::ZERO;
--- a/crates/node/src/traffic/stored_answer.rs
+++ b/crates/node/src/traffic/stored_answer.rs
@@ -7,7 +7,7 @@
 use http::Response;
 use http::StatusCode;
 use http_body::Frame;
-use sassafrasspool_core::Running;
+use sassafrasspool_core::RunPermit;
 use sassafrasspool_core::StoredAnswer;
 use sassafrasspool_core::Tick;
 
@@ -16,7 +16,7 @@
 /// Collects an answer while it passes.
 #[derive(Debug)]
 pub(super) struct Recorder {
-    running: Running,
+    running: RunPermit,
     answer: StoredAnswer,
     /// Bytes of the body that may still be kept; nothing once it is too large.
     room: Option<usize>,
@@ -24,7 +24,7 @@
 
 impl Recorder {
     /// Begins with the head of the answer to the request of `running`.
-    pub(super) fn new<B>(running: Running, head: &Response<B>, room: usize) -> Recorder {
+    pub(super) fn new<B>(running: RunPermit, head: &Response<B>, room: usize) -> Recorder {
         let header = |(name, value): (&HeaderName, &HeaderValue)| {
             (name.as_str().to_owned(), value.as_bytes().to_vec())
         };
@@ -55,8 +55,8 @@
     /// then told that the outcome is unknown, and not run.
     pub(super) fn finish(self, now: Tick) {
         match self.room {
-            Some(_) => self.running.done(now, self.answer),
-            None => self.running.lost(now),
+            Some(_) => self.running.complete(now, self.answer),
+            None => self.running.mark_unknown(now),
         }
     }
 }
--- a/crates/node/src/traffic/target/lives.rs
+++ b/crates/node/src/traffic/target/lives.rs
@@ -5,8 +5,8 @@
 use std::sync::PoisonError;
 
 use http::HeaderValue;
-use sassafrasspool_core::Succession;
-use sassafrasspool_core::TargetLife;
+use sassafrasspool_core::GenerationTracker;
+use sassafrasspool_core::TargetGeneration;
 use sassafrasspool_core::Tick;
 
 #[cfg(test)]
@@ -15,14 +15,14 @@
 /// The own target's lives as requests last saw them.
 #[derive(Debug, Default)]
 pub(in crate::traffic) struct OwnLife {
-    listed: Mutex<Option<TargetLife>>,
-    seen: Mutex<Succession<HeaderValue>>,
+    listed: Mutex<Option<TargetGeneration>>,
+    seen: Mutex<GenerationTracker<HeaderValue>>,
 }
 
 impl OwnLife {
     /// Takes over the life that is listed now, and tells whether an earlier one
     /// ended.
-    pub(in crate::traffic) fn follow(&self, listed: &TargetLife) -> bool {
+    pub(in crate::traffic) fn follow(&self, listed: &TargetGeneration) -> bool {
         let mut held = self.listed.lock().unwrap_or_else(PoisonError::into_inner);
         listed.replaces(&mut held)
     }
@@ -54,7 +54,7 @@
         }
     }
 
-    fn seen(&self) -> MutexGuard<'_, Succession<HeaderValue>> {
+    fn seen(&self) -> MutexGuard<'_, GenerationTracker<HeaderValue>> {
         self.seen.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/traffic/target/lives/tests.rs
+++ b/crates/node/src/traffic/target/lives/tests.rs
@@ -1,10 +1,10 @@
+use sassafrasspool_core::TargetGeneration;
 use sassafrasspool_core::TargetId;
-use sassafrasspool_core::TargetLife;
 
 use super::OwnLife;
 
-fn life(id: &str, listed_at: u64, born: Option<u64>) -> TargetLife {
-    TargetLife {
+fn life(id: &str, listed_at: u64, born: Option<u64>) -> TargetGeneration {
+    TargetGeneration {
         id: TargetId::new(id).expect("a name"),
         listed_at,
         born,
--- a/crates/node/tests/requests/cold.rs
+++ b/crates/node/tests/requests/cold.rs
@@ -6,8 +6,8 @@
 use std::time::UNIX_EPOCH;
 
 use http::StatusCode;
+use sassafrasspool_core::TargetGeneration;
 use sassafrasspool_core::TargetId;
-use sassafrasspool_core::TargetLife;
 
 use crate::client;
 use crate::fleet::DESK;
@@ -30,8 +30,8 @@
 
 const COLD_FOR: Duration = Duration::from_millis(2_500);
 
-fn life(n: u64) -> TargetLife {
-    TargetLife {
+fn life(n: u64) -> TargetGeneration {
+    TargetGeneration {
         id: TargetId::new(&format!("i-{n}")).expect("a name"),
         listed_at: n,
         born: None,
--- a/crates/node/tests/requests/fleet.rs
+++ b/crates/node/tests/requests/fleet.rs
@@ -15,7 +15,7 @@
 use sassafrasspool_core::Phase;
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::Snapshot;
-use sassafrasspool_core::TargetLife;
+use sassafrasspool_core::TargetGeneration;
 use sassafrasspool_core::catalogue;
 use sassafrasspool_node::Dialect;
 use sassafrasspool_node::RunningTraffic;
@@ -243,7 +243,7 @@
         specs: &[Spec; N],
         revision: u64,
         fields: &str,
-        targets: [(Option<TargetLife>, Duration); N],
+        targets: [(Option<TargetGeneration>, Duration); N],
     ) {
         let at = "    class: standard\n";
         let text = CATALOGUE.replace(at, &format!("{at}{fields}"));
--- a/crates/soak/src/verdict/crashing.rs
+++ b/crates/soak/src/verdict/crashing.rs
@@ -2,7 +2,7 @@
 
 use sassafrasspool_bench::load::CallRecord;
 use sassafrasspool_bench::load::LedgerRun;
-use sassafrasspool_core::CRASHES;
+use sassafrasspool_core::CRASHES_TO_QUARANTINE;
 use sassafrasspool_core::Reason;
 use sassafrasspool_standin::target::RunEnd;
 use serde::Serialize;
@@ -44,7 +44,9 @@
     pub fn judge(records: &[CallRecord], runs: &[LedgerRun], hurt: &[Hurt]) -> Crashing {
         let mut crashes: Vec<u64> = crashes(runs).map(|(at_us, _)| at_us).collect();
         crashes.sort_unstable();
-        let told_us = crashes.get(CRASHES - 1).map(|third| third + TOLD_WITHIN_US);
+        let told_us = crashes
+            .get(CRASHES_TO_QUARANTINE - 1)
+            .map(|third| third + TOLD_WITHIN_US);
         let is_late = |run: &&LedgerRun| {
             let at_us = run.run.started_us;
             let lately = |hurt: &Hurt| {
--- a/crates/soak/src/verdict/tests/evacuations.rs
+++ b/crates/soak/src/verdict/tests/evacuations.rs
@@ -9,7 +9,7 @@
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::Version;
 use sassafrasspool_core::history::Event;
-use sassafrasspool_core::history::Held;
+use sassafrasspool_core::history::SnapshotFacts;
 
 use super::name;
 use super::run;
@@ -24,7 +24,7 @@
 fn in_force(at_s: u64, revision: u64) -> (u64, Event) {
     let revision = Revision::new(revision).expect("a revision");
     let version = Version::new(revision, Digest::of(b""));
-    let held = Held {
+    let held = SnapshotFacts {
         catalogue: version,
         instances: version,
         content: Digest::of(b""),
--- a/crates/wire/src/platform/answer.rs
+++ b/crates/wire/src/platform/answer.rs
@@ -51,7 +51,7 @@
         StatusCode::NOT_MODIFIED => Ok(SourceResult::Unchanged {
             newest: revision(headers).ok(),
         }),
-        StatusCode::NOT_FOUND => Ok(SourceResult::Nothing),
+        StatusCode::NOT_FOUND => Ok(SourceResult::NothingPublished),
         StatusCode::TOO_MANY_REQUESTS => Ok(SourceResult::Busy {
             retry_after: retry_after(headers),
         }),
