--- a/crates/bench/src/chaos/report.rs
+++ b/crates/bench/src/chaos/report.rs
@@ -51,7 +51,7 @@
 pub fn by_promise(violations: &[Violation]) -> BTreeMap<&'static str, u64> {
     let mut counts = BTreeMap::new();
     for violation in violations {
-        *counts.entry(violation.promise().as_str()).or_default() += 1;
+        *counts.entry(violation.guarantee().as_str()).or_default() += 1;
     }
     counts
 }
--- a/crates/bench/src/fault/run.rs
+++ b/crates/bench/src/fault/run.rs
@@ -44,7 +44,7 @@
     let found = check(&finished.history, &Bounds::default());
     let mut broken = BTreeMap::new();
     for violation in &found {
-        *broken.entry(violation.promise().to_string()).or_default() += 1;
+        *broken.entry(violation.guarantee().to_string()).or_default() += 1;
     }
     let examples = found.iter().take(EXAMPLES).map(ToString::to_string);
     let samples = finished.timing.samples(&finished.seen, members);
--- a/crates/core/src/catalogue.rs
+++ b/crates/core/src/catalogue.rs
@@ -16,7 +16,7 @@
 pub use self::route::Route;
 pub use self::route::Share;
 pub use self::service::ServiceEntry;
-pub use self::validate::review;
+pub use self::validate::validate;
 
 pub(crate) use self::host::strip_port;
 
--- a/crates/core/src/catalogue/cold_start.rs
+++ b/crates/core/src/catalogue/cold_start.rs
@@ -11,7 +11,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ColdStart {
     /// How long a target stays cold after its start.
-    pub lasts: Duration,
+    #[serde(rename = "lasts")]
+    pub duration: Duration,
     /// Requests per second that a cold target tolerates; at least one.
     pub per_s: u32,
     /// The path on which a target reports how long it stays cold, if it reports it.
--- a/crates/core/src/catalogue/homes.rs
+++ b/crates/core/src/catalogue/homes.rs
@@ -31,13 +31,13 @@
     }
 
     /// Whether every region is allowed.
-    pub fn is_anywhere(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.0.is_empty()
     }
 
     /// Whether targets of `region` may serve the requests.
     pub fn allows(&self, region: &RegionName) -> bool {
-        self.is_anywhere() || self.0.contains(region)
+        self.is_unrestricted() || self.0.contains(region)
     }
 
     /// The allowed regions; empty if every region is allowed.
--- a/crates/core/src/catalogue/parse.rs
+++ b/crates/core/src/catalogue/parse.rs
@@ -203,7 +203,7 @@
     let probe_path = table.optional_text("probe_path", faults, parse_probe_path);
     table.finish(faults);
     Some(ColdStart {
-        lasts: Duration::from_millis(lasts?),
+        duration: Duration::from_millis(lasts?),
         per_s: per_s?,
         probe_path,
     })
--- a/crates/core/src/catalogue/path.rs
+++ b/crates/core/src/catalogue/path.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether this prefix matches the path of a request, which has no query.
-    pub fn takes(&self, path: &str) -> bool {
+    pub fn matches(&self, path: &str) -> bool {
         if self.0.ends_with('/') {
             return path.starts_with(&*self.0);
         }
--- a/crates/core/src/catalogue/validate.rs
+++ b/crates/core/src/catalogue/validate.rs
@@ -17,7 +17,7 @@
 /// Returns every fault within and across entries. Entries that can't be read
 /// are assumed to exist, so that a route to one is not reported as another fault.
 /// Faults across entries have no place.
-pub fn review(text: &str) -> Result<Catalogue, Faults> {
+pub fn validate(text: &str) -> Result<Catalogue, Faults> {
     let PartialCatalogue {
         items,
         faulty,
--- a/crates/core/src/cold_tracker.rs
+++ b/crates/core/src/cold_tracker.rs
@@ -130,7 +130,7 @@
     }
 
     fn assume_cold(&mut self, now: Tick, start: &ColdStart) {
-        self.cold_until = now + start.lasts;
+        self.cold_until = now + start.duration;
         self.unconfirmed = true;
     }
 
--- a/crates/core/src/cold_tracker/tests.rs
+++ b/crates/core/src/cold_tracker/tests.rs
@@ -10,7 +10,7 @@
 
 fn start() -> ColdStart {
     ColdStart {
-        lasts: LASTS,
+        duration: LASTS,
         per_s: 10,
         probe_path: None,
     }
--- a/crates/core/src/deadline.rs
+++ b/crates/core/src/deadline.rs
@@ -49,7 +49,7 @@
     /// time here, so that a refusal of a later hop still arrives in time.
     ///
     /// Zero means that no time is left and that nothing must be sent.
-    pub fn remaining_beyond(self, now: Tick) -> Duration {
+    pub fn remaining_for_next_hop(self, now: Tick) -> Duration {
         let left = self.remaining(now);
         left - (left / HOP_MARGIN_DIVISOR).min(MAX_HOP_MARGIN)
     }
--- a/crates/core/src/deadline/tests.rs
+++ b/crates/core/src/deadline/tests.rs
@@ -20,14 +20,14 @@
     let now = Tick::from_millis(500);
     let deadline = Deadline::within(now, Duration::from_millis(case.left_ms));
     let next_hop = Duration::from_micros(case.next_hop_us);
-    assert_eq!(deadline.remaining_beyond(now), next_hop, "{case:?}");
+    assert_eq!(deadline.remaining_for_next_hop(now), next_hop, "{case:?}");
     assert_eq!(deadline.passed(now), case.left_ms == 0);
 }
 
 #[test]
 fn nineteen_hops_leave_at_least_900_ms_of_a_second() {
     let now = Tick::from_millis(500);
-    let step = |deadline: Deadline, _| Deadline::within(now, deadline.remaining_beyond(now));
+    let step = |deadline: Deadline, _| Deadline::within(now, deadline.remaining_for_next_hop(now));
     let first = Deadline::within(now, Duration::from_secs(1));
     let last = (0..19).fold(first, step);
     assert!(last < first && last.remaining(now) >= Duration::from_millis(900));
--- a/crates/core/src/dedup/tests.rs
+++ b/crates/core/src/dedup/tests.rs
@@ -62,7 +62,7 @@
 
 fn proved(s: u64) -> DedupWindow {
     let window = window();
-    window.prove(at(s), Revision::new(1).unwrap());
+    window.record_proof(at(s), Revision::new(1).unwrap());
     window
 }
 
@@ -208,12 +208,12 @@
 fn a_key_is_kept_for_the_hold_time_and_a_lease() {
     let window = proved(100);
     run(&window, 100, "a").complete(at(100), answer(1));
-    window.prove(at(170), Revision::new(1).unwrap());
+    window.record_proof(at(170), Revision::new(1).unwrap());
     assert!(matches!(
         window.begin_attempt(at(170), key("a"), REPEAT),
         AttemptDecision::Answer(_)
     ));
-    window.prove(at(171), Revision::new(1).unwrap());
+    window.record_proof(at(171), Revision::new(1).unwrap());
     run(&window, 171, "a").mark_unknown(at(171));
 }
 
@@ -233,7 +233,7 @@
     let window = proved(100);
     window.apply_list(at(101), &list(2, &both));
     window.apply_list(at(102), &list(3, &["ad-1"]));
-    window.prove(at(110), Revision::new(3).unwrap());
+    window.record_proof(at(110), Revision::new(3).unwrap());
     assert_eq!(
         refused(&window, 110, moved, FIRST).reason(),
         Reason::Settling
@@ -242,7 +242,7 @@
 
     let window = proved(100);
     window.apply_list(at(111), &list(3, &["ad-1"]));
-    window.prove(at(111), Revision::new(3).unwrap());
+    window.record_proof(at(111), Revision::new(3).unwrap());
     assert_eq!(
         refused(&window, 111, kept, FIRST).reason(),
         Reason::Settling
--- a/crates/core/src/dedup/window.rs
+++ b/crates/core/src/dedup/window.rs
@@ -92,7 +92,7 @@
     /// published until `at`. `at` must not be later than the time of the request
     /// to the platform or a peer whose answer is the proof: see
     /// [`crate::ListProof`].
-    pub fn prove(&self, at: Tick, revision: Revision) {
+    pub fn record_proof(&self, at: Tick, revision: Revision) {
         self.0.lock().ownership.record_proof(at, revision);
     }
 
--- a/crates/core/src/drain/stage.rs
+++ b/crates/core/src/drain/stage.rs
@@ -63,7 +63,7 @@
 impl<W: AtomicWord> Drain<Draining, W> {
     /// Applies a further planned stop during this one. It never shortens the
     /// bound, so that it cuts no request that could finish in the first.
-    pub fn begin_again(mut self, now: Tick, bound: Duration) -> Drain<Draining, W> {
+    pub fn extend(mut self, now: Tick, bound: Duration) -> Drain<Draining, W> {
         self.stage.until = self.stage.until.max(now + bound);
         self
     }
--- a/crates/core/src/drain/tests.rs
+++ b/crates/core/src/drain/tests.rs
@@ -118,7 +118,7 @@
     assert_eq!(refusal.reason(), Reason::Draining);
     let later = NOW + Duration::from_secs(5);
     let drain = waiting(drain.poll(later));
-    let drain = drain.begin_again(later, Duration::ZERO);
+    let drain = drain.extend(later, Duration::ZERO);
     let drain = waiting(drain.poll(NOW + Duration::from_secs(29)));
     drop(pass);
     let Progress::Finished(over) = drain.poll(NOW + Duration::from_secs(29)) else {
--- a/crates/core/src/history/tests.rs
+++ b/crates/core/src/history/tests.rs
@@ -164,7 +164,10 @@
         hisymptom.record(Tick::from_millis(*ms), event.clone());
     }
     let found = check(&hisymptom, &Bounds::default());
-    found.iter().map(|violation| violation.promise()).collect()
+    found
+        .iter()
+        .map(|violation| violation.guarantee())
+        .collect()
 }
 
 #[test]
--- a/crates/core/src/history/violation.rs
+++ b/crates/core/src/history/violation.rs
@@ -99,7 +99,7 @@
 
 impl Violation {
     /// The guarantee that was violated.
-    pub fn promise(&self) -> Guarantee {
+    pub fn guarantee(&self) -> Guarantee {
         match self.breach {
             Breach::SteppedBack { .. } | Breach::ServedByOlder { .. } => Guarantee::NoStepBack,
             Breach::Dangles { .. } => Guarantee::NoDangling,
@@ -120,6 +120,6 @@
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let at_ms = self.at.as_micros() / 1_000;
-        write!(f, "{} at {at_ms} ms: {:?}", self.promise(), self.breach)
+        write!(f, "{} at {at_ms} ms: {:?}", self.guarantee(), self.breach)
     }
 }
--- a/crates/core/src/outcome/reason.rs
+++ b/crates/core/src/outcome/reason.rs
@@ -140,7 +140,7 @@
 
     /// Whether it concerns this endpoint only and doesn't depend on the load of the
     /// service, so that another endpoint may well accept the request.
-    pub const fn is_misplaced(self) -> bool {
+    pub const fn is_wrong_endpoint(self) -> bool {
         matches!(
             self,
             Reason::Connect
@@ -153,7 +153,7 @@
     }
 
     /// Whether the target itself received the request and refused it.
-    pub const fn is_of_target(self) -> bool {
+    pub const fn is_from_target(self) -> bool {
         matches!(self, Reason::TargetShed | Reason::OtherGeneration)
     }
 
--- a/crates/core/src/outcome/tests.rs
+++ b/crates/core/src/outcome/tests.rs
@@ -12,7 +12,7 @@
             seen.insert(reason.as_str()),
             "the name {reason} is used twice"
         );
-        assert!(!(reason.is_misplaced() && reason.is_overload()));
+        assert!(!(reason.is_wrong_endpoint() && reason.is_overload()));
     }
     for outcome in [Outcome::NotRun, Outcome::Unknown] {
         assert_eq!(Outcome::from_name(outcome.as_str()), Some(outcome));
--- a/crates/core/src/quarantine/pending_answers.rs
+++ b/crates/core/src/quarantine/pending_answers.rs
@@ -35,7 +35,7 @@
 
 impl PendingAnswers {
     /// Adds an answer given at `answered`, in a fleet of `nodes` nodes.
-    pub(crate) fn note(
+    pub(crate) fn schedule(
         &mut self,
         now: Tick,
         content: Fingerprint,
@@ -52,7 +52,7 @@
     }
 
     /// When the next answer is to be reported.
-    pub(crate) fn due(&self) -> Option<Tick> {
+    pub(crate) fn next_due(&self) -> Option<Tick> {
         self.0.values().map(|pending| pending.due).min()
     }
 
@@ -65,7 +65,7 @@
     ) -> Vec<(Fingerprint, Tick)> {
         let mut due_answers = Vec::new();
         self.0.retain(|content, pending| {
-            if !verdicts.doubts(*content) {
+            if !verdicts.is_suspect(*content) {
                 return false;
             }
             let is_waiting = pending.due > now;
--- a/crates/core/src/quarantine/quarantine_state.rs
+++ b/crates/core/src/quarantine/quarantine_state.rs
@@ -40,7 +40,7 @@
 
 impl QuarantineState {
     /// The time until which no target may run a request, if it is in quarantine at `now`.
-    pub fn held_until(&self, now: Tick, content: &Content) -> Option<Tick> {
+    pub fn quarantined_until(&self, now: Tick, content: &Content) -> Option<Tick> {
         if self.quarantined.is_empty() {
             return None;
         }
@@ -50,17 +50,17 @@
     }
 
     /// Whether a request is suspect, so that answers to it have to be reported.
-    pub fn doubts(&self, content: Fingerprint) -> bool {
+    pub fn is_suspect(&self, content: Fingerprint) -> bool {
         self.suspects.contains(&content)
     }
 
     /// All suspect requests.
-    pub fn doubted(&self) -> impl Iterator<Item = Fingerprint> {
+    pub fn suspects(&self) -> impl Iterator<Item = Fingerprint> {
         self.suspects.iter().copied()
     }
 
     /// The requests in quarantine at `now`, each with the end of its quarantine.
-    pub fn held_at(&self, now: Tick) -> impl Iterator<Item = (Fingerprint, Tick)> {
+    pub fn quarantined_at(&self, now: Tick) -> impl Iterator<Item = (Fingerprint, Tick)> {
         let quarantined = self
             .quarantined
             .iter()
@@ -69,12 +69,12 @@
     }
 
     /// The requests that are in quarantine, or whose quarantine has ended.
-    pub fn held(&self) -> impl Iterator<Item = Fingerprint> {
+    pub fn quarantined(&self) -> impl Iterator<Item = Fingerprint> {
         self.quarantined.keys().copied()
     }
 
     /// Whether a request is in quarantine, or its quarantine has ended.
-    pub(crate) fn holds(&self, content: Fingerprint) -> bool {
+    pub(crate) fn contains(&self, content: Fingerprint) -> bool {
         self.quarantined.contains_key(&content)
     }
 
@@ -94,7 +94,7 @@
         // from it only by their query.
         let mut by_resource = CrashCounts::new(exempt_until);
         for (at, ran) in crashes {
-            let quarantined = ran.iter().filter(|it| verdicts.holds(it.whole()));
+            let quarantined = ran.iter().filter(|it| verdicts.contains(it.whole()));
             let explained: HashSet<Fingerprint> = quarantined.map(Content::resource).collect();
             let resources = ran.iter().map(Content::resource);
             by_resource.count(*at, resources.filter(|it| !explained.contains(it)));
--- a/crates/core/src/quarantine/report.rs
+++ b/crates/core/src/quarantine/report.rs
@@ -22,7 +22,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ReportId {
     /// The node that made the observation or received the order.
-    pub witness: InstanceId,
+    #[serde(rename = "witness")]
+    pub reporter: InstanceId,
     /// The incarnation of that node.
     pub incarnation: u64,
     /// The number of the report within that incarnation.
@@ -39,5 +40,6 @@
     /// Milliseconds since the observation.
     pub age_ms: u32,
     /// The observation.
-    pub sighting: Observation,
+    #[serde(rename = "sighting")]
+    pub observation: Observation,
 }
--- a/crates/core/src/quarantine/reports.rs
+++ b/crates/core/src/quarantine/reports.rs
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 struct KeptReport {
     at: ObservedAt,
-    sighting: Observation,
+    observation: Observation,
 }
 
 impl Reports {
@@ -68,11 +68,11 @@
         if self.reports.contains_key(&report.id) {
             return false;
         }
-        let mut sighting = report.sighting.clone();
-        if let Observation::Crashed(ran) = &mut sighting {
+        let mut observation = report.observation.clone();
+        if let Observation::Crashed(ran) = &mut observation {
             ran.truncate(MAX_CONTENTS_PER_CRASH);
         }
-        let kept = KeptReport { at, sighting };
+        let kept = KeptReport { at, observation };
         // INVARIANT: A report enters the root once, when it is added.
         self.root ^= hash_id(&report.id);
         let contents = kept.contents();
@@ -90,7 +90,7 @@
     }
 
     /// Removes the reports that are too old to count.
-    pub(crate) fn forget(&mut self, now: Tick) {
+    pub(crate) fn remove_expired(&mut self, now: Tick) {
         let is_old = |kept: &KeptReport| kept.at.age(now) >= REPORT_RETENTION;
         let old = self.reports.iter().filter(|(_, kept)| is_old(kept));
         let old: Vec<ReportId> = old.map(|(id, _)| id.clone()).collect();
@@ -133,7 +133,7 @@
     }
 
     /// Evaluates the reports. Returns the previous and the new verdicts if they differ.
-    pub(crate) fn judge(&mut self) -> Option<(QuarantineState, &QuarantineState)> {
+    pub(crate) fn evaluate(&mut self) -> Option<(QuarantineState, &QuarantineState)> {
         if std::mem::replace(&mut self.is_up_to_date, true) {
             return None;
         }
@@ -144,7 +144,7 @@
             *latest = until.max(*latest);
         };
         for kept in self.reports.values() {
-            match &kept.sighting {
+            match &kept.observation {
                 Observation::Crashed(ran) => crashes.push((kept.at, ran)),
                 Observation::Answered(content) => {
                     exempt(*content, kept.at.later_by(ANSWER_EXEMPTION))
@@ -161,7 +161,7 @@
     }
 
     /// The verdicts of the last evaluation.
-    pub(crate) fn verdicts(&self) -> &QuarantineState {
+    pub(crate) fn state(&self) -> &QuarantineState {
         &self.verdicts
     }
 
@@ -196,12 +196,12 @@
     /// Whether the report contributes to a verdict: it is an answer or a release, or a crash
     /// report with a suspect request.
     fn is_significant(&self, kept: &KeptReport) -> bool {
-        match &kept.sighting {
+        match &kept.observation {
             Observation::Answered(_) | Observation::Released(_) => true,
             Observation::Crashed(ran) => ran
                 .iter()
                 .flat_map(Content::fingerprints)
-                .any(|content| self.verdicts.doubts(content)),
+                .any(|content| self.verdicts.is_suspect(content)),
         }
     }
 
@@ -221,12 +221,12 @@
 
 impl KeptReport {
     fn is_crash(&self) -> bool {
-        matches!(self.sighting, Observation::Crashed(_))
+        matches!(self.observation, Observation::Crashed(_))
     }
 
     /// The fingerprints in the report, each once.
     fn contents(&self) -> BTreeSet<Fingerprint> {
-        match &self.sighting {
+        match &self.observation {
             Observation::Crashed(ran) => ran.iter().flat_map(Content::fingerprints).collect(),
             Observation::Answered(content) | Observation::Released(content) => {
                 BTreeSet::from([*content])
@@ -239,13 +239,13 @@
         Report {
             id: id.clone(),
             age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
-            sighting: self.sighting.clone(),
+            observation: self.observation.clone(),
         }
     }
 
     /// The approximate bytes of the report in a message.
     fn bytes(&self) -> usize {
-        match &self.sighting {
+        match &self.observation {
             Observation::Crashed(ran) => REPORT_OVERHEAD_BYTES + CONTENT_BYTES * ran.len(),
             Observation::Answered(_) | Observation::Released(_) => {
                 REPORT_OVERHEAD_BYTES + CONTENT_BYTES
@@ -256,7 +256,7 @@
 
 fn hash_id(id: &ReportId) -> u64 {
     let mut bytes = Vec::with_capacity(64);
-    bytes.extend_from_slice(id.witness.as_str().as_bytes());
+    bytes.extend_from_slice(id.reporter.as_str().as_bytes());
     bytes.extend_from_slice(&id.incarnation.to_le_bytes());
     bytes.extend_from_slice(&id.number.to_le_bytes());
     Digest::of(&bytes).head()
--- a/crates/core/src/quarantine/tests.rs
+++ b/crates/core/src/quarantine/tests.rs
@@ -28,15 +28,15 @@
 }
 
 /// A report of an observation in second `at_s`, received in second `now_s`.
-fn report(number: u64, at_s: u64, now_s: u64, sighting: Observation) -> Report {
+fn report(number: u64, at_s: u64, now_s: u64, observation: Observation) -> Report {
     Report {
         id: ReportId {
-            witness: InstanceId::new("wd-1").unwrap(),
+            reporter: InstanceId::new("wd-1").unwrap(),
             incarnation: 1,
             number,
         },
         age_ms: u32::try_from(1_000 * (now_s - at_s)).unwrap(),
-        sighting,
+        observation,
     }
 }
 
@@ -230,10 +230,14 @@
             let mut known = Reports::default();
             for report in &reports {
                 assert!(known.merge(now, report));
-                known.judge();
+                known.evaluate();
             }
-            let is_quarantined =
-                |path: &&str| known.verdicts().held_until(now, &content(path)).is_some();
+            let is_quarantined = |path: &&str| {
+                known
+                    .state()
+                    .quarantined_until(now, &content(path))
+                    .is_some()
+            };
             assert!(
                 case.quarantined.iter().all(is_quarantined),
                 "{case:?}, {started_s}, {seed}"
@@ -263,12 +267,12 @@
     for number in 0..3 {
         known.merge(at(1), &crash(number, 1, "/a"));
     }
-    known.judge();
+    known.evaluate();
     for number in 3..3_000 {
         known.merge(at(2), &crash(number, 2, &format!("/other/{number}")));
-        known.judge();
+        known.evaluate();
     }
-    let until = known.verdicts().held_until(at(3), &content("/a"));
+    let until = known.state().quarantined_until(at(3), &content("/a"));
     assert!(until.is_some());
     let selected = known.reports_to_send(at(3));
     let of_first_three = |it: &&Report| it.id.number < 3;
@@ -287,14 +291,14 @@
         other.merge(at(2), report);
     }
     assert_eq!(one.root(), other.root());
-    other.judge();
-    other.forget(at(3_000));
+    other.evaluate();
+    other.remove_expired(at(3_000));
     assert_eq!(one.root(), other.root());
-    other.forget(at(5_000));
+    other.remove_expired(at(5_000));
     assert_eq!(other.root(), Reports::default().root());
-    other.judge();
-    assert!(other.verdicts().held().next().is_none());
-    assert!(other.verdicts().doubted().next().is_none());
+    other.evaluate();
+    assert!(other.state().quarantined().next().is_none());
+    assert!(other.state().suspects().next().is_none());
 }
 
 #[test]
@@ -318,8 +322,11 @@
     for number in 0..3 {
         known.merge(at(10), &crash(number, 10, "/a"));
     }
-    known.judge();
-    let until = known.verdicts().held_until(at(11), &content("/a"));
+    known.evaluate();
+    let until = known.state().quarantined_until(at(11), &content("/a"));
     assert_eq!(until, Some(at(10) + Duration::from_secs(600)));
-    assert_eq!(known.verdicts().held_until(at(610), &content("/a")), None);
+    assert_eq!(
+        known.state().quarantined_until(at(610), &content("/a")),
+        None
+    );
 }
--- a/crates/core/src/retry/retry_state.rs
+++ b/crates/core/src/retry/retry_state.rs
@@ -63,7 +63,7 @@
 
 impl RetryState {
     /// The state of a request before its first try, which adds to `budget`.
-    pub fn first(
+    pub fn new(
         hop: Hop,
         idempotent: bool,
         limits: &RetryLimits,
@@ -86,21 +86,21 @@
 
     /// Sets the soft deadline of the request, if it has one.
     #[must_use]
-    pub const fn until(mut self, soft_deadline: Option<Tick>) -> RetryState {
+    pub const fn with_soft_deadline(mut self, soft_deadline: Option<Tick>) -> RetryState {
         self.soft_deadline = soft_deadline;
         self
     }
 
     /// Marks the request as one with a key, which only the key's owner may run.
     #[must_use]
-    pub const fn keyed(mut self, attempt: Attempt) -> RetryState {
+    pub const fn with_attempt(mut self, attempt: Attempt) -> RetryState {
         self.attempt = Some(attempt);
         self
     }
 
     /// Whether another endpoint may be tried if the node of the next one has no
     /// capacity.
-    pub fn may_ask_more(&self, now: Tick) -> bool {
+    pub fn may_try_more_nodes(&self, now: Tick) -> bool {
         let in_time = self.soft_deadline.is_none_or(|deadline| now < deadline);
         self.hop == Hop::First
             && self.attempt.is_none()
@@ -109,7 +109,12 @@
     }
 
     /// Decides what to do after `failure`.
-    pub fn after(&mut self, now: Tick, failure: Failure, budget: &RetryBudget) -> RetryDecision {
+    pub fn on_failure(
+        &mut self,
+        now: Tick,
+        failure: Failure,
+        budget: &RetryBudget,
+    ) -> RetryDecision {
         if let Failure::Lost(loss) = failure {
             self.first_loss.get_or_insert(loss);
         }
@@ -162,7 +167,7 @@
         let Failure::Refused(refusal) = failure else {
             return true;
         };
-        let is_full = refusal.reason().is_overload() && !refusal.reason().is_of_target();
+        let is_full = refusal.reason().is_overload() && !refusal.reason().is_from_target();
         !is_full || self.soft_deadline.is_none_or(|deadline| now < deadline)
     }
 
@@ -177,10 +182,10 @@
             Failure::Lost(_) => None,
         };
         let (left, spend): (&mut u32, fn(&RetryBudget) -> bool) = match reason {
-            Some(reason) if reason.is_misplaced() => {
+            Some(reason) if reason.is_wrong_endpoint() => {
                 (&mut self.reroutes_left, RetryBudget::spend_reroute)
             }
-            Some(reason) if !reason.is_of_target() => {
+            Some(reason) if !reason.is_from_target() => {
                 (&mut self.capacity_retries_left, RetryBudget::spend_reroute)
             }
             _ => (&mut self.retries_left, RetryBudget::spend_retry),
--- a/crates/core/src/retry/tests/properties.rs
+++ b/crates/core/src/retry/tests/properties.rs
@@ -45,18 +45,18 @@
     /// were retried, and the failure that the caller receives.
     fn run(&self, budget: &RetryBudget) -> (Vec<Failure>, Failure) {
         let deadline = Deadline::within(NOW, TIMEOUT);
-        let mut tries = RetryState::first(self.hop, self.idempotent, &LIMITS, deadline, budget);
+        let mut tries = RetryState::new(self.hop, self.idempotent, &LIMITS, deadline, budget);
         let mut retried = Vec::new();
         let mut now: Tick = NOW;
         for (failure, took_ms) in &self.failures {
             now = now + Duration::from_millis(*took_ms);
-            match tries.after(now, *failure, budget) {
+            match tries.on_failure(now, *failure, budget) {
                 RetryDecision::Retry => retried.push(*failure),
                 RetryDecision::Stop(reported) => return (retried, reported),
             }
         }
         // At its deadline every request ends.
-        match tries.after(NOW + TIMEOUT, lost(), budget) {
+        match tries.on_failure(NOW + TIMEOUT, lost(), budget) {
             RetryDecision::Stop(reported) => (retried, reported),
             RetryDecision::Retry => panic!("retried after its deadline"),
         }
@@ -96,7 +96,7 @@
 fn reached_a_target(failure: &Failure) -> bool {
     match failure {
         Failure::Lost(_) => true,
-        Failure::Refused(refusal) => refusal.reason().is_of_target(),
+        Failure::Refused(refusal) => refusal.reason().is_from_target(),
     }
 }
 
--- a/crates/core/src/route/meters.rs
+++ b/crates/core/src/route/meters.rs
@@ -81,7 +81,7 @@
     /// evacuation ends.
     fn update_evacuation(&mut self, evacuated: bool, cold_start: Option<&ColdStart>, now: Tick) {
         if self.evacuated && !evacuated {
-            let lasts = cold_start.map_or(Duration::ZERO, |cold| cold.lasts);
+            let lasts = cold_start.map_or(Duration::ZERO, |cold| cold.duration);
             self.meter.set_cold_until(now + lasts);
         }
         self.evacuated = evacuated;
--- a/crates/core/src/snapshot/table.rs
+++ b/crates/core/src/snapshot/table.rs
@@ -23,7 +23,7 @@
     /// Adds a route under its host and path.
     pub(super) fn insert(&mut self, bound: BoundRoute) {
         let path = bound.route.path.clone();
-        self.has_homes |= !bound.route.homes.is_anywhere();
+        self.has_homes |= !bound.route.homes.is_unrestricted();
         let routes = match &bound.route.host {
             Some(host) => self.by_host.entry(host.clone()).or_default(),
             None => &mut self.any_host,
--- a/crates/core/src/spread/event.rs
+++ b/crates/core/src/spread/event.rs
@@ -43,9 +43,9 @@
     /// released a request.
     Observed {
         /// What was observed.
-        sighting: Observation,
+        observation: Observation,
         /// How long ago it was observed.
-        ago: Duration,
+        age: Duration,
     },
     /// Replaces the control addresses that are called before the list is known.
     Seeds(Vec<SocketAddr>),
--- a/crates/core/src/spread/machine.rs
+++ b/crates/core/src/spread/machine.rs
@@ -160,7 +160,9 @@
                 self.handle_source_result(now, stream, result, out)
             }
             Event::LocalPhase(phase) => self.enter_phase(now, phase, out),
-            Event::Observed { sighting, ago } => self.handle_observation(now, sighting, ago, out),
+            Event::Observed { observation, age } => {
+                self.handle_observation(now, observation, age, out)
+            }
             Event::Seeds(seeds) => self.local.seeds = seeds,
         }
         self.run_due_work(now, out);
--- a/crates/core/src/spread/machine/reports.rs
+++ b/crates/core/src/spread/machine/reports.rs
@@ -38,57 +38,57 @@
     pub(super) fn handle_observation(
         &mut self,
         now: Tick,
-        sighting: Observation,
-        ago: Duration,
+        observation: Observation,
+        age: Duration,
         out: &mut Vec<Action>,
     ) {
-        match &sighting {
+        match &observation {
             Observation::Crashed(ran) => {
                 out.push(Action::Audit(AuditEvent::TargetCrashed {
                     ran: ran.clone(),
                 }));
-                self.add_own_report(now, sighting, ago, out);
+                self.add_own_report(now, observation, age, out);
             }
             Observation::Released(content) => {
                 out.push(Action::Audit(AuditEvent::ReleaseOrdered {
                     content: *content,
                 }));
-                self.add_own_report(now, sighting, ago, out);
+                self.add_own_report(now, observation, age, out);
             }
             Observation::Answered(content) => {
-                let since_start = now.since(Tick::ZERO).saturating_sub(ago);
+                let since_start = now.since(Tick::ZERO).saturating_sub(age);
                 let answered = Tick::ZERO + since_start;
                 let nodes = self.peers.len() + 1;
                 self.pending_answers
-                    .note(now, *content, answered, nodes, &mut self.rng);
+                    .schedule(now, *content, answered, nodes, &mut self.rng);
             }
         }
     }
 
     /// Reports the due answers that no other node has reported meanwhile.
     pub(super) fn report_due_answers(&mut self, now: Tick, out: &mut Vec<Action>) {
-        for (content, answered) in self.pending_answers.take_due(now, self.reports.verdicts()) {
-            let sighting = Observation::Answered(content);
-            self.add_own_report(now, sighting, now.since(answered), out);
+        for (content, answered) in self.pending_answers.take_due(now, self.reports.state()) {
+            let observation = Observation::Answered(content);
+            self.add_own_report(now, observation, now.since(answered), out);
         }
     }
 
     fn add_own_report(
         &mut self,
         now: Tick,
-        sighting: Observation,
-        ago: Duration,
+        observation: Observation,
+        age: Duration,
         out: &mut Vec<Action>,
     ) {
         self.report_count += 1;
         let report = Report {
             id: ReportId {
-                witness: self.local.id.clone(),
+                reporter: self.local.id.clone(),
                 incarnation: self.local.incarnation.get(),
                 number: self.report_count,
             },
-            age_ms: u32::try_from(ago.as_millis()).unwrap_or(u32::MAX),
-            sighting,
+            age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
+            observation,
         };
         let origin = Origin::Peer(self.local.id.clone());
         self.merge_reports(now, &[report], &origin, out);
@@ -128,7 +128,7 @@
             let wait =
                 self.report_budget
                     .refill(now, FORWARDED_REPORTS_PER_S, FORWARDED_REPORTS_BURST);
-            if wait.is_some() && id.witness != self.local.id {
+            if wait.is_some() && id.reporter != self.local.id {
                 continue;
             }
             self.report_budget.take();
@@ -170,7 +170,7 @@
 
     /// Expires old reports.
     pub(super) fn expire_reports(&mut self, now: Tick, out: &mut Vec<Action>) {
-        self.reports.forget(now);
+        self.reports.remove_expired(now);
         let origin = Origin::Peer(self.local.id.clone());
         self.apply_verdicts(&origin, out);
     }
@@ -178,16 +178,16 @@
     /// Puts the verdicts that follow from the reports in force, if they have
     /// changed.
     fn apply_verdicts(&mut self, origin: &Origin, out: &mut Vec<Action>) {
-        let Some((before, verdicts)) = self.reports.judge() else {
+        let Some((before, verdicts)) = self.reports.evaluate() else {
             return;
         };
-        for content in verdicts.held().filter(|it| !before.holds(*it)) {
+        for content in verdicts.quarantined().filter(|it| !before.contains(*it)) {
             out.push(Action::Audit(AuditEvent::Quarantined {
                 content,
                 origin: origin.clone(),
             }));
         }
-        for content in before.held().filter(|it| !verdicts.holds(*it)) {
+        for content in before.quarantined().filter(|it| !verdicts.contains(*it)) {
             out.push(Action::Audit(AuditEvent::Released { content }));
         }
         out.push(Action::Quarantine(Arc::new(verdicts.clone())));
--- a/crates/core/src/spread/machine/wakeup.rs
+++ b/crates/core/src/spread/machine/wakeup.rs
@@ -24,7 +24,7 @@
         let others = [
             self.calls.next_deadline(),
             self.gossip.announce_due(),
-            self.pending_answers.due(),
+            self.pending_answers.next_due(),
             self.join_deadline(),
             self.takeover_due(now),
         ];
--- a/crates/core/src/spread/tests/crashes.rs
+++ b/crates/core/src/spread/tests/crashes.rs
@@ -33,11 +33,8 @@
 }
 
 fn observe(net: &mut Net, n: usize, observation: Observation) {
-    let ago = Duration::ZERO;
-    let event = Event::Observed {
-        sighting: observation,
-        ago,
-    };
+    let age = Duration::ZERO;
+    let event = Event::Observed { observation, age };
     net.handle_event(n, event);
 }
 
@@ -53,7 +50,7 @@
 
 fn quarantines(net: &Net, n: usize, content: Content) -> bool {
     let node = net.nodes[n].as_ref();
-    node.is_some_and(|node| node.verdicts.held_until(net.now, &content).is_some())
+    node.is_some_and(|node| node.verdicts.quarantined_until(net.now, &content).is_some())
 }
 
 fn all_quarantine(net: &Net) -> bool {
@@ -156,7 +153,7 @@
 #[test]
 fn an_answer_at_one_node_ends_the_quarantine_everywhere() {
     let mut net = quarantined_net(14, 4);
-    assert!(net.node(9).verdicts.doubts(crashing().whole()));
+    assert!(net.node(9).verdicts.is_suspect(crashing().whole()));
     observe(&mut net, 9, Observation::Answered(crashing().whole()));
     net.run_until(Duration::from_secs(1), |net| {
         !(0..14).any(|n| quarantines(net, n, crashing()))
--- a/crates/core/tests/at_most_once/node.rs
+++ b/crates/core/tests/at_most_once/node.rs
@@ -68,7 +68,7 @@
         };
         self.window.apply_list(since, &self.known.list);
         let (revision, at) = self.known.proved;
-        self.window.prove(at, revision);
+        self.window.record_proof(at, revision);
     }
 }
 
--- a/crates/core/tests/at_most_once/world.rs
+++ b/crates/core/tests/at_most_once/world.rs
@@ -115,7 +115,7 @@
     pub(crate) fn finish(self) -> Vec<String> {
         let checked = [Guarantee::AtMostOnce, Guarantee::TrueRefusal];
         let found = check(&self.history, &Bounds::default());
-        let found = found.iter().filter(|v| checked.contains(&v.promise()));
+        let found = found.iter().filter(|v| checked.contains(&v.guarantee()));
         let violations = found.map(ToString::to_string);
         violations.chain(self.false_not_run).collect()
     }
@@ -139,7 +139,7 @@
         if self.fault == Fault::LeaseIgnored {
             for node in &self.nodes {
                 let revision = node.known.list.version().revision();
-                node.window.prove(self.now, revision);
+                node.window.record_proof(self.now, revision);
             }
         }
     }
--- a/crates/core/tests/at_most_once/world/outcomes.rs
+++ b/crates/core/tests/at_most_once/world/outcomes.rs
@@ -27,11 +27,11 @@
         };
         let budget = RetryBudget::new();
         let deadline = Deadline::at(self.now);
-        let tries = RetryState::first(Hop::First, false, &limits, deadline, &budget);
+        let tries = RetryState::new(Hop::First, false, &limits, deadline, &budget);
         let RetryDecision::Stop(failure) =
             tries
-                .keyed(attempt)
-                .after(self.now, refusal.into(), &budget)
+                .with_attempt(attempt)
+                .on_failure(self.now, refusal.into(), &budget)
         else {
             panic!("the deadline has passed");
         };
--- a/crates/core/tests/requests/main.rs
+++ b/crates/core/tests/requests/main.rs
@@ -77,7 +77,7 @@
         tally
             .violations
             .iter()
-            .any(|v| v.promise() == case.violated)
+            .any(|v| v.guarantee() == case.violated)
     });
     assert!(found, "{case:?} is not detected");
 }
--- a/crates/core/tests/requests/sim/faults.rs
+++ b/crates/core/tests/requests/sim/faults.rs
@@ -131,7 +131,7 @@
                 self.poll_drain(i);
             }
             Stage::Draining(drain) => {
-                endpoint.stage = Stage::Draining(drain.begin_again(self.now, DRAIN_BOUND));
+                endpoint.stage = Stage::Draining(drain.extend(self.now, DRAIN_BOUND));
             }
             Stage::Down => {}
         }
--- a/crates/ctl/src/catalogue.rs
+++ b/crates/ctl/src/catalogue.rs
@@ -39,7 +39,7 @@
 ///
 /// Returns every fault, with its place where the text shows it.
 pub(crate) fn judge(text: &str) -> Result<Catalogue, Faults> {
-    catalogue::review(text).map_err(|faults| located(text, &faults))
+    catalogue::validate(text).map_err(|faults| located(text, &faults))
 }
 
 /// Gives places to faults that were found across entries.
--- a/crates/ctl/src/diff/fields.rs
+++ b/crates/ctl/src/diff/fields.rs
@@ -64,7 +64,7 @@
     ];
     found.extend(values.map(|(name, value)| (name.to_owned(), value)));
     if let Some(cold) = &entry.cold_start {
-        let lasts = cold.lasts.as_millis().to_string();
+        let lasts = cold.duration.as_millis().to_string();
         found.insert("cold_start.lasts_ms".to_owned(), lasts);
         found.insert("cold_start.per_s".to_owned(), cold.per_s.to_string());
         if let Some(path) = &cold.probe_path {
@@ -98,7 +98,7 @@
     let shares: Vec<String> = shares
         .map(|it| format!("{} {}", it.service, it.weight))
         .collect();
-    if !route.homes.is_anywhere() {
+    if !route.homes.is_unrestricted() {
         let homes = route.homes.regions().iter().map(ToString::to_string);
         values.push(("homes", homes.collect::<Vec<String>>().join(", ")));
     }
--- a/crates/node/src/shared/quarantine.rs
+++ b/crates/node/src/shared/quarantine.rs
@@ -44,7 +44,7 @@
 
     /// How long no target is to run a request from `now` on, if it is in quarantine.
     pub(crate) fn holds(&self, now: Tick, content: &Content) -> Option<Duration> {
-        let until = self.verdicts.load().held_until(now, content)?;
+        let until = self.verdicts.load().quarantined_until(now, content)?;
         Some(until.since(now))
     }
 
@@ -63,7 +63,7 @@
     /// All that is in quarantine, and for how long.
     pub(crate) fn list(&self, now: Tick) -> Vec<(Fingerprint, Duration)> {
         let verdicts = self.verdicts.load();
-        let held = verdicts.held_at(now);
+        let held = verdicts.quarantined_at(now);
         held.map(|(content, until)| (content, until.since(now)))
             .collect()
     }
@@ -75,12 +75,12 @@
             let answered = self.answered.lock();
             let answered = answered.unwrap_or_else(PoisonError::into_inner);
             let at = |content| Some((content, answered.find(content)?));
-            verdicts.doubted().filter_map(at).collect()
+            verdicts.suspects().filter_map(at).collect()
         };
         let before = self.verdicts.swap(verdicts);
         self.judged.send_replace(());
         for (content, at) in answered {
-            if !before.doubts(content) {
+            if !before.is_suspect(content) {
                 self.report_answer(content, now.since(at));
             }
         }
@@ -96,7 +96,7 @@
             }
         }
         let verdicts = self.verdicts.load();
-        for content in content.fingerprints().filter(|it| verdicts.doubts(*it)) {
+        for content in content.fingerprints().filter(|it| verdicts.is_suspect(*it)) {
             self.report_answer(content, Duration::ZERO);
         }
     }
@@ -118,21 +118,21 @@
     }
 
     /// Reports what was just seen; false if nobody can be told.
-    async fn report(&self, sighting: Observation) -> bool {
+    async fn report(&self, observation: Observation) -> bool {
         let Some(control) = self.control.get() else {
             return false;
         };
-        let ago = Duration::ZERO;
-        let event = Event::Observed { sighting, ago };
+        let age = Duration::ZERO;
+        let event = Event::Observed { observation, age };
         control.send(ControlEvent::Spread(event)).await
     }
 
-    fn report_answer(&self, content: Fingerprint, ago: Duration) {
+    fn report_answer(&self, content: Fingerprint, age: Duration) {
         let Some(control) = self.control.get() else {
             return;
         };
-        let sighting = Observation::Answered(content);
-        let event = ControlEvent::Spread(Event::Observed { sighting, ago });
+        let observation = Observation::Answered(content);
+        let event = ControlEvent::Spread(Event::Observed { observation, age });
         if !control.try_send(event) {
             // The next answer is told again, for as long as there is doubt.
             tracing::debug!(%content, "an answer was not told: the control side is busy");
--- a/crates/node/src/shared/routing.rs
+++ b/crates/node/src/shared/routing.rs
@@ -99,7 +99,7 @@
     /// Passes on a proof that the instance list of `revision` was the newest.
     pub(super) fn prove(&self, at: Tick, revision: Revision) {
         if let Some(place) = self.place.get() {
-            place.repeat.prove(at, revision);
+            place.repeat.record_proof(at, revision);
         }
     }
 
--- a/crates/node/src/traffic/outbound/attempt.rs
+++ b/crates/node/src/traffic/outbound/attempt.rs
@@ -175,7 +175,10 @@
         req: Request<Payload>,
     ) -> Result<Response<Incoming>, Missed> {
         let clock = self.worker.hub.shared.clock();
-        let left = self.deadline.remaining_beyond(clock.now()).as_millis();
+        let left = self
+            .deadline
+            .remaining_for_next_hop(clock.now())
+            .as_millis();
         if left == 0 {
             return Err(Refusal::not_run(Step::Forward, Reason::DeadlinePassed).into());
         }
--- a/crates/node/src/traffic/outbound/first_hop.rs
+++ b/crates/node/src/traffic/outbound/first_hop.rs
@@ -173,13 +173,13 @@
                 .routes
                 .picker
                 .has_alternative(self.to, homes, at, &avoid);
-            let settles = again.is_none() || !others || !tries.may_ask_more(at);
+            let settles = again.is_none() || !others || !tries.may_try_more_nodes(at);
             let missed = match self.attempt(picked, req, settles).await {
                 Ok(res) => return Ok(res),
                 Err(missed) => missed,
             };
             trail.miss(&missed.failure);
-            let failure = match tries.after(now(self.worker), missed.failure, self.budget) {
+            let failure = match tries.on_failure(now(self.worker), missed.failure, self.budget) {
                 RetryDecision::Retry => missed.failure,
                 RetryDecision::Stop(failure) => return Err(failure),
             };
@@ -213,8 +213,8 @@
         let idempotent = self.route.route.idempotent && self.hop == 1;
         let mut limits = self.service.entry.limits.retry;
         limits.attempts = self.route.route.attempts.unwrap_or(limits.attempts);
-        let tries = RetryState::first(Hop::First, idempotent, &limits, self.deadline, self.budget);
-        tries.until(self.aim)
+        let tries = RetryState::new(Hop::First, idempotent, &limits, self.deadline, self.budget);
+        tries.with_soft_deadline(self.aim)
     }
 
     /// The endpoints that the list in force by now has no new work for.
--- a/crates/standin/src/target/service_times.rs
+++ b/crates/standin/src/target/service_times.rs
@@ -23,7 +23,7 @@
 impl ServiceTimes {
     /// The kind of requests for `path` that name none.
     pub(super) fn kind_of_path(&self, path: &str) -> Option<&KindName> {
-        let taking = self.paths.iter().filter(|(route, _)| route.takes(path));
+        let taking = self.paths.iter().filter(|(route, _)| route.matches(path));
         let longest = taking.max_by_key(|(route, _)| route.as_str().len())?;
         Some(longest.1)
     }
