--- a/crates/core/src/admit/state.rs
+++ b/crates/core/src/admit/state.rs
@@ -130,7 +130,7 @@
         }
         let rate = request.limits.rate_per_s;
         let wait = self.bucket.refill(self.now, rate, self.settings.burst)?;
-        Some(refusal(Reason::RateLimited).after(wait))
+        Some(refusal(Reason::RateLimited).with_retry_after(wait))
     }
 
     fn enqueue(
@@ -156,11 +156,16 @@
             );
             let Some(displaced) = displaced else {
                 self.record_refusal(request.class);
-                return Decision::Refuse(refusal(Reason::QueueFull).after(position.wait));
+                return Decision::Refuse(
+                    refusal(Reason::QueueFull).with_retry_after(position.wait),
+                );
             };
             let wait = self.expected_class_wait(displaced.work.class);
             self.record_refusal(displaced.work.class);
-            wakes.push(refuse(displaced, refusal(Reason::Displaced).after(wait)));
+            wakes.push(refuse(
+                displaced,
+                refusal(Reason::Displaced).with_retry_after(wait),
+            ));
         }
         self.bucket.take();
         let expires_at = request
@@ -269,7 +274,7 @@
 
     fn queue_timeout_refusal(&mut self, class: Class) -> Refusal {
         self.record_refusal(class);
-        refusal(Reason::QueueTimeout).after(self.expected_class_wait(class))
+        refusal(Reason::QueueTimeout).with_retry_after(self.expected_class_wait(class))
     }
 
     /// Whether a request of that class may have a slot now.
--- a/crates/core/src/admit/state/queue_position.rs
+++ b/crates/core/src/admit/state/queue_position.rs
@@ -47,7 +47,7 @@
             false => Reason::QueueFull,
         };
         if wait + took > request.deadline.remaining(self.now) {
-            return Err(refusal(Reason::DeadlineTooShort).after(wait));
+            return Err(refusal(Reason::DeadlineTooShort).with_retry_after(wait));
         }
         // The answer would be late here and may be in time from another target. If no
         // other target is asked, a late answer is better than none: a refused call fails
@@ -55,11 +55,11 @@
         let late =
             in_time && latest_start.is_some_and(|latest_start| self.now + wait > latest_start);
         if late && !request.last_resort {
-            return Err(refusal(full).after(wait));
+            return Err(refusal(full).with_retry_after(wait));
         }
         // A queued request is refused after `max_wait`: a longer wait would be wasted.
         if wait > self.settings.max_wait {
-            return Err(refusal(full).after(wait));
+            return Err(refusal(full).with_retry_after(wait));
         }
         Ok(QueuePosition {
             latest_start,
@@ -96,7 +96,7 @@
                 self.now,
             )
         };
-        let refusal = refusal(Reason::QueueFull).after(position.wait);
+        let refusal = refusal(Reason::QueueFull).with_retry_after(position.wait);
         (full && displaceable().is_none()).then_some(refusal)
     }
 
--- a/crates/core/src/caller_timeouts.rs
+++ b/crates/core/src/caller_timeouts.rs
@@ -68,7 +68,7 @@
 
 impl CallerTimeouts {
     /// Counts the timeout that a caller named.
-    pub fn note(&mut self, timeout: Duration) {
+    pub fn record(&mut self, timeout: Duration) {
         let number = bucket_of(timeout);
         let at = self
             .buckets
@@ -95,7 +95,7 @@
 
     /// The time since the first attempt of a caller that now names `timeout`;
     /// zero if this request looks like the first attempt.
-    pub fn since_first(&self, timeout: Duration) -> Duration {
+    pub fn time_since_first_attempt(&self, timeout: Duration) -> Duration {
         let Some(first) = self.first_attempt_buckets() else {
             return Duration::ZERO;
         };
--- a/crates/core/src/cold_tracker.rs
+++ b/crates/core/src/cold_tracker.rs
@@ -57,7 +57,7 @@
 
 impl ColdTracker {
     /// Updates the state from the entry of the target in the instance list.
-    pub fn follow_list(
+    pub fn update_from_list(
         &mut self,
         now: Tick,
         start: &ColdStart,
@@ -92,7 +92,7 @@
     }
 
     /// Updates whether the target's failure domain is evacuated.
-    pub fn follow_evacuation(&mut self, now: Tick, start: &ColdStart, evacuated: bool) {
+    pub fn update_evacuation(&mut self, now: Tick, start: &ColdStart, evacuated: bool) {
         let evacuation_ended = self.evacuated && !evacuated;
         self.evacuated = evacuated;
         if evacuation_ended {
@@ -102,7 +102,7 @@
 
     /// Records the generation of the target that a request names. The local instance
     /// list may not contain that generation yet.
-    pub fn follow_request(&mut self, now: Tick, start: &ColdStart, generation: &str) {
+    pub fn record_requested_generation(&mut self, now: Tick, start: &ColdStart, generation: &str) {
         let is_known = |id: &TargetId| id.as_str() == generation;
         if self.recent_generations.iter().flatten().any(is_known) {
             return;
@@ -114,18 +114,18 @@
     }
 
     /// Records the remaining cold time that the target itself reported.
-    pub fn probed(&mut self, now: Tick, left: Duration) {
+    pub fn record_probe(&mut self, now: Tick, left: Duration) {
         self.cold_until = now + left;
         self.unconfirmed = false;
     }
 
     /// Until when the target is treated as cold.
-    pub const fn until(&self) -> Tick {
+    pub const fn cold_until(&self) -> Tick {
         self.cold_until
     }
 
     /// Whether the cold state is only assumed, so that a probe may show that the target is warm.
-    pub const fn is_unproved(&self) -> bool {
+    pub const fn is_unconfirmed(&self) -> bool {
         self.unconfirmed
     }
 
--- a/crates/core/src/dedup/state.rs
+++ b/crates/core/src/dedup/state.rs
@@ -77,7 +77,7 @@
             Some(KeyState::Done(answer)) => return KeyDecision::Answer(answer.clone()),
             Some(KeyState::Running) => {
                 let refusal = Refusal::unknown(Step::Admission, Reason::EarlierRunning);
-                return KeyDecision::Refuse(refusal.after(RUNNING_RETRY));
+                return KeyDecision::Refuse(refusal.with_retry_after(RUNNING_RETRY));
             }
             Some(KeyState::OutcomeUnknown) => {
                 let refusal = Refusal::unknown(Step::Admission, Reason::EarlierUnknown);
@@ -104,12 +104,12 @@
             // process before its restart.
             let wait = self.cfg.unseen_proof_period() - owned_for;
             let refusal = Refusal::unknown(Step::Admission, Reason::EarlierUnknown);
-            return Some(refusal.after(wait));
+            return Some(refusal.with_retry_after(wait));
         }
         if self.keys.len() >= self.cfg.max_keys {
             // If an older key were evicted instead, its repeat would run again.
             let refusal = Refusal::not_run(Step::Admission, Reason::WindowFull);
-            return Some(refusal.after(self.time_until_room(now)));
+            return Some(refusal.with_retry_after(self.time_until_room(now)));
         }
         None
     }
@@ -129,13 +129,13 @@
             // A node that is cut off doesn't receive the list that gives the key
             // to another owner, which may already run it.
             let refusal = refusal_without_proof(attempt, Reason::LeaseLapsed);
-            return Some(refusal.after(self.cfg.lease));
+            return Some(refusal.with_retry_after(self.cfg.lease));
         }
         let owned_for = now.since(since);
         if owned_for < self.cfg.settling_period() {
             // The previous owner may run the key until its lease expires.
             let wait = self.cfg.settling_period() - owned_for;
-            return Some(refusal_without_proof(attempt, Reason::Settling).after(wait));
+            return Some(refusal_without_proof(attempt, Reason::Settling).with_retry_after(wait));
         }
         None
     }
--- a/crates/core/src/document/versioned.rs
+++ b/crates/core/src/document/versioned.rs
@@ -116,7 +116,7 @@
             items.insert(item.key(), with_digest(item.clone())?);
         }
         let newer = Document::from_items(delta.target.revision(), items);
-        newer.checked(delta.target)
+        newer.verify_version(delta.target)
     }
 
     /// Returns this document if its version equals the announced version.
@@ -125,7 +125,7 @@
     ///
     /// Fails if the revision or the digest differs. The content was then mixed
     /// up or damaged in transit, and no part of it may be used.
-    pub fn checked(self, announced: Version) -> Result<Document<T>> {
+    pub fn verify_version(self, announced: Version) -> Result<Document<T>> {
         if self.version != announced {
             return Err(Error::new(
                 Step::Delta,
--- a/crates/core/src/generation_tracker.rs
+++ b/crates/core/src/generation_tracker.rs
@@ -87,7 +87,7 @@
     }
 
     /// The generation to name in a request that is meant for `requested`.
-    pub fn meant<'a>(&'a self, now: Tick, requested: &'a G) -> &'a G {
+    pub fn resolve<'a>(&'a self, now: Tick, requested: &'a G) -> &'a G {
         match &self.ended {
             Some(ended)
                 if ended.generation == *requested
--- a/crates/core/src/generation_tracker/tests.rs
+++ b/crates/core/src/generation_tracker/tests.rs
@@ -49,7 +49,11 @@
         }
     }
     let later = Tick::ZERO + MIN_DECLINED_TIME;
-    assert_eq!(*generations.meant(later, &"t-1"), case.resolved, "{case:?}");
+    assert_eq!(
+        *generations.resolve(later, &"t-1"),
+        case.resolved,
+        "{case:?}"
+    );
 }
 
 /// Guards against requests that run at another service's target at a reused address.
@@ -59,9 +63,9 @@
     generations.declined(Tick::ZERO, &"t-1", &"t-2");
     let before = Tick::ZERO + MIN_DECLINED_TIME / 2;
     generations.declined(before, &"t-1", &"t-2");
-    assert_eq!(*generations.meant(before, &"t-1"), "t-1");
+    assert_eq!(*generations.resolve(before, &"t-1"), "t-1");
     let later = Tick::ZERO + MIN_DECLINED_TIME;
-    assert_eq!(*generations.meant(later, &"t-1"), "t-2");
+    assert_eq!(*generations.resolve(later, &"t-1"), "t-2");
 }
 
 /// Guards against one log line per declined request when many requests are in flight.
--- a/crates/core/src/instance/generation.rs
+++ b/crates/core/src/instance/generation.rs
@@ -32,18 +32,19 @@
     pub id: TargetId,
     /// The platform's revision at which the generation was first listed. Of two
     /// generations at one address, the one with the higher revision is running.
-    pub listed_at: u64,
+    #[serde(rename = "listed_at")]
+    pub listed_revision: u64,
     /// Start time in milliseconds since 1970, if the target reports it. Generations
     /// with the same name differ only in this time.
-    #[serde(default)]
-    pub born: Option<u64>,
+    #[serde(default, rename = "born")]
+    pub started_ms: Option<u64>,
 }
 
 impl TargetGeneration {
     /// Whether both are the same generation of the same target. It may have been
     /// listed again after its entry had expired.
     pub fn is_same(&self, other: &TargetGeneration) -> bool {
-        self.id == other.id && self.born == other.born
+        self.id == other.id && self.started_ms == other.started_ms
     }
 
     /// Stores this generation in `stored` unless `stored` already is the same generation.
@@ -65,7 +66,7 @@
     /// assert!(!generation("i-1").replaces(&mut stored));
     /// assert!(generation("i-2").replaces(&mut stored));
     /// ```
-    pub fn replaces(&self, stored: &mut Option<TargetGeneration>) -> bool {
+    pub fn replace_held(&self, stored: &mut Option<TargetGeneration>) -> bool {
         if stored.as_ref().is_some_and(|stored| stored.is_same(self)) {
             return false;
         }
@@ -78,10 +79,10 @@
     /// Two generations with the same name are ordered by the clock of their instance,
     /// since their entry may not have expired between the two starts. Targets with
     /// different names may use different clocks, so the platform's revision decides.
-    pub fn follows(&self, stored: &TargetGeneration) -> bool {
-        match (self.born, stored.born) {
+    pub fn is_not_older_than(&self, stored: &TargetGeneration) -> bool {
+        match (self.started_ms, stored.started_ms) {
             (Some(born), Some(before)) if self.id == stored.id => born >= before,
-            _ => self.listed_at >= stored.listed_at,
+            _ => self.listed_revision >= stored.listed_revision,
         }
     }
 }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -107,7 +107,7 @@
     }
 
     /// Marks records as listed or unlisted by a new list and removes expired ones.
-    pub(crate) fn relist(&mut self, now: Tick, list: &InstanceList) {
+    pub(crate) fn apply_list(&mut self, now: Tick, list: &InstanceList) {
         self.buckets = [0; BUCKETS];
         self.unlisted = 0;
         for (id, record) in &mut self.records {
@@ -120,11 +120,11 @@
                 self.unlisted += 1;
             }
         }
-        self.forget(now);
+        self.expire_unlisted(now);
     }
 
     /// Removes records of instances that have been unlisted for the retention time.
-    pub(crate) fn forget(&mut self, now: Tick) {
+    pub(crate) fn expire_unlisted(&mut self, now: Tick) {
         if self.unlisted == 0 {
             return;
         }
@@ -141,13 +141,13 @@
     }
 
     /// A digest over all listed records.
-    pub(crate) fn root(&self) -> u64 {
+    pub(crate) fn root_digest(&self) -> u64 {
         let mix = |sum: u64, bucket: &u64| sum.rotate_left(5).wrapping_mul(31) ^ bucket;
         self.buckets.iter().fold(0, mix)
     }
 
     /// The digest of the listed records of each bucket.
-    pub(crate) fn digests(&self) -> Vec<u32> {
+    pub(crate) fn bucket_digests(&self) -> Vec<u32> {
         self.buckets
             .iter()
             .map(|bucket| low_half(*bucket))
@@ -155,14 +155,14 @@
     }
 
     /// A bit set of the buckets whose digest differs from the peer's.
-    pub(crate) fn differing(&self, peer_digests: &[u32]) -> u64 {
+    pub(crate) fn differing_buckets(&self, peer_digests: &[u32]) -> u64 {
         let differs = |n: &usize| peer_digests.get(*n) != Some(&low_half(self.buckets[*n]));
         let differing = (0..BUCKETS).filter(differs);
         differing.fold(0, |bits, n| bits | 1 << n)
     }
 
     /// The listed records of the buckets whose bit is set.
-    pub(crate) fn in_buckets(&self, bits: u64) -> impl Iterator<Item = &EndpointState> {
+    pub(crate) fn records_in_buckets(&self, bits: u64) -> impl Iterator<Item = &EndpointState> {
         let selected =
             move |it: &&Record| it.unlisted_since.is_none() && bits & (1 << it.bucket) != 0;
         let records = self.records.values().filter(selected);
@@ -198,7 +198,7 @@
     bytes.extend_from_slice(&state.incarnation.to_le_bytes());
     bytes.extend_from_slice(&state.sequence.to_le_bytes());
     bytes.push(state.phase as u8);
-    Digest::of(&bytes).head()
+    Digest::of(&bytes).prefix_u64()
 }
 
 /// The low 32 bits, which keeps messages small. A difference that they don't show
--- a/crates/core/src/membership/tests.rs
+++ b/crates/core/src/membership/tests.rs
@@ -41,7 +41,7 @@
         backward.merge(Tick::ZERO, &received[received.len() - 1 - n], Some(&list));
     }
     assert_eq!(forward.get(&received[0].instance), Some(&received[3]));
-    assert_eq!(forward.root(), backward.root());
+    assert_eq!(forward.root_digest(), backward.root_digest());
     assert_eq!(
         forward.merge(Tick::ZERO, &received[3], Some(&list)),
         MergeOutcome::NotNewer
@@ -58,18 +58,18 @@
         one.merge(Tick::ZERO, &record, Some(&list));
         other.merge(Tick::ZERO, &record, Some(&list));
     }
-    assert_eq!(one.differing(&other.digests()), 0);
+    assert_eq!(one.differing_buckets(&other.bucket_digests()), 0);
     let newer = state(77, 1, 2, Phase::Draining);
     one.merge(Tick::ZERO, &newer, Some(&list));
-    assert_ne!(one.root(), other.root());
-    let differing = one.differing(&other.digests());
+    assert_ne!(one.root_digest(), other.root_digest());
+    let differing = one.differing_buckets(&other.bucket_digests());
     assert_eq!(differing.count_ones(), 1);
-    let found: Vec<_> = one.in_buckets(differing).collect();
+    let found: Vec<_> = one.records_in_buckets(differing).collect();
     assert!(found.contains(&&newer) && found.len() < 20);
     for state in found {
         other.merge(Tick::ZERO, state, Some(&list));
     }
-    assert_eq!(one.root(), other.root());
+    assert_eq!(one.root_digest(), other.root_digest());
 }
 
 /// Guards against a table of records that grows with every replaced instance.
@@ -79,11 +79,11 @@
     let before = list(3);
     let record = state(2, 1, 3, Phase::Gone);
     members.merge(Tick::ZERO, &record, Some(&before));
-    members.relist(Tick::ZERO, &list(2));
-    assert_eq!(members.root(), MembershipTable::new().root());
+    members.apply_list(Tick::ZERO, &list(2));
+    assert_eq!(members.root_digest(), MembershipTable::new().root_digest());
     assert_eq!(members.get(&record.instance), Some(&record));
     let later = Tick::ZERO + Duration::from_secs(61);
-    members.forget(later);
+    members.expire_unlisted(later);
     assert_eq!(members.get(&record.instance), None);
 }
 
--- a/crates/core/src/outcome/refusal.rs
+++ b/crates/core/src/outcome/refusal.rs
@@ -45,7 +45,7 @@
     }
 
     /// Sets the time after which the caller may retry.
-    pub const fn after(mut self, wait: Duration) -> Refusal {
+    pub const fn with_retry_after(mut self, wait: Duration) -> Refusal {
         self.retry_after = Some(wait);
         self
     }
@@ -56,7 +56,7 @@
     /// Earlier attempts may have run although this attempt was not run. Unless the
     /// key's owner proved that the key was never used, the outcome is unknown. A
     /// caller that gets another outcome might send the request again with a new key.
-    pub const fn of_repeat(mut self) -> Refusal {
+    pub const fn for_keyed_retry(mut self) -> Refusal {
         if !self.reason.proves_key_unused() {
             self.outcome = Outcome::Unknown;
         }
--- a/crates/core/src/quarantine/content.rs
+++ b/crates/core/src/quarantine/content.rs
@@ -23,7 +23,7 @@
 impl Fingerprint {
     /// The fingerprint of all parts hashed so far.
     fn of(hasher: &blake3::Hasher) -> Fingerprint {
-        Fingerprint(Digest::from_hash(&hasher.finalize()).head())
+        Fingerprint(Digest::from_hash(&hasher.finalize()).prefix_u64())
     }
 
     /// Parses the hexadecimal form that [`fmt::Display`] writes.
--- a/crates/core/src/quarantine/reports.rs
+++ b/crates/core/src/quarantine/reports.rs
@@ -259,5 +259,5 @@
     bytes.extend_from_slice(id.reporter.as_str().as_bytes());
     bytes.extend_from_slice(&id.incarnation.to_le_bytes());
     bytes.extend_from_slice(&id.number.to_le_bytes());
-    Digest::of(&bytes).head()
+    Digest::of(&bytes).prefix_u64()
 }
--- a/crates/core/src/reader/backoff.rs
+++ b/crates/core/src/reader/backoff.rs
@@ -30,7 +30,7 @@
     }
 
     /// Records a failure and returns the wait before the next attempt.
-    pub(crate) fn fail(&mut self, rng: &mut SmallRng) -> Duration {
+    pub(crate) fn record_failure(&mut self, rng: &mut SmallRng) -> Duration {
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let bound = self.base.saturating_mul(1 << doublings).min(self.cap);
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
@@ -38,7 +38,7 @@
     }
 
     /// Records a success: the wait after the next failure starts at the base again.
-    pub(crate) fn succeed(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         self.consecutive_failures = 0;
     }
 }
--- a/crates/core/src/reader/budget.rs
+++ b/crates/core/src/reader/budget.rs
@@ -67,16 +67,16 @@
 
     /// Applies this node's placement in a new list. An unlisted node can't determine
     /// how many other nodes are unlisted too, so it still assumes a large fleet.
-    pub(crate) fn place(&mut self, now: Tick, place: &Placement, readers: u32) {
+    pub(crate) fn set_placement(&mut self, now: Tick, place: &Placement, readers: u32) {
         self.refill(now);
         self.chosen = place.rank.is_some_and(|rank| rank < readers);
-        let part = self.half_share_per_s / f64::from(place.domains.saturating_mul(readers));
+        let part = self.half_share_per_s / f64::from(place.domain_count.saturating_mul(readers));
         // Within any second a bucket allows its stored tokens plus the refill of that second.
         self.max_tokens = (part / 2.0).clamp(1.0, MAX_BURST_READS);
         self.tokens_per_s = (part - self.max_tokens).max(part / 2.0);
         let fleet = match place.rank {
-            Some(_) => place.fleet,
-            None => place.fleet.max(self.assumed_fleet),
+            Some(_) => place.fleet_size,
+            None => place.fleet_size.max(self.assumed_fleet),
         };
         let new_period = period(fleet, self.half_share_per_s);
         if new_period != self.period {
@@ -91,7 +91,7 @@
     /// a read at the same moment, and for about half of them the read time of the
     /// current period has already passed. A reservation stays valid after its time,
     /// so a late wakeup doesn't lose it.
-    pub(crate) fn book(&mut self, now: Tick) -> Tick {
+    pub(crate) fn reserve(&mut self, now: Tick) -> Tick {
         if self.chosen {
             let missing = (1.0 - self.tokens_at(now)).max(0.0);
             return now + Duration::from_secs_f64(missing / self.tokens_per_s);
@@ -102,18 +102,18 @@
     }
 
     /// The time of the reserved read, if one is reserved.
-    pub(crate) fn booked(&self) -> Option<Tick> {
+    pub(crate) fn reserved_at(&self) -> Option<Tick> {
         self.reserved
     }
 
     /// Cancels the reservation. Kept reservations would let all nodes read at once
     /// when an event affects all of them.
-    pub(crate) fn cancel(&mut self) {
+    pub(crate) fn cancel_reservation(&mut self) {
         self.reserved = None;
     }
 
     /// Consumes the read that is allowed now.
-    pub(crate) fn take(&mut self, now: Tick) {
+    pub(crate) fn consume(&mut self, now: Tick) {
         self.refill(now);
         if self.chosen {
             self.tokens -= 1.0;
--- a/crates/core/src/reader/placement.rs
+++ b/crates/core/src/reader/placement.rs
@@ -25,11 +25,11 @@
     pub(crate) listed: bool,
     /// Instances of its failure domain that rank before it, lowest rank first;
     /// at most [`MAX_BEFORE`].
-    pub(crate) before: Vec<InstanceId>,
+    pub(crate) higher_ranked: Vec<InstanceId>,
     /// Number of failure domains in the list, at least 1.
-    pub(crate) domains: u32,
+    pub(crate) domain_count: u32,
     /// Number of listed instances that have a node.
-    pub(crate) fleet: u32,
+    pub(crate) fleet_size: u32,
 }
 
 /// Bounds the stored names of instances that rank before the node.
@@ -52,9 +52,9 @@
         Placement {
             listed: list.get(id).is_some(),
             rank: position.map(|n| u32::try_from(n).unwrap_or(u32::MAX)),
-            before: before.collect(),
-            domains: u32::try_from(domains.len().max(1)).unwrap_or(u32::MAX),
-            fleet: u32::try_from(nodes).unwrap_or(u32::MAX),
+            higher_ranked: before.collect(),
+            domain_count: u32::try_from(domains.len().max(1)).unwrap_or(u32::MAX),
+            fleet_size: u32::try_from(nodes).unwrap_or(u32::MAX),
         }
     }
 }
--- a/crates/core/src/reader/role.rs
+++ b/crates/core/src/reader/role.rs
@@ -56,29 +56,29 @@
     }
 
     /// Applies this node's placement in a new list.
-    pub(crate) fn set_place(&mut self, place: Placement) {
-        let per_domain = self.fleet_readers.div_ceil(place.domains.max(1));
-        let fleet = place.fleet.max(1);
+    pub(crate) fn set_placement(&mut self, place: Placement) {
+        let per_domain = self.fleet_readers.div_ceil(place.domain_count.max(1));
+        let fleet = place.fleet_size.max(1);
         self.placement = Some(place);
-        self.domain_readers = match self.all_read() {
+        self.domain_readers = match self.every_node_reads() {
             true => fleet,
             false => per_domain,
         };
     }
 
     /// Whether the fleet is small enough that every node reads.
-    pub(crate) fn all_read(&self) -> bool {
+    pub(crate) fn every_node_reads(&self) -> bool {
         let placement = self.placement.as_ref();
-        placement.is_some_and(|placement| placement.fleet <= self.all_read_max_fleet)
+        placement.is_some_and(|placement| placement.fleet_size <= self.all_read_max_fleet)
     }
 
     /// Number of readers in this node's failure domain.
-    pub(crate) fn readers(&self) -> u32 {
+    pub(crate) fn readers_in_domain(&self) -> u32 {
         self.domain_readers
     }
 
     /// Whether the node reads, as a chosen reader or after a takeover.
-    pub(crate) fn reads(&self) -> bool {
+    pub(crate) fn is_reader(&self) -> bool {
         self.is_chosen() || self.acting
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// The rank that determines the order of takeovers.
-    pub(crate) fn turn(&self) -> u32 {
+    pub(crate) fn takeover_rank(&self) -> u32 {
         let unlisted = self.domain_readers + BACKUPS + self.unlisted_rank;
         self.rank().unwrap_or(unlisted)
     }
@@ -111,39 +111,39 @@
 
     /// Highest age of the newest proof of contact that any node of the fleet sees
     /// while the readers work.
-    pub(crate) fn usual_age(&self) -> Duration {
+    pub(crate) fn max_healthy_age(&self) -> Duration {
         self.contact_bound.saturating_mul(OTHERS_WAIT_FACTOR)
     }
 
     /// Age of the newest proof of contact at which the node takes over.
-    pub(crate) fn patience(&self) -> Duration {
-        let ranks_behind = self.turn().saturating_sub(self.domain_readers);
+    pub(crate) fn takeover_age(&self) -> Duration {
+        let ranks_behind = self.takeover_rank().saturating_sub(self.domain_readers);
         let steps = self.takeover_step.saturating_mul(ranks_behind);
         let bound = match self.is_backup() {
             true => self.contact_bound,
-            false => self.usual_age(),
+            false => self.max_healthy_age(),
         };
         bound + steps
     }
 
     /// Takes over as a reader if the newest proof of contact is too old.
     /// Returns whether the node became a reader.
-    pub(crate) fn step_in(&mut self, age: Duration) -> bool {
-        let before = self.reads();
-        if self.placement.is_some() && age >= self.patience() {
+    pub(crate) fn try_take_over(&mut self, age: Duration) -> bool {
+        let before = self.is_reader();
+        if self.placement.is_some() && age >= self.takeover_age() {
             self.acting = true;
         }
-        self.reads() != before
+        self.is_reader() != before
     }
 
     /// Processes a proof of contact by a node of `rank` that is `age` old. A node
     /// that took over yields once a node that ranks before it reads again.
     /// Returns whether the node stopped reading.
-    pub(crate) fn step_back(&mut self, rank: u32, age: Duration) -> bool {
-        let before = self.reads();
-        if rank < self.turn() && age < self.contact_bound {
+    pub(crate) fn yield_to(&mut self, rank: u32, age: Duration) -> bool {
+        let before = self.is_reader();
+        if rank < self.takeover_rank() && age < self.contact_bound {
             self.acting = false;
         }
-        self.reads() != before
+        self.is_reader() != before
     }
 }
--- a/crates/core/src/reader/tests.rs
+++ b/crates/core/src/reader/tests.rs
@@ -76,7 +76,7 @@
     let mut below_half = 0;
     for _ in 0..200 {
         let mut backoff = Backoff::new(Duration::from_millis(200), cap);
-        let waits: Vec<_> = (0..40).map(|_| backoff.fail(&mut rng)).collect();
+        let waits: Vec<_> = (0..40).map(|_| backoff.record_failure(&mut rng)).collect();
         assert!(waits[0] <= Duration::from_millis(200));
         longest = longest.max(*waits.iter().max().unwrap());
         below_half += usize::from(waits[39] < cap / 2);
@@ -100,16 +100,16 @@
         let mut rng = SmallRng::seed_from_u64(seed as u64);
         let mut budget = ReadBudget::new(&cfg, &mut rng, Tick::ZERO);
         if let Some(place) = &place {
-            budget.place(Tick::ZERO, place, READERS);
+            budget.set_placement(Tick::ZERO, place, READERS);
         }
         let mut now = start;
         loop {
-            now = budget.book(now);
+            now = budget.reserve(now);
             let second = usize::try_from(now.since(start).as_secs()).unwrap();
             if second >= reads.len() {
                 break;
             }
-            budget.take(now);
+            budget.consume(now);
             reads[second] += 1;
         }
     }
@@ -124,9 +124,9 @@
     let place = Placement {
         rank: Some(9),
         listed: true,
-        before: Vec::new(),
-        domains: 4,
-        fleet: 4_100,
+        higher_ranked: Vec::new(),
+        domain_count: 4,
+        fleet_size: 4_100,
     };
     for place in [None, Some(place)] {
         let reads = reads_by_second(fleet, Tick::from_millis(61_234), place);
@@ -142,9 +142,9 @@
     let place = Placement {
         rank: Some(1),
         listed: true,
-        before: Vec::new(),
-        domains: 4,
-        fleet: 4_100,
+        higher_ranked: Vec::new(),
+        domain_count: 4,
+        fleet_size: 4_100,
     };
     let reads = reads_by_second(8, Tick::from_millis(5_000), Some(place));
     assert!(
@@ -156,7 +156,7 @@
 fn role(list: &InstanceList, n: usize) -> ReaderRole {
     let mut rng = SmallRng::seed_from_u64(n as u64);
     let mut role = ReaderRole::new(&SpreadConfig::default(), &mut rng);
-    role.set_place(Placement::find(list, &id(n), &domain(n)));
+    role.set_placement(Placement::find(list, &id(n), &domain(n)));
     role
 }
 
@@ -185,8 +185,8 @@
     let reads = |n: &usize| {
         let mut rng = SmallRng::seed_from_u64(1);
         let mut role = ReaderRole::new(&cfg, &mut rng);
-        role.set_place(Placement::find(&all, &id(*n), &domain(*n)));
-        role.reads()
+        role.set_placement(Placement::find(&all, &id(*n), &domain(*n)));
+        role.is_reader()
     };
     assert_eq!((0..case.fleet).filter(reads).count(), case.expected);
 }
@@ -198,13 +198,13 @@
     roles.sort_by_key(ReaderRole::rank);
     let step = SpreadConfig::default().takeover_step;
     for pair in roles[2..].windows(2) {
-        assert!(pair[1].patience() >= pair[0].patience() + step);
+        assert!(pair[1].takeover_age() >= pair[0].takeover_age() + step);
     }
     assert!(roles[0].is_chosen() && roles[1].is_chosen() && !roles[2].is_chosen());
-    let takeover_age = roles[2].patience();
-    assert!(roles[2].step_in(takeover_age) && roles[2].reads());
-    assert!(!roles[3].step_in(takeover_age));
+    let takeover_age = roles[2].takeover_age();
+    assert!(roles[2].try_take_over(takeover_age) && roles[2].is_reader());
+    assert!(!roles[3].try_take_over(takeover_age));
     // It yields to a node that ranks before it, not to a node that ranks after it.
-    assert!(!roles[2].step_back(3, Duration::ZERO));
-    assert!(roles[2].step_back(1, Duration::ZERO) && !roles[2].reads());
+    assert!(!roles[2].yield_to(3, Duration::ZERO));
+    assert!(roles[2].yield_to(1, Duration::ZERO) && !roles[2].is_reader());
 }
--- a/crates/core/src/request/handed_over.rs
+++ b/crates/core/src/request/handed_over.rs
@@ -46,14 +46,14 @@
     /// assert!(NothingSent::by_count(512, 512).is_some());
     /// assert!(NothingSent::by_count(512, 513).is_none());
     /// ```
-    pub fn by_count(before: u64, after: u64) -> Option<NothingSent> {
+    pub fn from_byte_counts(before: u64, after: u64) -> Option<NothingSent> {
         (before == after).then_some(NothingSent(()))
     }
 }
 
 impl Request<HandedOver> {
     /// Records that the target began its answer.
-    pub fn answered(self) -> Request<Answered> {
+    pub fn begin_answer(self) -> Request<Answered> {
         let permit = self.state.permit;
         Request {
             class: self.class,
@@ -63,7 +63,7 @@
     }
 
     /// Refuses the request as not run, because the connection failed before it sent a byte.
-    pub fn take_back(self, now: Tick, proof: NothingSent) -> Refusal {
+    pub fn refuse_unsent(self, now: Tick, proof: NothingSent) -> Refusal {
         let NothingSent(()) = proof;
         self.state.permit.release(now);
         // INVARIANT: The proof shows that the target received nothing of the request.
@@ -73,14 +73,14 @@
     /// Refuses the request because the target answered that it did not run it.
     ///
     /// Call this only after reading such an answer to this same request.
-    pub fn declined(self, now: Tick, reason: Reason) -> Refusal {
+    pub fn refuse_by_target(self, now: Tick, reason: Reason) -> Refusal {
         self.state.permit.release(now);
         // INVARIANT: Only the target can state that it did not run the request, and it did.
         Refusal::not_run(Step::Forward, reason)
     }
 
     /// Ends the request without an answer; its outcome is unknown.
-    pub fn lost(self, now: Tick, cause: LossCause) -> Loss {
+    pub fn lose(self, now: Tick, cause: LossCause) -> Loss {
         self.state.permit.release(now);
         Loss::new(Step::Forward, cause)
     }
@@ -93,7 +93,7 @@
     }
 
     /// Ends the request after its answer was truncated, so that the caller must get an error.
-    pub fn cut(self, now: Tick, cause: LossCause) -> Loss {
+    pub fn cut_short(self, now: Tick, cause: LossCause) -> Loss {
         self.state.permit.release(now);
         Loss::new(Step::Forward, cause)
     }
--- a/crates/core/src/request/tests.rs
+++ b/crates/core/src/request/tests.rs
@@ -18,7 +18,7 @@
 fn admitted(admission: &Admission) -> Request<crate::Admitted> {
     let deadline = Deadline::within(NOW, Duration::from_millis(500));
     let request = Request::received(Class::Critical, deadline);
-    let offer = admission.request_slot(NOW, &request.ask(&LIMITS), || Box::new(drop));
+    let offer = admission.request_slot(NOW, &request.admission_request(&LIMITS), || Box::new(drop));
     let AdmissionDecision::Admitted(permit) = offer else {
         panic!("a slot is free");
     };
@@ -45,16 +45,16 @@
     admitted(&admission)
         .hand_over(NOW)
         .unwrap()
-        .answered()
+        .begin_answer()
         .finish(later);
     let sent = admitted(&admission).hand_over(NOW).unwrap();
     assert_eq!(
-        sent.lost(later, LossCause::Timeout).outcome(),
+        sent.lose(later, LossCause::Timeout).outcome(),
         Outcome::Unknown
     );
-    let answered = admitted(&admission).hand_over(NOW).unwrap().answered();
+    let answered = admitted(&admission).hand_over(NOW).unwrap().begin_answer();
     assert_eq!(
-        answered.cut(later, LossCause::AnswerCut).outcome(),
+        answered.cut_short(later, LossCause::AnswerCut).outcome(),
         Outcome::Unknown
     );
     drop(admitted(&admission).hand_over(NOW).unwrap());
--- a/crates/core/src/request/unsent.rs
+++ b/crates/core/src/request/unsent.rs
@@ -66,7 +66,7 @@
     }
 
     /// The input to admission, with the limits of the catalogue entry.
-    pub const fn ask<'a>(&self, limits: &'a Limits) -> AdmissionRequest<'a> {
+    pub const fn admission_request<'a>(&self, limits: &'a Limits) -> AdmissionRequest<'a> {
         AdmissionRequest {
             class: self.class,
             deadline: self.deadline,
--- a/crates/core/src/retry/retry_state.rs
+++ b/crates/core/src/retry/retry_state.rs
@@ -142,7 +142,7 @@
         }
         match (failure, self.attempt) {
             (Failure::Refused(refusal), Some(Attempt::MayRepeat)) => {
-                Failure::Refused(refusal.of_repeat())
+                Failure::Refused(refusal.for_keyed_retry())
             }
             (failure, _) => failure,
         }
--- a/crates/core/src/route/meters.rs
+++ b/crates/core/src/route/meters.rs
@@ -67,7 +67,7 @@
     fn update_target(&mut self, instance: &Instance, now: Tick) {
         let generation = instance.target.as_ref();
         let replaced =
-            generation.is_some_and(|generation| generation.replaces(&mut self.generation));
+            generation.is_some_and(|generation| generation.replace_held(&mut self.generation));
         if replaced {
             self.meter.reset(now);
         }
--- a/crates/core/src/route/picker.rs
+++ b/crates/core/src/route/picker.rs
@@ -135,7 +135,7 @@
             .or_else(|| self.best_by_tier(&view.candidates, now, open, rng));
         match found {
             Some(candidate) => Ok(self.count_pick(view, candidate, now)),
-            None => Err(refusal.after(self.time_until_open(view, now))),
+            None => Err(refusal.with_retry_after(self.time_until_open(view, now))),
         }
     }
 
--- a/crates/core/src/route/tests/choice.rs
+++ b/crates/core/src/route/tests/choice.rs
@@ -247,8 +247,8 @@
 fn ejection_ends_with_new_generation_of_target(#[case] born: u64, #[case] open: bool) {
     let generation = |born| TargetGeneration {
         id: TargetId::new("t-1").unwrap(),
-        listed_at: born,
-        born: Some(born),
+        listed_revision: born,
+        started_ms: Some(born),
     };
     let listed = |born| {
         let mut all = near(&["a", "b", "c"]);
--- a/crates/core/src/snapshot/index.rs
+++ b/crates/core/src/snapshot/index.rs
@@ -179,7 +179,7 @@
 
     /// Whether the target of an instance receives new requests: it isn't leaving, and
     /// its failure domain isn't evacuated.
-    pub fn takes_work(&self, instance: &Instance) -> bool {
+    pub fn accepts_new_work(&self, instance: &Instance) -> bool {
         instance.state == InstanceState::Live && !self.is_evacuated(&instance.domain)
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// The limits on requests and connections of callers.
-    pub fn callers(&self) -> &CallerLimits {
+    pub fn caller_limits(&self) -> &CallerLimits {
         &self.caller_limits
     }
 }
--- a/crates/core/src/snapshot/route.rs
+++ b/crates/core/src/snapshot/route.rs
@@ -30,7 +30,7 @@
     ///
     /// Each request is drawn independently, so that the shares hold at every node
     /// without data about the requests of other nodes.
-    pub fn choose(&self, draw: u64) -> ServiceKey {
+    pub fn choose_service(&self, draw: u64) -> ServiceKey {
         let total: u64 = self.split.iter().map(|share| u64::from(share.weight)).sum();
         if total == 0 {
             return self.service;
--- a/crates/core/src/spread/body.rs
+++ b/crates/core/src/spread/body.rs
@@ -81,11 +81,11 @@
     /// Fails if the body is too large or can't be decoded, if it is a delta
     /// from another base, or if the result doesn't have the digest of its
     /// version.
-    pub fn open<T: Item>(&self, held: Option<&Document<T>>) -> Result<Document<T>> {
+    pub fn apply_to<T: Item>(&self, held: Option<&Document<T>>) -> Result<Document<T>> {
         check_size(self.bytes.len())?;
         let Some(base) = self.base else {
             let items: Vec<T> = decode(&self.bytes)?;
-            return Document::new(self.version.revision(), items)?.checked(self.version);
+            return Document::new(self.version.revision(), items)?.verify_version(self.version);
         };
         let Some(held) = held else {
             let reason = format!("delta from {base}, but no version is held");
--- a/crates/core/src/spread/history.rs
+++ b/crates/core/src/spread/history.rs
@@ -79,7 +79,7 @@
     /// The body that leads from `base` to the held document: a delta if the
     /// history reaches back to `base` and the delta puts at most half of the
     /// items, else the full document.
-    pub(super) fn body(&mut self, base: Option<Version>, held: &Document<T>) -> Result<Body> {
+    pub(super) fn body_since(&mut self, base: Option<Version>, held: &Document<T>) -> Result<Body> {
         if let Some(found) = self.cached.iter().find(|body| body.base == base) {
             return Ok(found.clone());
         }
--- a/crates/core/src/spread/list_proof.rs
+++ b/crates/core/src/spread/list_proof.rs
@@ -44,7 +44,7 @@
     /// The platform made the answer at an unknown time since then, and the
     /// answer may have waited in a buffer. Only the start of the read is
     /// certain to precede it.
-    pub(super) fn prove(&mut self, read_started: Tick, revision: Revision) {
+    pub(super) fn record_source_answer(&mut self, read_started: Tick, revision: Revision) {
         self.note(Proof {
             revision,
             at_us: micros(read_started),
@@ -52,7 +52,7 @@
     }
 
     /// Records the proof in a peer's reply to a call sent at `sent_at`.
-    pub(super) fn merge(&mut self, sent_at: Tick, proof: Option<ListProof>) {
+    pub(super) fn record_peer_proof(&mut self, sent_at: Tick, proof: Option<ListProof>) {
         if let Some(proof) = proof {
             self.note(Proof {
                 revision: proof.revision,
--- a/crates/core/src/spread/machine.rs
+++ b/crates/core/src/spread/machine.rs
@@ -197,17 +197,17 @@
         };
         SpreadStatus {
             joined: matches!(self.join_state, JoinState::Joined(_)),
-            reading: self.role.reads(),
+            reading: self.role.is_reader(),
             rank: self.role.rank(),
             held,
-            heard: crate::Heads {
+            advertised: crate::Heads {
                 catalogue: advertised(Stream::Catalogue),
                 instances: advertised(Stream::Instances),
             },
             refused: self.store.last_refused(),
             peers: self.peers.len(),
             source_age: self.contact.age(now),
-            list: self.list_proof.current(now),
+            list_proof: self.list_proof.current(now),
             conflicts: self.store.conflicts(),
             refusals: self.store.refusals(),
             reads: self.reads.iter().map(SourceReads::read_count).sum(),
--- a/crates/core/src/spread/machine/answer.rs
+++ b/crates/core/src/spread/machine/answer.rs
@@ -64,9 +64,9 @@
         let peer = self.address(from, sync.control);
         self.merge_contact(now, sync.contact, out);
         self.merge_heads(now, sync.heads, &peer, out);
-        let buckets = match self.members.root() == sync.states {
+        let buckets = match self.members.root_digest() == sync.states {
             true => Vec::new(),
-            false => self.members.digests(),
+            false => self.members.bucket_digests(),
         };
         PeerReply::Sync(SyncReply {
             from: self.local.id.clone(),
@@ -104,7 +104,7 @@
         reconcile: &Reconcile,
         out: &mut Vec<Action>,
     ) -> PeerReply {
-        let own_states = self.members.in_buckets(reconcile.buckets);
+        let own_states = self.members.records_in_buckets(reconcile.buckets);
         let is_lacking = |state: &crate::EndpointState| {
             let found = reconcile
                 .states
--- a/crates/core/src/spread/machine/join.rs
+++ b/crates/core/src/spread/machine/join.rs
@@ -188,7 +188,7 @@
         // either may fail.
         unlisted.retain(|peer| *origin == Origin::Source || next_by_id.as_ref() == Some(peer));
         self.gossip.unlisted = unlisted;
-        self.members.relist(now, &held);
+        self.members.apply_list(now, &held);
         self.members.merge(now, &self.own_state, Some(&held));
         self.update_place(now, out);
         if self.is_unlisted_or_unranked() {
--- a/crates/core/src/spread/machine/pull.rs
+++ b/crates/core/src/spread/machine/pull.rs
@@ -123,10 +123,10 @@
         let origin = Origin::Peer(from.clone());
         let applied = match stream {
             Stream::Catalogue => body
-                .open(self.store.catalogue().map(Arc::as_ref))
+                .apply_to(self.store.catalogue().map(Arc::as_ref))
                 .map(|offered| self.offer_catalogue(now, offered, &origin, out)),
             Stream::Instances => body
-                .open(self.store.instances().map(Arc::as_ref))
+                .apply_to(self.store.instances().map(Arc::as_ref))
                 .map(|offered| self.offer_instances(now, offered, &origin, out)),
         };
         if let Err(cause) = applied {
@@ -157,8 +157,10 @@
         base: Option<crate::Version>,
     ) -> Option<Body> {
         let encoded = match stream {
-            Stream::Catalogue => self.catalogue_history.body(base, self.store.catalogue()?),
-            Stream::Instances => self.list_history.body(base, self.store.instances()?),
+            Stream::Catalogue => self
+                .catalogue_history
+                .body_since(base, self.store.catalogue()?),
+            Stream::Instances => self.list_history.body_since(base, self.store.instances()?),
         };
         encoded.ok()
     }
--- a/crates/core/src/spread/machine/read.rs
+++ b/crates/core/src/spread/machine/read.rs
@@ -30,21 +30,21 @@
     /// Decides whether this node reads, and starts the reads that are due.
     pub(super) fn start_due_reads(&mut self, now: Tick, out: &mut Vec<Action>) {
         let age = self.contact_age(now);
-        if self.role.step_in(age) {
+        if self.role.try_take_over(age) {
             self.audit_reading(out);
         }
         for stream in Stream::ALL {
             self.fail_overdue_read(now, stream);
         }
         while let Some(stream) = self.next_due_stream(now) {
-            if self.budget.book(now) > now {
+            if self.budget.reserve(now) > now {
                 return;
             }
-            self.budget.take(now);
+            self.budget.consume(now);
             let check = self.check_policy();
             self.reads[stream as usize].start_read(now, &self.store, check, &mut self.rng, out);
         }
-        self.budget.cancel();
+        self.budget.cancel_reservation();
     }
 
     /// When this node checks that the platform answers.
@@ -73,7 +73,7 @@
             return None;
         }
         let due = self.reads[stream as usize].due()?;
-        match self.budget.booked() {
+        match self.budget.reserved_at() {
             Some(moment) if due <= now => Some(moment),
             _ => Some(due),
         }
@@ -81,7 +81,7 @@
 
     /// Whether this node reads a stream: as a reader, or to join.
     fn needs_read(&self, now: Tick, stream: Stream) -> bool {
-        if self.role.reads() || self.has_no_peers() {
+        if self.role.is_reader() || self.has_no_peers() {
             return true;
         }
         if self.is_unlisted_or_unranked() && !self.sync_replaces_read(now) {
@@ -126,7 +126,7 @@
     /// has no rank.
     pub(super) fn is_unlisted_or_unranked(&self) -> bool {
         let place = self.role.place();
-        place.is_some_and(|it| !it.listed || (it.rank.is_none() && self.role.all_read()))
+        place.is_some_and(|it| !it.listed || (it.rank.is_none() && self.role.every_node_reads()))
     }
 
     /// Whether a recent comparison with a peer makes reads of the platform
@@ -138,7 +138,8 @@
     /// add a hop.
     fn sync_replaces_read(&self, now: Tick) -> bool {
         let replied_at = self.gossip.last_sync_reply;
-        !self.role.all_read() && replied_at.is_some_and(|at| now.since(at) < MAX_SYNC_REPLY_AGE)
+        !self.role.every_node_reads()
+            && replied_at.is_some_and(|at| now.since(at) < MAX_SYNC_REPLY_AGE)
     }
 
     /// The age of the newest proof of contact, counted from this node's start
@@ -151,7 +152,7 @@
     /// Whether the newest proof of contact that this node has is recent.
     pub(super) fn has_recent_contact(&self, now: Tick) -> bool {
         let age = self.contact.age(now);
-        age.is_some_and(|age| age < self.role.usual_age())
+        age.is_some_and(|age| age < self.role.max_healthy_age())
     }
 
     pub(super) fn handle_source_result(
@@ -204,13 +205,13 @@
             }
             SourceResult::Unchanged { newest } => self.note_unchanged(now, stream, newest, out),
             SourceResult::NothingPublished => {
-                self.contact.prove(now, self.role.turn());
+                self.contact.prove(now, self.role.takeover_rank());
                 self.reads[stream as usize].note_nothing_published(now, &mut self.rng);
             }
             SourceResult::Busy { retry_after } => {
                 // The platform answered: a takeover by other nodes would only
                 // add load.
-                self.contact.prove(now, self.role.turn());
+                self.contact.prove(now, self.role.takeover_rank());
                 let wait = retry_after.unwrap_or_default();
                 self.reads[stream as usize].fail(now, wait, &mut self.rng);
             }
@@ -264,12 +265,12 @@
         };
         let read_started = self.reads[stream as usize].newest_read_started();
         if let (Some(read_started), Some(newest)) = (read_started, newest) {
-            self.list_proof.prove(read_started, newest);
+            self.list_proof.record_source_answer(read_started, newest);
         }
     }
 
     fn note_source_answer(&mut self, now: Tick, stream: Stream, seen: Option<Revision>) {
-        self.contact.prove(now, self.role.turn());
+        self.contact.prove(now, self.role.takeover_rank());
         self.reads[stream as usize].succeed(now, seen);
     }
 
@@ -364,19 +365,20 @@
             return;
         };
         let place = Placement::find(list, &self.local.id, &self.local.domain);
-        let before = self.role.reads();
+        let before = self.role.is_reader();
         self.was_listed |= place.listed;
-        self.role.set_place(place.clone());
-        self.budget.place(now, &place, self.role.readers());
-        if self.role.reads() != before {
+        self.role.set_placement(place.clone());
+        self.budget
+            .set_placement(now, &place, self.role.readers_in_domain());
+        if self.role.is_reader() != before {
             self.audit_reading(out);
         }
     }
 
     pub(super) fn audit_reading(&self, out: &mut Vec<Action>) {
         out.push(Action::Audit(AuditEvent::Reading {
-            reading: self.role.reads(),
-            rank: self.role.turn(),
+            reading: self.role.is_reader(),
+            rank: self.role.takeover_rank(),
         }));
     }
 }
--- a/crates/core/src/spread/machine/sync.rs
+++ b/crates/core/src/spread/machine/sync.rs
@@ -34,7 +34,7 @@
         if self.gossip.next_sync > now {
             return;
         }
-        self.members.forget(now);
+        self.members.expire_unlisted(now);
         self.expire_reports(now, out);
         if let JoinState::Joining(_) = self.join_state {
             self.send_join_syncs(now, out);
@@ -66,7 +66,7 @@
             control: self.local.control,
             heads: self.store.heads(),
             contact: self.contact.current(now),
-            states: self.members.root(),
+            states: self.members.root_digest(),
             reports: self.reports.root(),
         });
         self.calls.send(now, to, Purpose::Sync, message, out);
@@ -77,9 +77,12 @@
     /// reads.
     pub(super) fn pick_sync_peer(&mut self, now: Tick) -> Option<Address> {
         if self.role.is_backup() && self.gossip.sync_count.is_multiple_of(2) {
-            let before = self.role.place().map(|place| place.before.as_slice());
+            let before = self
+                .role
+                .place()
+                .map(|place| place.higher_ranked.as_slice());
             let turn = usize::try_from(self.gossip.sync_count / 2).unwrap_or(0);
-            let readers = usize::try_from(self.role.readers()).unwrap_or(1);
+            let readers = usize::try_from(self.role.readers_in_domain()).unwrap_or(1);
             let reader = before.and_then(|before| before.get(turn % readers));
             if let Some(address) = reader.and_then(|id| self.peers.find(id)) {
                 return Some(address);
@@ -108,7 +111,8 @@
                 self.merge_heads(now, heads, &pending.to, out);
             }
             (Purpose::Sync, PeerReply::Sync(reply)) => {
-                self.list_proof.merge(pending.sent_at, reply.list);
+                self.list_proof
+                    .record_peer_proof(pending.sent_at, reply.list);
                 self.handle_sync_reply(now, &pending.to, &reply, out);
             }
             (Purpose::Pull(stream), PeerReply::Body(body)) => {
@@ -150,10 +154,14 @@
         self.end_quiet_if_up_to_date();
         let differing = match reply.buckets.is_empty() {
             true => 0,
-            false => self.members.differing(&reply.buckets),
+            false => self.members.differing_buckets(&reply.buckets),
         };
         if differing != 0 {
-            let states = self.members.in_buckets(differing).cloned().collect();
+            let states = self
+                .members
+                .records_in_buckets(differing)
+                .cloned()
+                .collect();
             let message = PeerMessage::Reconcile(Reconcile {
                 buckets: differing,
                 states,
@@ -188,7 +196,7 @@
         self.contact.merge(now, proof);
         if let Some(proof) = proof {
             let age = std::time::Duration::from_millis(u64::from(proof.age_ms));
-            if self.role.step_back(proof.rank, age) {
+            if self.role.yield_to(proof.rank, age) {
                 self.audit_reading(out);
             }
         }
--- a/crates/core/src/spread/machine/wakeup.rs
+++ b/crates/core/src/spread/machine/wakeup.rs
@@ -36,10 +36,13 @@
 
     /// When this node takes over as a reader.
     fn takeover_due(&self, now: Tick) -> Option<Tick> {
-        if self.role.reads() || self.role.place().is_none() {
+        if self.role.is_reader() || self.role.place().is_none() {
             return None;
         }
-        let left = self.role.patience().saturating_sub(self.contact_age(now));
+        let left = self
+            .role
+            .takeover_age()
+            .saturating_sub(self.contact_age(now));
         Some(now + left)
     }
 
--- a/crates/core/src/spread/naive.rs
+++ b/crates/core/src/spread/naive.rs
@@ -170,7 +170,7 @@
             joined: self.joined,
             reading: true,
             held: self.store.heads(),
-            heard: self.store.heads(),
+            advertised: self.store.heads(),
             refused: self.store.last_refused(),
             conflicts: self.store.conflicts(),
             refusals: self.store.refusals(),
--- a/crates/core/src/spread/source_reads.rs
+++ b/crates/core/src/spread/source_reads.rs
@@ -286,14 +286,17 @@
         };
         self.answered = true;
         self.newest_seen = self.newest_seen.max(seen);
-        self.backoff.succeed();
+        self.backoff.record_success();
     }
 
     /// Records that the read failed. The next read waits at least `at_least`,
     /// and the rest of a backoff that counts from the start of the failed read:
     /// while that read had no answer, it put no further load on the platform.
     pub(super) fn fail(&mut self, now: Tick, at_least: Duration, rng: &mut SmallRng) {
-        let wait = self.backoff.fail(rng).saturating_sub(self.elapsed(now));
+        let wait = self
+            .backoff
+            .record_failure(rng)
+            .saturating_sub(self.elapsed(now));
         self.outdated = false;
         self.in_flight_since = None;
         self.last_read = LastRead::Failure;
--- a/crates/core/src/spread/status.rs
+++ b/crates/core/src/spread/status.rs
@@ -18,7 +18,7 @@
     /// The versions that it holds.
     pub held: Heads,
     /// The newest advertised versions.
-    pub heard: Heads,
+    pub advertised: Heads,
     /// The version that it refused last.
     pub refused: Option<Version>,
     /// Number of listed peers.
@@ -26,7 +26,7 @@
     /// Age of the newest proof of contact of any node with the platform.
     pub source_age: Option<Duration>,
     /// Its newest proof that nothing newer than a list was published.
-    pub list: Option<ListProof>,
+    pub list_proof: Option<ListProof>,
     /// Number of conflicts so far.
     pub conflicts: u64,
     /// Number of refused versions so far.
--- a/crates/core/src/spread/tests/components.rs
+++ b/crates/core/src/spread/tests/components.rs
@@ -44,9 +44,9 @@
     }
     let newest = large_catalogue(50, 10);
     let base = large_catalogue(50, case.base);
-    let body = history.body(Some(base.version()), &newest).unwrap();
+    let body = history.body_since(Some(base.version()), &newest).unwrap();
     assert_eq!(body.base.is_some(), case.delta, "{case:?}");
-    let opened = body.open(Some(&base)).unwrap();
+    let opened = body.apply_to(Some(&base)).unwrap();
     assert_eq!(opened.version(), newest.version());
 }
 
@@ -55,7 +55,7 @@
     let mut history = History::new(Stream::Catalogue, 100, 10);
     history.advance(Some(&large_catalogue(50, 1)), &large_catalogue(50, 2));
     history.advance(Some(&large_catalogue(50, 2)), &large_catalogue(50, 3));
-    let body = history.body(
+    let body = history.body_since(
         Some(large_catalogue(50, 1).version()),
         &large_catalogue(50, 3),
     );
@@ -71,9 +71,9 @@
         catalogue_at(1).delta_to(&catalogue_at(2)),
     )
     .unwrap();
-    assert!(body.open(Some(&catalogue_at(1))).is_ok());
-    assert!(body.open(Some(&catalogue_at(2))).is_err());
-    assert!(body.open::<crate::CatalogueItem>(None).is_err());
+    assert!(body.apply_to(Some(&catalogue_at(1))).is_ok());
+    assert!(body.apply_to(Some(&catalogue_at(2))).is_err());
+    assert!(body.apply_to::<crate::CatalogueItem>(None).is_err());
 }
 
 #[test]
@@ -86,7 +86,7 @@
             bytes: bytes.into(),
             ..body.clone()
         };
-        let opened = damaged.open::<crate::CatalogueItem>(None);
+        let opened = damaged.apply_to::<crate::CatalogueItem>(None);
         assert!(opened.is_err(), "byte {n}");
     }
 }
--- a/crates/core/src/spread/tests/list_proofs.rs
+++ b/crates/core/src/spread/tests/list_proofs.rs
@@ -42,7 +42,7 @@
 fn assert_proofs(net: &Net, published: &Publications) -> Duration {
     let mut oldest = Duration::ZERO;
     for node in net.running() {
-        let Some(proof) = node.machine.status(net.now).list else {
+        let Some(proof) = node.machine.status(net.now).list_proof else {
             continue;
         };
         let at = micros(net.now) - i64::from(proof.age_ms) * 1_000;
@@ -123,14 +123,14 @@
     };
     let mut clock = NewestListProof::default();
     assert_eq!(clock.current(Tick::ZERO), None);
-    clock.merge(Tick::from_millis(10_000), proof(4, 3_000));
+    clock.record_peer_proof(Tick::from_millis(10_000), proof(4, 3_000));
     let now = Tick::from_millis(20_000);
     assert_eq!(clock.current(now), proof(4, 13_001));
-    clock.prove(Tick::from_millis(9_000), Revision::new(3).unwrap());
+    clock.record_source_answer(Tick::from_millis(9_000), Revision::new(3).unwrap());
     assert_eq!(clock.current(now), proof(4, 13_001), "of an older list");
-    clock.prove(Tick::from_millis(5_000), Revision::new(5).unwrap());
+    clock.record_source_answer(Tick::from_millis(5_000), Revision::new(5).unwrap());
     assert_eq!(clock.current(now), proof(5, 15_001), "of a newer list");
-    clock.merge(Tick::ZERO, proof(5, 60_000));
+    clock.record_peer_proof(Tick::ZERO, proof(5, 60_000));
     assert_eq!(
         clock.current(now),
         proof(5, 15_001),
--- a/crates/core/src/version/digest.rs
+++ b/crates/core/src/version/digest.rs
@@ -58,7 +58,7 @@
     }
 
     /// The first eight bytes as a number, for uses that don't need all sixteen.
-    pub(crate) fn head(&self) -> u64 {
+    pub(crate) fn prefix_u64(&self) -> u64 {
         let [a, b, c, d, e, f, g, h, ..] = self.0;
         u64::from_le_bytes([a, b, c, d, e, f, g, h])
     }
--- a/crates/core/tests/requests/sim/calls.rs
+++ b/crates/core/tests/requests/sim/calls.rs
@@ -119,7 +119,7 @@
         let waker = move || -> sassafrasspool_core::Waker {
             Box::new(move |verdict| wakes.lock().unwrap().push((id, verdict)))
         };
-        let ask = request.ask(&self.limits);
+        let ask = request.admission_request(&self.limits);
         match endpoint.admission.request_slot(self.now, &ask, waker) {
             AdmissionDecision::Admitted(permit) => self.hand_over(id, request, permit),
             AdmissionDecision::Queued(queued) => {
@@ -219,7 +219,7 @@
             return;
         }
         if let Some((request, pass)) = running {
-            request.answered().finish(self.now);
+            request.begin_answer().finish(self.now);
             drop(pass);
         }
         let target = endpoint.instance.id.clone();
--- a/crates/core/tests/requests/sim/faults.rs
+++ b/crates/core/tests/requests/sim/faults.rs
@@ -107,7 +107,7 @@
             let call = self.calls.get_mut(&id).unwrap();
             call.queued = None;
             if let Some((request, _)) = call.running.take() {
-                let _ = request.lost(self.now, LossCause::ConnectionLost);
+                let _ = request.lose(self.now, LossCause::ConnectionLost);
             }
             let loss = Loss::new(Step::Forward, LossCause::ConnectionLost);
             self.fail_attempt(id, loss.into(), AttemptOutcome::Failed);
--- a/crates/node/src/admin/answers.rs
+++ b/crates/node/src/admin/answers.rs
@@ -75,7 +75,7 @@
     Versions {
         instance: admin.settings.instance.clone(),
         held: in_force(admin),
-        heard: heads(&spread.heard),
+        heard: heads(&spread.advertised),
         refused: spread.refused.map(Into::into),
         refusals: spread.refusals,
         conflicts: spread.conflicts,
--- a/crates/node/src/control/machine.rs
+++ b/crates/node/src/control/machine.rs
@@ -159,7 +159,7 @@
             let reached = Tick::ZERO + since_start;
             self.outside.shared.contact().note(reached);
         }
-        if let Some(heard) = status.heard.catalogue {
+        if let Some(heard) = status.advertised.catalogue {
             self.outside.shared.heard().note(now, heard.revision());
         }
         self.prove_instances(now, &status);
@@ -170,7 +170,7 @@
     /// The age of the contact with the platform would not do: it is renewed by
     /// answers that say nothing of the list.
     fn prove_instances(&self, now: Tick, status: &SpreadStatus) {
-        let Some(proof) = status.list else {
+        let Some(proof) = status.list_proof else {
             return;
         };
         let age = Duration::from_millis(proof.age_ms.into());
--- a/crates/node/src/control/probe/tests.rs
+++ b/crates/node/src/control/probe/tests.rs
@@ -62,8 +62,8 @@
     let instance = Instance {
         target: Some(TargetGeneration {
             id: TargetId::new("i-1").expect("a name"),
-            listed_at: 1,
-            born: None,
+            listed_revision: 1,
+            started_ms: None,
         }),
         ..instance("wd-1")
     };
--- a/crates/node/src/shared/coldness.rs
+++ b/crates/node/src/shared/coldness.rs
@@ -34,10 +34,10 @@
         let instance = &endpoint.instance;
         self.change(|state| {
             if let Some(life) = &instance.target {
-                state.follow_list(now, start, life, instance.cold_for);
+                state.update_from_list(now, start, life, instance.cold_for);
             }
             let evacuated = routes.view.snapshot.is_evacuated(&instance.domain);
-            state.follow_evacuation(now, start, evacuated);
+            state.update_evacuation(now, start, evacuated);
         });
     }
 
@@ -52,16 +52,16 @@
         let start = start?;
         let until = self.change(|state| {
             if let Some(life) = life {
-                state.follow_request(now, start, life);
+                state.record_requested_generation(now, start, life);
             }
-            state.until()
+            state.cold_until()
         });
         (now < until).then(|| tolerance.limit(start.per_s, until))
     }
 
     /// For how much longer the target is cold, as far as is known.
     pub(crate) fn left(&self, now: Tick) -> Duration {
-        self.lock().until().since(now)
+        self.lock().cold_until().since(now)
     }
 
     /// Waits until the target may be warm earlier than is known.
@@ -72,19 +72,19 @@
     /// Whether that is still so.
     pub(crate) fn is_unproved(&self, now: Tick) -> bool {
         let state = self.lock();
-        state.is_unproved() && now < state.until()
+        state.is_unconfirmed() && now < state.cold_until()
     }
 
     /// Takes over what the target said.
     pub(crate) fn probed(&self, now: Tick, left: Duration) {
-        self.lock().probed(now, left);
+        self.lock().record_probe(now, left);
     }
 
     fn change<T>(&self, change: impl FnOnce(&mut ColdTracker) -> T) -> T {
         let mut state = self.lock();
-        let before = state.is_unproved();
+        let before = state.is_unconfirmed();
         let result = change(&mut state);
-        if state.is_unproved() && !before {
+        if state.is_unconfirmed() && !before {
             self.unproved.notify_one();
         }
         result
--- a/crates/node/src/traffic/hub.rs
+++ b/crates/node/src/traffic/hub.rs
@@ -125,7 +125,7 @@
         if self.own_life.follow(listed) {
             tracing::info!(
                 target = listed.id.as_str(),
-                born = listed.born,
+                born = listed.started_ms,
                 "the own target started anew"
             );
             self.pool.clear();
@@ -145,7 +145,7 @@
         };
         let quarantine = self.shared.quarantine();
         let left = quarantine.entered(self.shared.clock(), content).await;
-        Refusal::not_run(step, Reason::Quarantined).after(left)
+        Refusal::not_run(step, Reason::Quarantined).with_retry_after(left)
     }
 
     /// Lets a request pass unless targets crash under it.
@@ -159,7 +159,7 @@
         content: Option<&Content>,
     ) -> std::result::Result<(), Refusal> {
         match self.quarantined_for(content) {
-            Some(left) => Err(Refusal::not_run(step, Reason::Quarantined).after(left)),
+            Some(left) => Err(Refusal::not_run(step, Reason::Quarantined).with_retry_after(left)),
             None => Ok(()),
         }
     }
--- a/crates/node/src/traffic/inbound/admission/tests.rs
+++ b/crates/node/src/traffic/inbound/admission/tests.rs
@@ -35,7 +35,7 @@
     let clock = Clock::start();
     let deadline = Deadline::within(clock.now(), LIMITS.deadline);
     let stage = Request::received(Class::Standard, deadline);
-    let ask = stage.ask(&LIMITS);
+    let ask = stage.admission_request(&LIMITS);
     let offer = admission.request_slot(clock.now(), &ask, || Box::new(drop));
     let AdmissionDecision::Admitted(_running) = offer else {
         panic!("the slot is free");
--- a/crates/node/src/traffic/inbound/body_intake.rs
+++ b/crates/node/src/traffic/inbound/body_intake.rs
@@ -40,7 +40,7 @@
     /// Refuses it as not run, and says when to come back.
     pub(in crate::traffic) fn enter(&self) -> Result<SemaphorePermit<'_>, Refusal> {
         let turn = self.0.try_acquire();
-        turn.map_err(|_| refuse(Reason::QueueFull).after(COME_BACK))
+        turn.map_err(|_| refuse(Reason::QueueFull).with_retry_after(COME_BACK))
     }
 }
 
--- a/crates/node/src/traffic/inbound/exchange.rs
+++ b/crates/node/src/traffic/inbound/exchange.rs
@@ -116,7 +116,7 @@
             }
             Ok(Err(target::Failure::NotSent(err, proof, unsent))) => {
                 tracing::debug!(%err, "not handed over");
-                let refusal = self.stage.take_back(clock.now(), proof);
+                let refusal = self.stage.refuse_unsent(clock.now(), proof);
                 let failure = take_back(self.running, refusal).into();
                 Err(Missed { failure, unsent })
             }
@@ -169,7 +169,10 @@
         };
         let now = self.hub.shared.clock().now();
         let wait = self.hub.admission.expected_wait(self.stage.class());
-        let refusal = self.stage.declined(now, reason).after(wait);
+        let refusal = self
+            .stage
+            .refuse_by_target(now, reason)
+            .with_retry_after(wait);
         Err(take_back(self.running, refusal).into())
     }
 
@@ -185,7 +188,7 @@
 
     fn answered(self, res: Response<TargetBody>) -> Response<Answer> {
         let clock = *self.hub.shared.clock();
-        let stage = self.stage.answered();
+        let stage = self.stage.begin_answer();
         let mut watched = self.watched;
         if let Some(watched) = &mut watched {
             watched.begins_answer(res.status());
@@ -205,7 +208,7 @@
         if let Some(running) = self.running {
             running.mark_unknown(now);
         }
-        self.stage.lost(now, cause).into()
+        self.stage.lose(now, cause).into()
     }
 }
 
--- a/crates/node/src/traffic/inbound/forward.rs
+++ b/crates/node/src/traffic/inbound/forward.rs
@@ -77,7 +77,7 @@
             kind: self.kind.as_ref(),
             soft_deadline: self.aim,
             last_resort: self.settles,
-            ..Stage::received(class, self.deadline).ask(limits)
+            ..Stage::received(class, self.deadline).admission_request(limits)
         }
     }
 }
--- a/crates/node/src/traffic/inbound/hand_over.rs
+++ b/crates/node/src/traffic/inbound/hand_over.rs
@@ -97,7 +97,7 @@
             // Targets crashed under it while it waited for its slot.
             let now = hub.shared.clock().now();
             let refusal = stage.refuse(now, Step::Admission, Reason::Quarantined);
-            return Err(Missed::unsent(refusal.after(left), self.req));
+            return Err(Missed::unsent(refusal.with_retry_after(left), self.req));
         }
         match target::take(&hub.pool, self.worker.index).await {
             Ok(conn) => self.hand_over(stage, conn).await,
--- a/crates/node/src/traffic/inbound/peer_side.rs
+++ b/crates/node/src/traffic/inbound/peer_side.rs
@@ -58,7 +58,7 @@
         return Ok(Response::new(Answer::text("")));
     }
     let (parts, body) = req.into_parts();
-    let bound = routes.view.snapshot.callers().body_bytes;
+    let bound = routes.view.snapshot.caller_limits().body_bytes;
     let Ok(body) = Payload::stream(body).bounded(bound) else {
         return Err(refuse(Reason::TooLarge).into());
     };
--- a/crates/node/src/traffic/keyed.rs
+++ b/crates/node/src/traffic/keyed.rs
@@ -57,7 +57,7 @@
     };
     let unknown = Refusal::unknown(refusal.step(), refusal.reason());
     match refusal.retry_after() {
-        Some(wait) => unknown.after(wait).into(),
+        Some(wait) => unknown.with_retry_after(wait).into(),
         None => unknown.into(),
     }
 }
--- a/crates/node/src/traffic/listener/serve/caller.rs
+++ b/crates/node/src/traffic/listener/serve/caller.rs
@@ -64,7 +64,7 @@
 fn limits(hub: &Hub) -> CallerLimits {
     let routes = hub.shared.routes();
     routes.map_or_else(CallerLimits::default, |routes| {
-        *routes.view.snapshot.callers()
+        *routes.view.snapshot.caller_limits()
     })
 }
 
--- a/crates/node/src/traffic/outbound/caller_side.rs
+++ b/crates/node/src/traffic/outbound/caller_side.rs
@@ -128,7 +128,7 @@
     head::strip_own(req.headers_mut());
     let first = FirstHop::new(worker, side, routes, &req)?;
     let (parts, body) = req.into_parts();
-    let bound = routes.view.snapshot.callers().body_bytes;
+    let bound = routes.view.snapshot.caller_limits().body_bytes;
     let Ok(body) = body.bounded(bound) else {
         return Err(refuse(Reason::TooLarge));
     };
--- a/crates/node/src/traffic/outbound/departed.rs
+++ b/crates/node/src/traffic/outbound/departed.rs
@@ -34,7 +34,7 @@
     let Some(now) = found.and_then(|key| newest.endpoint(key)) else {
         return false;
     };
-    newest.takes_work(&now.instance) && is_same_target(&now.instance, instance)
+    newest.accepts_new_work(&now.instance) && is_same_target(&now.instance, instance)
 }
 
 /// Whether both name one start of one target, where starts are told apart.
--- a/crates/node/src/traffic/outbound/first_hop.rs
+++ b/crates/node/src/traffic/outbound/first_hop.rs
@@ -78,7 +78,7 @@
         let no_route = || refuse(Reason::NoRoute);
         let route = snapshot.match_route(head::host(req), req.uri().path());
         let route = route.ok_or_else(no_route)?;
-        let to = route.choose(rand::rng().next_u64());
+        let to = route.choose_service(rand::rng().next_u64());
         let service = snapshot.service(to).ok_or_else(no_route)?;
         let budget = routes.picker.budget(to);
         let keyed = match route.route.idempotent {
--- a/crates/node/src/traffic/outbound/patience.rs
+++ b/crates/node/src/traffic/outbound/patience.rs
@@ -30,7 +30,7 @@
         let Some(patience) = held.get_mut(kind) else {
             return Duration::ZERO;
         };
-        patience.note(wait);
-        patience.since_first(wait)
+        patience.record(wait);
+        patience.time_since_first_attempt(wait)
     }
 }
--- a/crates/node/src/traffic/refusal.rs
+++ b/crates/node/src/traffic/refusal.rs
@@ -124,7 +124,7 @@
     let after = text(headers, &header::RETRY_AFTER).and_then(|secs| secs.parse().ok());
     let after = after.and_then(|secs| Duration::try_from_secs_f64(secs).ok());
     Some(match after {
-        Some(after) => refusal.after(after).into(),
+        Some(after) => refusal.with_retry_after(after).into(),
         None => refusal.into(),
     })
 }
--- a/crates/node/src/traffic/target/body.rs
+++ b/crates/node/src/traffic/target/body.rs
@@ -167,7 +167,7 @@
             stage.finish(clock.now());
         } else {
             // The connection or stream that this body is of fails by itself.
-            let _ = stage.cut(clock.now(), LossCause::AnswerCut);
+            let _ = stage.cut_short(clock.now(), LossCause::AnswerCut);
         }
     }
 }
--- a/crates/node/src/traffic/target/exchange.rs
+++ b/crates/node/src/traffic/target/exchange.rs
@@ -49,10 +49,12 @@
             let unsent = failed.take_message().map(Box::new);
             let error = Error::new(Step::Forward, "the exchange with the target failed");
             let error = error.with_cause(failed.into_error());
-            Err(match NothingSent::by_count(before, conn.written()) {
-                Some(proof) => Failure::NotSent(error, proof, unsent),
-                None => Failure::Sent(error),
-            })
+            Err(
+                match NothingSent::from_byte_counts(before, conn.written()) {
+                    Some(proof) => Failure::NotSent(error, proof, unsent),
+                    None => Failure::Sent(error),
+                },
+            )
         }
     }
 }
--- a/crates/node/src/traffic/target/lives.rs
+++ b/crates/node/src/traffic/target/lives.rs
@@ -24,12 +24,12 @@
     /// ended.
     pub(in crate::traffic) fn follow(&self, listed: &TargetGeneration) -> bool {
         let mut held = self.listed.lock().unwrap_or_else(PoisonError::into_inner);
-        listed.replaces(&mut held)
+        listed.replace_held(&mut held)
     }
 
     /// The life to name to the target in a request that is meant for `asked`.
     pub(in crate::traffic) fn meant(&self, now: Tick, asked: &HeaderValue) -> HeaderValue {
-        self.seen().meant(now, asked).clone()
+        self.seen().resolve(now, asked).clone()
     }
 
     /// Notes that the target answered a request that named this life.
--- a/crates/node/src/traffic/target/lives/tests.rs
+++ b/crates/node/src/traffic/target/lives/tests.rs
@@ -6,8 +6,8 @@
 fn life(id: &str, listed_at: u64, born: Option<u64>) -> TargetGeneration {
     TargetGeneration {
         id: TargetId::new(id).expect("a name"),
-        listed_at,
-        born,
+        listed_revision: listed_at,
+        started_ms: born,
     }
 }
 
--- a/crates/node/tests/requests/cold.rs
+++ b/crates/node/tests/requests/cold.rs
@@ -33,8 +33,8 @@
 fn life(n: u64) -> TargetGeneration {
     TargetGeneration {
         id: TargetId::new(&format!("i-{n}")).expect("a name"),
-        listed_at: n,
-        born: None,
+        listed_revision: n,
+        started_ms: None,
     }
 }
 
