--- a/crates/core/src/admit/admission.rs
+++ b/crates/core/src/admit/admission.rs
@@ -53,12 +53,12 @@
 /// let admission = Admission::new(AdmissionSettings::default(), 10)?;
 /// let now = Tick::from_millis(5);
 /// let request = Request::received(Class::Critical, Deadline::within(now, limits.deadline));
-/// let decision = admission.request_slot(now, &request.ask(&limits), || Box::new(drop));
+/// let decision = admission.request_slot(now, &request.admission_request(&limits), || Box::new(drop));
 /// let AdmissionDecision::Admitted(permit) = decision else {
 ///     panic!("all slots are free");
 /// };
 /// let sent = request.admit(permit).hand_over(now).expect("the deadline is far");
-/// sent.answered().finish(Tick::from_millis(9));
+/// sent.begin_answer().finish(Tick::from_millis(9));
 /// # Ok::<(), sassafrasspool_core::Error>(())
 /// ```
 #[derive(Debug, Clone)]
--- a/crates/core/src/admit/state/queue_position.rs
+++ b/crates/core/src/admit/state/queue_position.rs
@@ -35,7 +35,7 @@
         work: WorkType,
     ) -> Result<QueuePosition, Refusal> {
         let took = self.service_times.expected(work);
-        let latest_start = request.soft_deadline.map(|aim| before(aim, took));
+        let latest_start = request.soft_deadline.map(|deadline| before(deadline, took));
         let in_time = latest_start.is_none_or(|latest_start| self.now <= latest_start);
         let precedence = Precedence::new(took, latest_start, self.now);
         let ahead = self.queue.count_ahead(request.class);
--- a/crates/core/src/caller_timeouts.rs
+++ b/crates/core/src/caller_timeouts.rs
@@ -42,14 +42,14 @@
 ///
 /// use sassafrasspool_core::CallerTimeouts;
 ///
-/// let mut patience = CallerTimeouts::default();
+/// let mut timeouts = CallerTimeouts::default();
 /// let ms = Duration::from_millis;
 /// for n in 0..20 {
-///     patience.note(ms(2_500));
-///     patience.note(ms(1_000 + 37 * n));
+///     timeouts.record(ms(2_500));
+///     timeouts.record(ms(1_000 + 37 * n));
 /// }
-/// assert_eq!(patience.since_first(ms(2_500)), Duration::ZERO);
-/// assert_eq!(patience.since_first(ms(1_800)), ms(700));
+/// assert_eq!(timeouts.time_since_first_attempt(ms(2_500)), Duration::ZERO);
+/// assert_eq!(timeouts.time_since_first_attempt(ms(1_800)), ms(700));
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct CallerTimeouts {
--- a/crates/core/src/catalogue/path.rs
+++ b/crates/core/src/catalogue/path.rs
@@ -28,11 +28,11 @@
 /// use sassafrasspool_core::RoutePath;
 ///
 /// let path = RoutePath::new("/adjuster")?;
-/// assert!(path.takes("/adjuster/approvals"));
-/// assert!(!path.takes("/adjusters"));
+/// assert!(path.matches("/adjuster/approvals"));
+/// assert!(!path.matches("/adjusters"));
 /// let below = RoutePath::new("/adjuster/")?;
-/// assert!(below.takes("/adjuster/approvals"));
-/// assert!(!below.takes("/adjuster"));
+/// assert!(below.matches("/adjuster/approvals"));
+/// assert!(!below.matches("/adjuster"));
 /// # Ok::<(), sassafrasspool_core::Error>(())
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/core/src/cold_tracker.rs
+++ b/crates/core/src/cold_tracker.rs
@@ -31,17 +31,17 @@
 /// use sassafrasspool_core::Tick;
 ///
 /// let start = ColdStart {
-///     lasts: Duration::from_secs(3),
+///     duration: Duration::from_secs(3),
 ///     per_s: 10,
 ///     probe_path: None,
 /// };
-/// let mut coldness = ColdTracker::default();
-/// coldness.follow_evacuation(Tick::from_millis(1_000), &start, true);
-/// coldness.follow_evacuation(Tick::from_millis(9_000), &start, false);
-/// assert!(coldness.is_unproved());
-/// assert_eq!(coldness.until(), Tick::from_millis(12_000));
-/// coldness.probed(Tick::from_millis(9_010), Duration::ZERO);
-/// assert_eq!(coldness.until(), Tick::from_millis(9_010));
+/// let mut cold = ColdTracker::default();
+/// cold.update_evacuation(Tick::from_millis(1_000), &start, true);
+/// cold.update_evacuation(Tick::from_millis(9_000), &start, false);
+/// assert!(cold.is_unconfirmed());
+/// assert_eq!(cold.cold_until(), Tick::from_millis(12_000));
+/// cold.record_probe(Tick::from_millis(9_010), Duration::ZERO);
+/// assert_eq!(cold.cold_until(), Tick::from_millis(9_010));
 /// ```
 #[derive(Debug, Default)]
 pub struct ColdTracker {
--- a/crates/core/src/cold_tracker/tests.rs
+++ b/crates/core/src/cold_tracker/tests.rs
@@ -34,70 +34,70 @@
 
 /// A target that is listed as warm and that a probe confirmed as warm.
 fn warm() -> ColdTracker {
-    let mut coldness = ColdTracker::default();
-    coldness.update_from_list(at(0), &start(), &generation("i-1"), Duration::ZERO);
-    coldness.record_probe(at(10), Duration::ZERO);
-    coldness
+    let mut cold = ColdTracker::default();
+    cold.update_from_list(at(0), &start(), &generation("i-1"), Duration::ZERO);
+    cold.record_probe(at(10), Duration::ZERO);
+    cold
 }
 
 /// Guards against a restarted node that applies the load of a warm target to a cold one,
 /// because its list is older than the event that made the target cold.
 #[test]
 fn a_target_is_cold_after_a_restart_of_its_node_until_a_probe() {
-    let mut coldness = ColdTracker::default();
-    coldness.update_from_list(at(500), &start(), &generation("i-1"), Duration::ZERO);
-    assert!(coldness.is_unconfirmed());
-    assert_eq!(coldness.cold_until(), at(500) + LASTS);
-    coldness.record_probe(at(510), millis(700));
-    assert_eq!(coldness.cold_until(), at(1_210));
-    assert!(!coldness.is_unconfirmed());
+    let mut cold = ColdTracker::default();
+    cold.update_from_list(at(500), &start(), &generation("i-1"), Duration::ZERO);
+    assert!(cold.is_unconfirmed());
+    assert_eq!(cold.cold_until(), at(500) + LASTS);
+    cold.record_probe(at(510), millis(700));
+    assert_eq!(cold.cold_until(), at(1_210));
+    assert!(!cold.is_unconfirmed());
 }
 
 /// Guards against sending the load of a warm target to the next generation at its address.
 #[test]
 fn a_new_generation_is_cold_for_the_listed_time() {
-    let mut coldness = warm();
-    coldness.update_from_list(at(9_000), &start(), &generation("i-2"), millis(2_400));
-    assert_eq!(coldness.cold_until(), at(11_400));
+    let mut cold = warm();
+    cold.update_from_list(at(9_000), &start(), &generation("i-2"), millis(2_400));
+    assert_eq!(cold.cold_until(), at(11_400));
     // Another list with the same entry doesn't restart the cold period.
-    coldness.update_from_list(at(10_000), &start(), &generation("i-2"), millis(2_400));
-    assert_eq!(coldness.cold_until(), at(11_400));
+    cold.update_from_list(at(10_000), &start(), &generation("i-2"), millis(2_400));
+    assert_eq!(cold.cold_until(), at(11_400));
 }
 
 /// Guards against overload of a new generation that only lists of other nodes contain yet.
 #[test]
 fn a_generation_that_requests_name_before_the_list_is_cold() {
-    let mut coldness = warm();
-    coldness.record_requested_generation(at(5_000), &start(), "i-2");
-    assert_eq!(coldness.cold_until(), at(5_000) + LASTS);
-    assert!(coldness.is_unconfirmed());
+    let mut cold = warm();
+    cold.record_requested_generation(at(5_000), &start(), "i-2");
+    assert_eq!(cold.cold_until(), at(5_000) + LASTS);
+    assert!(cold.is_unconfirmed());
     // Late requests for the previous generation change nothing.
-    coldness.record_requested_generation(at(6_000), &start(), "i-1");
-    assert_eq!(coldness.cold_until(), at(5_000) + LASTS);
+    cold.record_requested_generation(at(6_000), &start(), "i-1");
+    assert_eq!(cold.cold_until(), at(5_000) + LASTS);
     // The list gives a shorter time. Both times are bounds, so the lower one applies.
-    coldness.update_from_list(at(5_100), &start(), &generation("i-2"), millis(1_000));
-    assert_eq!(coldness.cold_until(), at(6_100));
+    cold.update_from_list(at(5_100), &start(), &generation("i-2"), millis(1_000));
+    assert_eq!(cold.cold_until(), at(6_100));
 }
 
 /// Guards against the load of a warm target on one that became cold again without a new
 /// generation.
 #[test]
 fn a_target_that_is_listed_as_cold_again_is_cold() {
-    let mut coldness = warm();
-    coldness.update_from_list(at(20_000), &start(), &generation("i-1"), millis(1_500));
-    assert_eq!(coldness.cold_until(), at(21_500));
+    let mut cold = warm();
+    cold.update_from_list(at(20_000), &start(), &generation("i-1"), millis(1_500));
+    assert_eq!(cold.cold_until(), at(21_500));
 }
 
 /// Guards against full load on targets that became cold during an evacuation.
 #[test]
 fn a_target_is_cold_after_each_evacuation() {
-    let mut coldness = warm();
+    let mut cold = warm();
     for begin in [10_000, 14_000] {
-        coldness.update_evacuation(at(begin), &start(), true);
-        assert!(!coldness.is_unconfirmed());
-        coldness.update_evacuation(at(begin + 900), &start(), false);
-        assert_eq!(coldness.cold_until(), at(begin + 900) + LASTS);
-        assert!(coldness.is_unconfirmed());
-        coldness.record_probe(at(begin + 910), Duration::ZERO);
+        cold.update_evacuation(at(begin), &start(), true);
+        assert!(!cold.is_unconfirmed());
+        cold.update_evacuation(at(begin + 900), &start(), false);
+        assert_eq!(cold.cold_until(), at(begin + 900) + LASTS);
+        assert!(cold.is_unconfirmed());
+        cold.record_probe(at(begin + 910), Duration::ZERO);
     }
 }
--- a/crates/core/src/generation_tracker.rs
+++ b/crates/core/src/generation_tracker.rs
@@ -32,10 +32,10 @@
 /// use sassafrasspool_core::Tick;
 ///
 /// let mut generations = GenerationTracker::default();
-/// generations.declined(Tick::ZERO, &"t-1", &"t-2");
-/// assert_eq!(generations.meant(Tick::ZERO, &"t-1"), &"t-1");
+/// generations.record_declined(Tick::ZERO, &"t-1", &"t-2");
+/// assert_eq!(generations.resolve(Tick::ZERO, &"t-1"), &"t-1");
 /// let later = Tick::ZERO + Duration::from_secs(2);
-/// assert_eq!(generations.meant(later, &"t-1"), &"t-2");
+/// assert_eq!(generations.resolve(later, &"t-1"), &"t-2");
 /// ```
 #[derive(Debug)]
 pub struct GenerationTracker<G> {
@@ -61,7 +61,7 @@
 
 impl<G: Clone + PartialEq> GenerationTracker<G> {
     /// Records that a generation answered a request that named it.
-    pub fn answered(&mut self, generation: &G) {
+    pub fn record_answered(&mut self, generation: &G) {
         if self.last_answered.as_ref() != Some(generation) {
             self.last_answered = Some(generation.clone());
         }
@@ -69,7 +69,7 @@
 
     /// Records that `answering` declined a request for the generation `named`.
     /// Returns whether this pair was not recorded before.
-    pub fn declined(&mut self, now: Tick, named: &G, answering: &G) -> bool {
+    pub fn record_declined(&mut self, now: Tick, named: &G, answering: &G) -> bool {
         if self.last_answered.as_ref() == Some(named) || named == answering {
             self.ended = None;
             return false;
--- a/crates/core/src/generation_tracker/tests.rs
+++ b/crates/core/src/generation_tracker/tests.rs
@@ -42,9 +42,9 @@
     let mut generations = GenerationTracker::default();
     for response in case.responses {
         match response {
-            Response::Answered(generation) => generations.answered(generation),
+            Response::Answered(generation) => generations.record_answered(generation),
             Response::Declined(named, answering) => {
-                generations.declined(Tick::ZERO, named, answering);
+                generations.record_declined(Tick::ZERO, named, answering);
             }
         }
     }
@@ -60,9 +60,9 @@
 #[test]
 fn a_successor_is_not_named_before_the_settings_had_time_to_change() {
     let mut generations = GenerationTracker::default();
-    generations.declined(Tick::ZERO, &"t-1", &"t-2");
+    generations.record_declined(Tick::ZERO, &"t-1", &"t-2");
     let before = Tick::ZERO + MIN_DECLINED_TIME / 2;
-    generations.declined(before, &"t-1", &"t-2");
+    generations.record_declined(before, &"t-1", &"t-2");
     assert_eq!(*generations.resolve(before, &"t-1"), "t-1");
     let later = Tick::ZERO + MIN_DECLINED_TIME;
     assert_eq!(*generations.resolve(later, &"t-1"), "t-2");
@@ -72,7 +72,7 @@
 #[test]
 fn a_successor_is_reported_as_new_only_once() {
     let mut generations = GenerationTracker::default();
-    assert!(generations.declined(Tick::ZERO, &"t-1", &"t-2"));
-    assert!(!generations.declined(Tick::ZERO, &"t-1", &"t-2"));
-    assert!(generations.declined(Tick::ZERO, &"t-1", &"t-3"));
+    assert!(generations.record_declined(Tick::ZERO, &"t-1", &"t-2"));
+    assert!(!generations.record_declined(Tick::ZERO, &"t-1", &"t-2"));
+    assert!(generations.record_declined(Tick::ZERO, &"t-1", &"t-3"));
 }
--- a/crates/core/src/history.rs
+++ b/crates/core/src/history.rs
@@ -35,7 +35,7 @@
 let sent = Event::Sent { request, operation: OperationId(1), repeatable: false };
 history.record(Tick::from_millis(1), sent);
 let found = check(&history, &Bounds::default());
-assert_eq!(found[0].promise(), Guarantee::WholeAnswer);
+assert_eq!(found[0].guarantee(), Guarantee::WholeAnswer);
 ```
 */
 
--- a/crates/core/src/history/tests.rs
+++ b/crates/core/src/history/tests.rs
@@ -159,11 +159,11 @@
 }
 
 fn broken_guarantees(run: &[At]) -> Vec<Guarantee> {
-    let mut hisymptom = History::new();
+    let mut history = History::new();
     for At(ms, event) in run {
-        hisymptom.record(Tick::from_millis(*ms), event.clone());
+        history.record(Tick::from_millis(*ms), event.clone());
     }
-    let found = check(&hisymptom, &Bounds::default());
+    let found = check(&history, &Bounds::default());
     found
         .iter()
         .map(|violation| violation.guarantee())
@@ -181,14 +181,14 @@
     /// The symptom from a user's point of view.
     symptom: &'static str,
     events: Vec<At>,
-    promise: Guarantee,
+    guarantee: Guarantee,
 }
 
 #[rstest]
 #[case(BrokenRun {
     symptom: "a late delta restores outdated limits",
     events: vec![At(65_100, in_force(version(1, 1)))],
-    promise: Guarantee::NoStepBack,
+    guarantee: Guarantee::NoStepBack,
 })]
 #[case(BrokenRun {
     symptom: "one revision is published with two contents, and a node applies the second",
@@ -196,12 +196,12 @@
         At(65_050, published(Stream::Catalogue, version(2, 3))),
         At(65_100, in_force(version(2, 3))),
     ],
-    promise: Guarantee::NoStepBack,
+    guarantee: Guarantee::NoStepBack,
 })]
 #[case(BrokenRun {
     symptom: "a request is routed by the old snapshot after the swap",
     events: vec![At(65_100, pinned(version(1, 1)))],
-    promise: Guarantee::NoStepBack,
+    guarantee: Guarantee::NoStepBack,
 })]
 #[case(BrokenRun {
     symptom: "a route refers to a removed service, and its calls get no answer",
@@ -209,7 +209,7 @@
         path: RoutePath::new("/adjuster").unwrap(),
         service: ServiceName::new("gone").unwrap(),
     })))],
-    promise: Guarantee::NoDangling,
+    guarantee: Guarantee::NoDangling,
 })]
 #[case(BrokenRun {
     symptom: "a version from which no snapshot can be built is in force on one node",
@@ -217,37 +217,37 @@
         At(65_050, Event::PublishedBad { stream: Stream::Catalogue, version: version(3, 9) }),
         At(65_100, in_force(version(3, 9))),
     ],
-    promise: Guarantee::AllOrNothing,
+    guarantee: Guarantee::AllOrNothing,
 })]
 #[case(BrokenRun {
     symptom: "half of the entries of a version are in force as that version",
     events: vec![At(11, in_force_with(|held| held.content = Digest::of(b"half")))],
-    promise: Guarantee::AllOrNothing,
+    guarantee: Guarantee::AllOrNothing,
 })]
 #[case(BrokenRun {
     symptom: "an agent receives another agent's report",
     events: vec![At(70, sent(9, 9)), At(71, answered(9, 1, true))],
-    promise: Guarantee::WholeAnswer,
+    guarantee: Guarantee::WholeAnswer,
 })]
 #[case(BrokenRun {
     symptom: "a truncated photograph is delivered as complete",
     events: vec![At(70, sent(9, 9)), At(71, answered(9, 9, false))],
-    promise: Guarantee::WholeAnswer,
+    guarantee: Guarantee::WholeAnswer,
 })]
 #[case(BrokenRun {
     symptom: "an answer arrives after the caller received an unknown outcome",
     events: vec![At(70, answered(3, 3, true))],
-    promise: Guarantee::WholeAnswer,
+    guarantee: Guarantee::WholeAnswer,
 })]
 #[case(BrokenRun {
     symptom: "a request never ends",
     events: vec![At(70, sent(9, 9))],
-    promise: Guarantee::WholeAnswer,
+    guarantee: Guarantee::WholeAnswer,
 })]
 #[case(BrokenRun {
     symptom: "an approval refused as not run is paid out",
     events: vec![At(70, sent(9, 9)), At(71, refused(9)), At(72, started(9)), At(73, finished(9))],
-    promise: Guarantee::TrueRefusal,
+    guarantee: Guarantee::TrueRefusal,
 })]
 #[case(BrokenRun {
     symptom: "a caller repeats an approval with its key, and it is paid twice",
@@ -257,12 +257,12 @@
         At(72, finished(9)),
         At(73, answered(9, 9, true)),
     ],
-    promise: Guarantee::AtMostOnce,
+    guarantee: Guarantee::AtMostOnce,
 })]
 #[case(BrokenRun {
     symptom: "one request reaches the target twice over two connections",
     events: vec![At(22, started(1))],
-    promise: Guarantee::AtMostOnce,
+    guarantee: Guarantee::AtMostOnce,
 })]
 #[case(BrokenRun {
     symptom: "a node with a stale list sends work to a target that began to leave three seconds ago",
@@ -271,28 +271,28 @@
         At(69_001, started(9)),
         At(69_002, answered(9, 9, true)),
     ],
-    promise: Guarantee::NoWorkWhileLeaving,
+    guarantee: Guarantee::NoWorkWhileLeaving,
 })]
 #[case(BrokenRun {
     symptom: "a target stops while a sign-off runs",
     events: vec![At(66_010, sent(9, 9)), At(66_011, started(9)), At(67_000, unknown(9))],
-    promise: Guarantee::GracefulStop,
+    guarantee: Guarantee::GracefulStop,
 })]
 #[case(BrokenRun {
     symptom: "the bound of a drain cuts requests, and the node reports them",
     events: vec![At(67_001, drain_ended(2))],
-    promise: Guarantee::GracefulStop,
+    guarantee: Guarantee::GracefulStop,
 })]
 #[case(BrokenRun {
     symptom: "a reachable node uses outdated limits for more than eleven seconds",
     events: vec![At(68_000, published(Stream::Catalogue, version(3, 3)))],
-    promise: Guarantee::InForceSoon,
+    guarantee: Guarantee::InForceSoon,
 })]
 fn a_broken_guarantee_is_reported_alone(#[case] case: BrokenRun) {
     let mut run = good_run();
     run.extend(case.events.clone());
     let found = broken_guarantees(&run);
     assert!(!found.is_empty(), "{}", case.symptom);
-    let other = found.iter().find(|promise| **promise != case.promise);
+    let other = found.iter().find(|guarantee| **guarantee != case.guarantee);
     assert_eq!(other, None, "{}", case.symptom);
 }
--- a/crates/core/src/instance/generation.rs
+++ b/crates/core/src/instance/generation.rs
@@ -17,13 +17,13 @@
 /// use sassafrasspool_core::TargetGeneration;
 /// use sassafrasspool_core::TargetId;
 ///
-/// let generation = |born| TargetGeneration {
+/// let generation = |started_ms| TargetGeneration {
 ///     id: TargetId::new("i-1").expect("a name"),
-///     listed_at: 7,
-///     born,
+///     listed_revision: 7,
+///     started_ms,
 /// };
-/// assert!(generation(Some(200)).follows(&generation(Some(100))));
-/// assert!(!generation(Some(100)).follows(&generation(Some(200))));
+/// assert!(generation(Some(200)).is_not_older_than(&generation(Some(100))));
+/// assert!(!generation(Some(100)).is_not_older_than(&generation(Some(200))));
 /// assert!(!generation(Some(200)).is_same(&generation(Some(100))));
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,13 +58,13 @@
     ///
     /// let generation = |name| TargetGeneration {
     ///     id: TargetId::new(name).expect("a name"),
-    ///     listed_at: 7,
-    ///     born: None,
+    ///     listed_revision: 7,
+    ///     started_ms: None,
     /// };
     /// let mut stored = None;
-    /// assert!(!generation("i-1").replaces(&mut stored));
-    /// assert!(!generation("i-1").replaces(&mut stored));
-    /// assert!(generation("i-2").replaces(&mut stored));
+    /// assert!(!generation("i-1").replace_held(&mut stored));
+    /// assert!(!generation("i-1").replace_held(&mut stored));
+    /// assert!(generation("i-2").replace_held(&mut stored));
     /// ```
     pub fn replace_held(&self, stored: &mut Option<TargetGeneration>) -> bool {
         if stored.as_ref().is_some_and(|stored| stored.is_same(self)) {
--- a/crates/core/src/quarantine/pending_answers.rs
+++ b/crates/core/src/quarantine/pending_answers.rs
@@ -61,11 +61,11 @@
     pub(crate) fn take_due(
         &mut self,
         now: Tick,
-        verdicts: &QuarantineState,
+        state: &QuarantineState,
     ) -> Vec<(Fingerprint, Tick)> {
         let mut due_answers = Vec::new();
         self.0.retain(|content, pending| {
-            if !verdicts.is_suspect(*content) {
+            if !state.is_suspect(*content) {
                 return false;
             }
             let is_waiting = pending.due > now;
--- a/crates/core/src/quarantine/quarantine_state.rs
+++ b/crates/core/src/quarantine/quarantine_state.rs
@@ -84,23 +84,23 @@
         crashes: &[(ObservedAt, &[Content])],
         exempt_until: &HashMap<Fingerprint, ObservedAt>,
     ) -> QuarantineState {
-        let mut verdicts = QuarantineState::default();
+        let mut state = QuarantineState::default();
         let mut by_whole = CrashCounts::new(exempt_until);
         for (at, ran) in crashes {
             by_whole.count(*at, ran.iter().map(Content::whole));
         }
-        by_whole.evaluate(&mut verdicts);
+        by_whole.evaluate(&mut state);
         // A crash while a quarantined request ran doesn't count against requests that differ
         // from it only by their query.
         let mut by_resource = CrashCounts::new(exempt_until);
         for (at, ran) in crashes {
-            let quarantined = ran.iter().filter(|it| verdicts.contains(it.whole()));
+            let quarantined = ran.iter().filter(|it| state.contains(it.whole()));
             let explained: HashSet<Fingerprint> = quarantined.map(Content::resource).collect();
             let resources = ran.iter().map(Content::resource);
             by_resource.count(*at, resources.filter(|it| !explained.contains(it)));
         }
-        by_resource.evaluate(&mut verdicts);
-        verdicts
+        by_resource.evaluate(&mut state);
+        state
     }
 }
 
@@ -130,15 +130,15 @@
         }
     }
 
-    fn evaluate(self, verdicts: &mut QuarantineState) {
+    fn evaluate(self, state: &mut QuarantineState) {
         for (content, crashes) in self.crashes {
             if crashes.len() >= CRASHES_TO_SUSPECT {
-                verdicts.suspects.insert(content);
+                state.suspects.insert(content);
             }
             if crashes.len() >= CRASHES_TO_QUARANTINE
                 && let Some(last) = crashes.iter().max()
             {
-                verdicts
+                state
                     .quarantined
                     .insert(content, last.later_by(QUARANTINE_PERIOD).tick());
             }
--- a/crates/core/src/quarantine/reports.rs
+++ b/crates/core/src/quarantine/reports.rs
@@ -42,13 +42,13 @@
 /// A report is never changed: the first copy of it counts. `root` is a hash over the ids of
 /// the kept reports, so that two nodes with the same root keep the same reports. `crashes`
 /// counts for each request the crash reports that contain it. While `is_up_to_date`,
-/// `verdicts` follow from the reports.
+/// `state` follows from the reports.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
     reports: BTreeMap<ReportId, KeptReport>,
     root: u64,
     crashes: HashMap<Fingerprint, usize>,
-    verdicts: QuarantineState,
+    state: QuarantineState,
     is_up_to_date: bool,
 }
 
@@ -81,7 +81,7 @@
                 *self.crashes.entry(*content).or_default() += 1;
             }
         }
-        self.invalidate_verdicts(&contents);
+        self.invalidate_state(&contents);
         self.reports.insert(report.id.clone(), kept);
         if self.reports.len() > MAX_REPORTS {
             self.evict_one();
@@ -106,7 +106,7 @@
         // INVARIANT: A removed report leaves the root and the counts.
         self.root ^= hash_id(id);
         let contents = kept.contents();
-        self.invalidate_verdicts(&contents);
+        self.invalidate_state(&contents);
         if !kept.is_crash() {
             return;
         }
@@ -123,7 +123,7 @@
     /// Marks the verdicts as outdated if a report of these contents, added or removed, may
     /// change them. Most reports contain only requests that were lost with a single target,
     /// and change no verdict.
-    fn invalidate_verdicts(&mut self, contents: &BTreeSet<Fingerprint>) {
+    fn invalidate_state(&mut self, contents: &BTreeSet<Fingerprint>) {
         let is_suspect = |content| {
             self.crashes
                 .get(content)
@@ -152,17 +152,17 @@
                 Observation::Released(content) => exempt(*content, kept.at),
             }
         }
-        let verdicts = QuarantineState::evaluate(&crashes, &exempt_until);
-        if verdicts == self.verdicts {
+        let state = QuarantineState::evaluate(&crashes, &exempt_until);
+        if state == self.state {
             return None;
         }
-        let before = std::mem::replace(&mut self.verdicts, verdicts);
-        Some((before, &self.verdicts))
+        let before = std::mem::replace(&mut self.state, state);
+        Some((before, &self.state))
     }
 
     /// The verdicts of the last evaluation.
     pub(crate) fn state(&self) -> &QuarantineState {
-        &self.verdicts
+        &self.state
     }
 
     /// A hash over the ids of all kept reports.
@@ -201,7 +201,7 @@
             Observation::Crashed(ran) => ran
                 .iter()
                 .flat_map(Content::fingerprints)
-                .any(|content| self.verdicts.is_suspect(content)),
+                .any(|content| self.state.is_suspect(content)),
         }
     }
 
--- a/crates/core/src/reader/contact.rs
+++ b/crates/core/src/reader/contact.rs
@@ -25,7 +25,7 @@
 
 impl ContactClock {
     /// Records that the platform answered this node, which has that rank.
-    pub(crate) fn prove(&mut self, now: Tick, rank: u32) {
+    pub(crate) fn record_contact(&mut self, now: Tick, rank: u32) {
         self.update(Proof {
             at_us: micros(now),
             rank,
--- a/crates/core/src/reader/role.rs
+++ b/crates/core/src/reader/role.rs
@@ -105,7 +105,7 @@
     }
 
     /// The placement in the list, once a list was applied.
-    pub(crate) fn place(&self) -> Option<&Placement> {
+    pub(crate) fn placement(&self) -> Option<&Placement> {
         self.placement.as_ref()
     }
 
--- a/crates/core/src/reader/tests.rs
+++ b/crates/core/src/reader/tests.rs
@@ -62,7 +62,7 @@
     };
     contact.merge(now, Some(received));
     assert_eq!(contact.age(now), Some(Duration::from_secs(60)));
-    contact.prove(now, 1);
+    contact.record_contact(now, 1);
     contact.merge(now + Duration::from_secs(1), Some(received));
     let later = now + Duration::from_secs(2);
     assert_eq!(contact.age(later), Some(Duration::from_secs(2)));
--- a/crates/core/src/retry/tests.rs
+++ b/crates/core/src/retry/tests.rs
@@ -35,7 +35,7 @@
     Loss::new(Step::Forward, LossCause::ConnectionLost).into()
 }
 
-fn tries(hop: Hop, idempotent: bool, budget: &RetryBudget) -> RetryState {
+fn retry(hop: Hop, idempotent: bool, budget: &RetryBudget) -> RetryState {
     let deadline = Deadline::within(NOW, Duration::from_secs(1));
     RetryState::new(hop, idempotent, &LIMITS, deadline, budget)
 }
@@ -59,7 +59,7 @@
 #[case(Case { hop: Hop::Later, idempotent: false, failure: refused(Reason::QueueFull), again: false })]
 fn only_the_first_hop_retries_what_may_run_again(#[case] case: Case) {
     let budget = RetryBudget::new();
-    let next = tries(case.hop, case.idempotent, &budget).on_failure(NOW, case.failure, &budget);
+    let next = retry(case.hop, case.idempotent, &budget).on_failure(NOW, case.failure, &budget);
     assert_eq!(next == RetryDecision::Retry, case.again, "{case:?}");
 }
 
@@ -67,12 +67,12 @@
 fn nothing_is_retried_after_the_deadline_or_the_last_attempt() {
     let budget = RetryBudget::new();
     let late = NOW + Duration::from_secs(1);
-    let stop = tries(Hop::First, true, &budget).on_failure(late, lost(), &budget);
+    let stop = retry(Hop::First, true, &budget).on_failure(late, lost(), &budget);
     assert_eq!(stop, RetryDecision::Stop(lost()));
-    let mut tries = tries(Hop::First, true, &budget);
-    assert_eq!(tries.on_failure(NOW, lost(), &budget), RetryDecision::Retry);
+    let mut retry = retry(Hop::First, true, &budget);
+    assert_eq!(retry.on_failure(NOW, lost(), &budget), RetryDecision::Retry);
     assert_eq!(
-        tries.on_failure(NOW, lost(), &budget),
+        retry.on_failure(NOW, lost(), &budget),
         RetryDecision::Stop(lost())
     );
 }
@@ -82,8 +82,8 @@
 fn the_budget_bounds_the_retries_of_a_service() {
     let budget = RetryBudget::new();
     let again = |_: &u32| {
-        let mut tries = tries(Hop::First, true, &budget);
-        tries.on_failure(NOW, lost(), &budget) == RetryDecision::Retry
+        let mut retry = retry(Hop::First, true, &budget);
+        retry.on_failure(NOW, lost(), &budget) == RetryDecision::Retry
     };
     let retried = (0..1_000).filter(again).count();
     assert!((100..=120).contains(&retried), "{retried}");
@@ -93,13 +93,13 @@
 #[test]
 fn rerouting_from_a_draining_endpoint_is_cheap_and_bounded() {
     let budget = RetryBudget::new();
-    let mut tries = tries(Hop::First, false, &budget);
+    let mut retry = retry(Hop::First, false, &budget);
     let draining = refused(Reason::Draining);
     let reroutes =
-        (0..9).take_while(|_| tries.on_failure(NOW, draining, &budget) == RetryDecision::Retry);
+        (0..9).take_while(|_| retry.on_failure(NOW, draining, &budget) == RetryDecision::Retry);
     assert_eq!(reroutes.count(), 4);
     assert_eq!(
-        tries.on_failure(NOW, refused(Reason::QueueFull), &budget),
+        retry.on_failure(NOW, refused(Reason::QueueFull), &budget),
         RetryDecision::Retry
     );
 }
@@ -120,8 +120,8 @@
 #[case(Reported { attempt: Attempt::First, reason: Reason::Draining, outcome: Outcome::NotRun })]
 fn a_repeat_is_reported_not_run_only_with_proof(#[case] case: Reported) {
     let budget = RetryBudget::new();
-    let mut tries = tries(Hop::First, false, &budget).with_attempt(case.attempt);
-    let RetryDecision::Stop(failure) = tries.on_failure(NOW, refused(case.reason), &budget) else {
+    let mut retry = retry(Hop::First, false, &budget).with_attempt(case.attempt);
+    let RetryDecision::Stop(failure) = retry.on_failure(NOW, refused(case.reason), &budget) else {
         panic!("a request with a key must not be retried: {case:?}");
     };
     assert_eq!(failure.outcome(), case.outcome, "{case:?}");
@@ -135,8 +135,8 @@
     let deadline = Deadline::within(NOW, Duration::from_secs(1));
     let mut retries = 0;
     for n in 0..1_020 {
-        let mut tries = RetryState::new(Hop::First, true, &limits, deadline, &budget);
-        if n >= 1_000 && tries.on_failure(NOW, lost(), &budget) == RetryDecision::Retry {
+        let mut retry = RetryState::new(Hop::First, true, &limits, deadline, &budget);
+        if n >= 1_000 && retry.on_failure(NOW, lost(), &budget) == RetryDecision::Retry {
             retries += 1;
         }
     }
--- a/crates/core/src/retry/tests/properties.rs
+++ b/crates/core/src/retry/tests/properties.rs
@@ -45,18 +45,18 @@
     /// were retried, and the failure that the caller receives.
     fn run(&self, budget: &RetryBudget) -> (Vec<Failure>, Failure) {
         let deadline = Deadline::within(NOW, TIMEOUT);
-        let mut tries = RetryState::new(self.hop, self.idempotent, &LIMITS, deadline, budget);
+        let mut retry = RetryState::new(self.hop, self.idempotent, &LIMITS, deadline, budget);
         let mut retried = Vec::new();
         let mut now: Tick = NOW;
         for (failure, took_ms) in &self.failures {
             now = now + Duration::from_millis(*took_ms);
-            match tries.on_failure(now, *failure, budget) {
+            match retry.on_failure(now, *failure, budget) {
                 RetryDecision::Retry => retried.push(*failure),
                 RetryDecision::Stop(reported) => return (retried, reported),
             }
         }
         // At its deadline every request ends.
-        match tries.on_failure(NOW + TIMEOUT, lost(), budget) {
+        match retry.on_failure(NOW + TIMEOUT, lost(), budget) {
             RetryDecision::Stop(reported) => (retried, reported),
             RetryDecision::Retry => panic!("retried after its deadline"),
         }
--- a/crates/core/src/route/picker.rs
+++ b/crates/core/src/route/picker.rs
@@ -44,12 +44,12 @@
     /// Binds the meters to a snapshot for a node at `position`.
     pub fn build(
         snapshot: &Snapshot,
-        position: &Locality,
+        locality: &Locality,
         cfg: RouteSettings,
         meters: &Arc<Meters>,
         now: Tick,
     ) -> Picker {
-        let node = Score::of(position.instance.as_str());
+        let node = Score::of(locality.instance.as_str());
         let mut services = SecondaryMap::new();
         for (key, service) in snapshot.services() {
             let cold_start = service.entry.cold_start.as_ref();
@@ -69,7 +69,7 @@
                     key,
                     id: instance.id.clone(),
                     region: instance.region.clone(),
-                    tier: position.tier_of(instance),
+                    tier: locality.tier_of(instance),
                     slots: instance.slots,
                     score: Score::of(instance.id.as_str()),
                     meter: meters.bind_endpoint(instance, is_evacuated, cold_start, now),
--- a/crates/core/src/route/tests/fixture.rs
+++ b/crates/core/src/route/tests/fixture.rs
@@ -158,12 +158,12 @@
     cfg: RouteSettings,
     now: Tick,
 ) -> Picker {
-    let position = Locality {
+    let locality = Locality {
         instance: InstanceId::new(node).unwrap(),
         domain: DomainName::new(NEAR).unwrap(),
         region: RegionName::new("ulaanbaatar").unwrap(),
     };
-    Picker::build(snapshot, &position, cfg, meters, now)
+    Picker::build(snapshot, &locality, cfg, meters, now)
 }
 
 pub(super) fn near(ids: &[&str]) -> Vec<Instance> {
--- a/crates/core/src/spread/machine/read.rs
+++ b/crates/core/src/spread/machine/read.rs
@@ -125,7 +125,7 @@
     /// others. In a fleet in which all nodes read, it reads as well, though it
     /// has no rank.
     pub(super) fn is_unlisted_or_unranked(&self) -> bool {
-        let place = self.role.place();
+        let place = self.role.placement();
         place.is_some_and(|it| !it.listed || (it.rank.is_none() && self.role.every_node_reads()))
     }
 
@@ -205,13 +205,13 @@
             }
             SourceResult::Unchanged { newest } => self.note_unchanged(now, stream, newest, out),
             SourceResult::NothingPublished => {
-                self.contact.prove(now, self.role.takeover_rank());
+                self.contact.record_contact(now, self.role.takeover_rank());
                 self.reads[stream as usize].note_nothing_published(now, &mut self.rng);
             }
             SourceResult::Busy { retry_after } => {
                 // The platform answered: a takeover by other nodes would only
                 // add load.
-                self.contact.prove(now, self.role.takeover_rank());
+                self.contact.record_contact(now, self.role.takeover_rank());
                 let wait = retry_after.unwrap_or_default();
                 self.reads[stream as usize].fail(now, wait, &mut self.rng);
             }
@@ -270,7 +270,7 @@
     }
 
     fn note_source_answer(&mut self, now: Tick, stream: Stream, seen: Option<Revision>) {
-        self.contact.prove(now, self.role.takeover_rank());
+        self.contact.record_contact(now, self.role.takeover_rank());
         self.reads[stream as usize].succeed(now, seen);
     }
 
--- a/crates/core/src/spread/machine/reports.rs
+++ b/crates/core/src/spread/machine/reports.rs
@@ -178,18 +178,18 @@
     /// Puts the verdicts that follow from the reports in force, if they have
     /// changed.
     fn apply_verdicts(&mut self, origin: &Origin, out: &mut Vec<Action>) {
-        let Some((before, verdicts)) = self.reports.evaluate() else {
+        let Some((before, quarantine)) = self.reports.evaluate() else {
             return;
         };
-        for content in verdicts.quarantined().filter(|it| !before.contains(*it)) {
+        for content in quarantine.quarantined().filter(|it| !before.contains(*it)) {
             out.push(Action::Audit(AuditEvent::Quarantined {
                 content,
                 origin: origin.clone(),
             }));
         }
-        for content in before.quarantined().filter(|it| !verdicts.contains(*it)) {
+        for content in before.quarantined().filter(|it| !quarantine.contains(*it)) {
             out.push(Action::Audit(AuditEvent::Released { content }));
         }
-        out.push(Action::Quarantine(Arc::new(verdicts.clone())));
+        out.push(Action::Quarantine(Arc::new(quarantine.clone())));
     }
 }
--- a/crates/core/src/spread/machine/sync.rs
+++ b/crates/core/src/spread/machine/sync.rs
@@ -79,7 +79,7 @@
         if self.role.is_backup() && self.gossip.sync_count.is_multiple_of(2) {
             let before = self
                 .role
-                .place()
+                .placement()
                 .map(|place| place.higher_ranked.as_slice());
             let turn = usize::try_from(self.gossip.sync_count / 2).unwrap_or(0);
             let readers = usize::try_from(self.role.readers_in_domain()).unwrap_or(1);
--- a/crates/core/src/spread/machine/wakeup.rs
+++ b/crates/core/src/spread/machine/wakeup.rs
@@ -36,7 +36,7 @@
 
     /// When this node takes over as a reader.
     fn takeover_due(&self, now: Tick) -> Option<Tick> {
-        if self.role.is_reader() || self.role.place().is_none() {
+        if self.role.is_reader() || self.role.placement().is_none() {
             return None;
         }
         let left = self
--- a/crates/core/src/spread/tests/crashes.rs
+++ b/crates/core/src/spread/tests/crashes.rs
@@ -50,7 +50,11 @@
 
 fn quarantines(net: &Net, n: usize, content: Content) -> bool {
     let node = net.nodes[n].as_ref();
-    node.is_some_and(|node| node.verdicts.quarantined_until(net.now, &content).is_some())
+    node.is_some_and(|node| {
+        node.quarantine
+            .quarantined_until(net.now, &content)
+            .is_some()
+    })
 }
 
 fn all_quarantine(net: &Net) -> bool {
@@ -153,7 +157,7 @@
 #[test]
 fn an_answer_at_one_node_ends_the_quarantine_everywhere() {
     let mut net = quarantined_net(14, 4);
-    assert!(net.node(9).verdicts.is_suspect(crashing().whole()));
+    assert!(net.node(9).quarantine.is_suspect(crashing().whole()));
     observe(&mut net, 9, Observation::Answered(crashing().whole()));
     net.run_until(Duration::from_secs(1), |net| {
         !(0..14).any(|n| quarantines(net, n, crashing()))
--- a/crates/core/src/spread/tests/node.rs
+++ b/crates/core/src/spread/tests/node.rs
@@ -42,7 +42,7 @@
     pub(super) applied: Vec<(u64, u64)>,
     pub(super) audit: Vec<AuditEvent>,
     pub(super) states: Vec<EndpointState>,
-    pub(super) verdicts: Arc<QuarantineState>,
+    pub(super) quarantine: Arc<QuarantineState>,
     /// Encoded bytes of sent messages and replies.
     pub(super) bytes_sent: usize,
     /// Revisions of the catalogue that the node announced.
@@ -63,7 +63,7 @@
             applied: Vec::new(),
             audit: Vec::new(),
             states: Vec::new(),
-            verdicts: Arc::default(),
+            quarantine: Arc::default(),
             bytes_sent: 0,
             announced_revisions: Vec::new(),
             bodies_received: 0,
@@ -82,7 +82,7 @@
             Action::Joined => self.joined = true,
             Action::Audit(event) => self.audit.push(event),
             Action::Endpoint(state) => self.states.push(state),
-            Action::Quarantine(verdicts) => self.verdicts = verdicts,
+            Action::Quarantine(quarantine) => self.quarantine = quarantine,
             Action::Send(_) | Action::ReadSource { .. } => {}
         }
     }
--- a/crates/core/tests/at_most_once/world/outcomes.rs
+++ b/crates/core/tests/at_most_once/world/outcomes.rs
@@ -27,9 +27,9 @@
         };
         let budget = RetryBudget::new();
         let deadline = Deadline::at(self.now);
-        let tries = RetryState::new(Hop::First, false, &limits, deadline, &budget);
+        let retry = RetryState::new(Hop::First, false, &limits, deadline, &budget);
         let RetryDecision::Stop(failure) =
-            tries
+            retry
                 .with_attempt(attempt)
                 .on_failure(self.now, refusal.into(), &budget)
         else {
--- a/crates/core/tests/at_most_once/world/setup.rs
+++ b/crates/core/tests/at_most_once/world/setup.rs
@@ -72,13 +72,13 @@
     let published = Catalogue::new(Revision::new(1).unwrap(), items).unwrap();
     let snapshot = Snapshot::build(&published, list).unwrap();
     let at = instance(0);
-    let position = Locality {
+    let locality = Locality {
         instance: at.id,
         domain: at.domain,
         region: at.region,
     };
     let meters = Arc::new(Meters::new());
     let cfg = RouteSettings::default();
-    let picker = Picker::build(&snapshot, &position, cfg, &meters, Tick::ZERO);
+    let picker = Picker::build(&snapshot, &locality, cfg, &meters, Tick::ZERO);
     Routing { snapshot, picker }
 }
--- a/crates/core/tests/requests/sim/call.rs
+++ b/crates/core/tests/requests/sim/call.rs
@@ -16,7 +16,7 @@
     pub(super) class: Class,
     pub(super) caller: usize,
     pub(super) deadline: Deadline,
-    pub(super) tries: RetryState,
+    pub(super) retry: RetryState,
     pub(super) avoid: Vec<EndpointKey>,
     pub(super) picked: Option<Picked>,
     pub(super) endpoint: usize,
--- a/crates/core/tests/requests/sim/calls.rs
+++ b/crates/core/tests/requests/sim/calls.rs
@@ -47,7 +47,7 @@
         let deadline = Deadline::within(self.now, DEADLINE);
         let budget = self.callers[caller].1.budget(self.service).unwrap();
         let is_repeatable = self.policy == Policy::RetryUnknown;
-        let tries = RetryState::new(
+        let retry = RetryState::new(
             Hop::First,
             is_repeatable,
             &self.limits.retry,
@@ -58,7 +58,7 @@
             class,
             caller,
             deadline,
-            tries,
+            retry,
             avoid: Vec::new(),
             picked: None,
             endpoint: 0,
@@ -276,7 +276,7 @@
         };
         picked.finish(self.now, verdict);
         let budget = self.callers[call.caller].1.budget(self.service).unwrap();
-        match call.tries.on_failure(self.now, failure, budget) {
+        match call.retry.on_failure(self.now, failure, budget) {
             RetryDecision::Retry => self.send(id, failure),
             RetryDecision::Stop(failure) => self.end(id, failure),
         }
--- a/crates/core/tests/requests/sim/setup.rs
+++ b/crates/core/tests/requests/sim/setup.rs
@@ -20,14 +20,14 @@
 
 pub(super) fn caller(domain: &str, snapshot: &Snapshot) -> (Arc<Meters>, Picker) {
     let at = instance(0);
-    let position = Locality {
+    let locality = Locality {
         instance: InstanceId::new(&format!("caller-{domain}")).unwrap(),
         domain: sassafrasspool_core::DomainName::new(domain).unwrap(),
         region: at.region,
     };
     let meters = Arc::new(Meters::new());
     let cfg = RouteSettings::default();
-    let picker = Picker::build(snapshot, &position, cfg, &meters, Tick::ZERO);
+    let picker = Picker::build(snapshot, &locality, cfg, &meters, Tick::ZERO);
     (meters, picker)
 }
 
--- a/crates/node/src/traffic/target/lives.rs
+++ b/crates/node/src/traffic/target/lives.rs
@@ -34,7 +34,7 @@
 
     /// Notes that the target answered a request that named this life.
     pub(in crate::traffic) fn answered(&self, named: &HeaderValue) {
-        self.seen().answered(named);
+        self.seen().record_answered(named);
     }
 
     /// Notes that the target declined a request that named another life than its
@@ -45,7 +45,7 @@
         named: &HeaderValue,
         answering: &HeaderValue,
     ) {
-        if self.seen().declined(now, named, answering) {
+        if self.seen().record_declined(now, named, answering) {
             tracing::info!(
                 ?named,
                 ?answering,
