--- a/crates/core/src/admit/tests/retry_hint.rs
+++ b/crates/core/src/admit/tests/retry_hint.rs
@@ -10,11 +10,11 @@
 use rstest::rstest;
 
 use crate::Admission;
+use crate::AdmissionDecision;
+use crate::AdmissionRequest;
 use crate::AdmissionSettings;
-use crate::Ask;
 use crate::Class;
 use crate::Deadline;
-use crate::Offer;
 use crate::Permit;
 use crate::Tick;
 use crate::testing::LIMITS;
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Ends(usize),
-    Tries { caller: usize, attempt: u32 },
+    RetryState { caller: usize, attempt: u32 },
 }
 
 /// The share of callers that are answered in time if they retry after `retry_after`.
@@ -46,39 +46,39 @@
         .map(|n| Tick::ZERO + CALLER_INTERVAL * n)
         .collect();
     for (caller, at) in begun.iter().enumerate() {
-        events.push(Reverse((*at, Event::Tries { caller, attempt: 1 })));
+        events.push(Reverse((*at, Event::RetryState { caller, attempt: 1 })));
     }
     let mut in_time = 0;
     while let Some(Reverse((now, event))) = events.pop() {
         let (caller, attempt) = match event {
-            Event::Tries { caller, attempt } => (caller, attempt),
+            Event::RetryState { caller, attempt } => (caller, attempt),
             Event::Ends(run) => {
                 running[run].take().expect("the request ran").release(now);
                 continue;
             }
         };
-        let request = Ask {
+        let request = AdmissionRequest {
             class: Class::Standard,
             deadline: Deadline::within(now, Duration::from_secs(2)),
             limits: &LIMITS,
             kind: None,
-            aim: None,
-            settles: true,
+            soft_deadline: None,
+            last_resort: true,
             slots: None,
-            cold: None,
+            cold_limit: None,
         };
-        let offer = admission.offer(now, &request, || Box::new(drop));
+        let offer = admission.request_slot(now, &request, || Box::new(drop));
         let declined = match offer {
-            Offer::Admitted(permit) if rng.random_bool(DECLINED_SHARE) => {
+            AdmissionDecision::Admitted(permit) if rng.random_bool(DECLINED_SHARE) => {
                 permit.release(now);
                 true
             }
-            Offer::Admitted(permit) => {
+            AdmissionDecision::Admitted(permit) => {
                 events.push(Reverse((now + SERVICE_TIME, Event::Ends(running.len()))));
                 running.push(Some(permit));
                 false
             }
-            Offer::Queued(_) | Offer::Refused(_) => true,
+            AdmissionDecision::Queued(_) | AdmissionDecision::Refused(_) => true,
         };
         if !declined {
             in_time += usize::from(now.since(begun[caller]) + SERVICE_TIME <= SOFT_DEADLINE);
@@ -86,7 +86,7 @@
             let attempt = attempt + 1;
             events.push(Reverse((
                 now + retry_after(&admission),
-                Event::Tries { caller, attempt },
+                Event::RetryState { caller, attempt },
             )));
         }
     }
--- a/crates/core/src/patience.rs
+++ b/crates/core/src/caller_timeouts.rs
@@ -40,19 +40,19 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use sassafrasspool_core::Patience;
+/// use sassafrasspool_core::CallerTimeouts;
 ///
-/// let mut patience = Patience::default();
+/// let mut timeouts = CallerTimeouts::default();
 /// let ms = Duration::from_millis;
 /// for n in 0..20 {
-///     patience.note(ms(2_500));
-///     patience.note(ms(1_000 + 37 * n));
+///     timeouts.record(ms(2_500));
+///     timeouts.record(ms(1_000 + 37 * n));
 /// }
-/// assert_eq!(patience.since_first(ms(2_500)), Duration::ZERO);
-/// assert_eq!(patience.since_first(ms(1_800)), ms(700));
+/// assert_eq!(timeouts.time_since_first_attempt(ms(2_500)), Duration::ZERO);
+/// assert_eq!(timeouts.time_since_first_attempt(ms(1_800)), ms(700));
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Patience {
+pub struct CallerTimeouts {
     /// The filled buckets, by increasing number.
     buckets: Vec<Bucket>,
     total: u32,
@@ -66,9 +66,9 @@
     sum: Duration,
 }
 
-impl Patience {
+impl CallerTimeouts {
     /// Counts the timeout that a caller named.
-    pub fn note(&mut self, timeout: Duration) {
+    pub fn record(&mut self, timeout: Duration) {
         let number = bucket_of(timeout);
         let at = self
             .buckets
@@ -95,7 +95,7 @@
 
     /// The time since the first attempt of a caller that now names `timeout`;
     /// zero if this request looks like the first attempt.
-    pub fn since_first(&self, timeout: Duration) -> Duration {
+    pub fn time_since_first_attempt(&self, timeout: Duration) -> Duration {
         let Some(first) = self.first_attempt_buckets() else {
             return Duration::ZERO;
         };
--- a/crates/core/src/succession.rs
+++ b/crates/core/src/generation_tracker.rs
@@ -28,17 +28,17 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use sassafrasspool_core::Succession;
+/// use sassafrasspool_core::GenerationTracker;
 /// use sassafrasspool_core::Tick;
 ///
-/// let mut generations = Succession::default();
-/// generations.declined(Tick::ZERO, &"t-1", &"t-2");
-/// assert_eq!(generations.meant(Tick::ZERO, &"t-1"), &"t-1");
+/// let mut generations = GenerationTracker::default();
+/// generations.record_declined(Tick::ZERO, &"t-1", &"t-2");
+/// assert_eq!(generations.resolve(Tick::ZERO, &"t-1"), &"t-1");
 /// let later = Tick::ZERO + Duration::from_secs(2);
-/// assert_eq!(generations.meant(later, &"t-1"), &"t-2");
+/// assert_eq!(generations.resolve(later, &"t-1"), &"t-2");
 /// ```
 #[derive(Debug)]
-pub struct Succession<G> {
+pub struct GenerationTracker<G> {
     /// The generation that most recently answered a request that named it.
     last_answered: Option<G>,
     ended: Option<EndedGeneration<G>>,
@@ -59,9 +59,9 @@
 /// to find out that its target serves another service.
 const MIN_DECLINED_TIME: Duration = Duration::from_secs(2);
 
-impl<G: Clone + PartialEq> Succession<G> {
+impl<G: Clone + PartialEq> GenerationTracker<G> {
     /// Records that a generation answered a request that named it.
-    pub fn answered(&mut self, generation: &G) {
+    pub fn record_answered(&mut self, generation: &G) {
         if self.last_answered.as_ref() != Some(generation) {
             self.last_answered = Some(generation.clone());
         }
@@ -69,7 +69,7 @@
 
     /// Records that `answering` declined a request for the generation `named`.
     /// Returns whether this pair was not recorded before.
-    pub fn declined(&mut self, now: Tick, named: &G, answering: &G) -> bool {
+    pub fn record_declined(&mut self, now: Tick, named: &G, answering: &G) -> bool {
         if self.last_answered.as_ref() == Some(named) || named == answering {
             self.ended = None;
             return false;
@@ -87,7 +87,7 @@
     }
 
     /// The generation to name in a request that is meant for `requested`.
-    pub fn meant<'a>(&'a self, now: Tick, requested: &'a G) -> &'a G {
+    pub fn resolve<'a>(&'a self, now: Tick, requested: &'a G) -> &'a G {
         match &self.ended {
             Some(ended)
                 if ended.generation == *requested
@@ -100,9 +100,9 @@
     }
 }
 
-impl<G> Default for Succession<G> {
-    fn default() -> Succession<G> {
-        Succession {
+impl<G> Default for GenerationTracker<G> {
+    fn default() -> GenerationTracker<G> {
+        GenerationTracker {
             last_answered: None,
             ended: None,
         }
--- a/crates/core/src/quarantine/report.rs
+++ b/crates/core/src/quarantine/report.rs
@@ -9,7 +9,7 @@
 
 /// An observation of a node, or an order of an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Sighting {
+pub enum Observation {
     /// The target crashed while it ran requests of these contents.
     Crashed(Vec<Content>),
     /// The target gave a whole answer to a request of this content.
@@ -22,7 +22,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ReportId {
     /// The node that made the observation or received the order.
-    pub witness: InstanceId,
+    #[serde(rename = "witness")]
+    pub reporter: InstanceId,
     /// The incarnation of that node.
     pub incarnation: u64,
     /// The number of the report within that incarnation.
@@ -39,5 +40,6 @@
     /// Milliseconds since the observation.
     pub age_ms: u32,
     /// The observation.
-    pub sighting: Sighting,
+    #[serde(rename = "sighting")]
+    pub observation: Observation,
 }
--- a/crates/core/src/spread/list_proof.rs
+++ b/crates/core/src/spread/list_proof.rs
@@ -27,7 +27,7 @@
 /// its time is no later than the moment at which the platform gave it. The time
 /// may lie before the start of the node's clock.
 #[derive(Debug, Default)]
-pub(super) struct ListClock {
+pub(super) struct NewestListProof {
     newest: Option<Proof>,
 }
 
@@ -37,14 +37,14 @@
     at_us: i64,
 }
 
-impl ListClock {
+impl NewestListProof {
     /// Records an answer of the platform to a read that started at
     /// `read_started`.
     ///
     /// The platform made the answer at an unknown time since then, and the
     /// answer may have waited in a buffer. Only the start of the read is
     /// certain to precede it.
-    pub(super) fn prove(&mut self, read_started: Tick, revision: Revision) {
+    pub(super) fn record_source_answer(&mut self, read_started: Tick, revision: Revision) {
         self.note(Proof {
             revision,
             at_us: micros(read_started),
@@ -52,7 +52,7 @@
     }
 
     /// Records the proof in a peer's reply to a call sent at `sent_at`.
-    pub(super) fn merge(&mut self, sent_at: Tick, proof: Option<ListProof>) {
+    pub(super) fn record_peer_proof(&mut self, sent_at: Tick, proof: Option<ListProof>) {
         if let Some(proof) = proof {
             self.note(Proof {
                 revision: proof.revision,
--- a/crates/core/src/spread/machine/read.rs
+++ b/crates/core/src/spread/machine/read.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Spread;
+use super::SpreadMachine;
 use crate::Action;
 use crate::AuditEvent;
 use crate::Catalogue;
@@ -14,7 +14,7 @@
 use crate::Stream;
 use crate::Tick;
 use crate::Version;
-use crate::reader::Place;
+use crate::reader::Placement;
 use crate::spread::join_state::JoinState;
 use crate::spread::source_reads::CheckPolicy;
 use crate::spread::source_reads::EMPTY_ANSWER_DELAY;
@@ -26,25 +26,25 @@
 /// within that time.
 const MAX_SYNC_REPLY_AGE: Duration = Duration::from_secs(1);
 
-impl Spread {
+impl SpreadMachine {
     /// Decides whether this node reads, and starts the reads that are due.
     pub(super) fn start_due_reads(&mut self, now: Tick, out: &mut Vec<Action>) {
         let age = self.contact_age(now);
-        if self.role.step_in(age) {
+        if self.role.try_take_over(age) {
             self.audit_reading(out);
         }
         for stream in Stream::ALL {
             self.fail_overdue_read(now, stream);
         }
         while let Some(stream) = self.next_due_stream(now) {
-            if self.budget.book(now) > now {
+            if self.budget.reserve(now) > now {
                 return;
             }
-            self.budget.take(now);
+            self.budget.consume(now);
             let check = self.check_policy();
             self.reads[stream as usize].start_read(now, &self.store, check, &mut self.rng, out);
         }
-        self.budget.cancel();
+        self.budget.cancel_reservation();
     }
 
     /// When this node checks that the platform answers.
@@ -73,7 +73,7 @@
             return None;
         }
         let due = self.reads[stream as usize].due()?;
-        match self.budget.booked() {
+        match self.budget.reserved_at() {
             Some(moment) if due <= now => Some(moment),
             _ => Some(due),
         }
@@ -81,7 +81,7 @@
 
     /// Whether this node reads a stream: as a reader, or to join.
     fn needs_read(&self, now: Tick, stream: Stream) -> bool {
-        if self.role.reads() || self.has_no_peers() {
+        if self.role.is_reader() || self.has_no_peers() {
             return true;
         }
         if self.is_unlisted_or_unranked() && !self.sync_replaces_read(now) {
@@ -125,8 +125,8 @@
     /// others. In a fleet in which all nodes read, it reads as well, though it
     /// has no rank.
     pub(super) fn is_unlisted_or_unranked(&self) -> bool {
-        let place = self.role.place();
-        place.is_some_and(|it| !it.listed || (it.rank.is_none() && self.role.all_read()))
+        let place = self.role.placement();
+        place.is_some_and(|it| !it.listed || (it.rank.is_none() && self.role.every_node_reads()))
     }
 
     /// Whether a recent comparison with a peer makes reads of the platform
@@ -138,7 +138,8 @@
     /// add a hop.
     fn sync_replaces_read(&self, now: Tick) -> bool {
         let replied_at = self.gossip.last_sync_reply;
-        !self.role.all_read() && replied_at.is_some_and(|at| now.since(at) < MAX_SYNC_REPLY_AGE)
+        !self.role.every_node_reads()
+            && replied_at.is_some_and(|at| now.since(at) < MAX_SYNC_REPLY_AGE)
     }
 
     /// The age of the newest proof of contact, counted from this node's start
@@ -151,7 +152,7 @@
     /// Whether the newest proof of contact that this node has is recent.
     pub(super) fn has_recent_contact(&self, now: Tick) -> bool {
         let age = self.contact.age(now);
-        age.is_some_and(|age| age < self.role.usual_age())
+        age.is_some_and(|age| age < self.role.max_healthy_age())
     }
 
     pub(super) fn handle_source_result(
@@ -173,7 +174,7 @@
                 self.note_source_answer(now, stream, Some(revision));
                 self.offer_catalogue_text(now, revision, &text, out);
             }
-            SourceResult::Items { revision, items } => {
+            SourceResult::CatalogueItems { revision, items } => {
                 self.note_source_answer(now, stream, Some(revision));
                 let before = self.store.catalogue().cloned();
                 let outcome = self.store.offer_items(revision, items, out);
@@ -203,14 +204,14 @@
                 self.refuse_malformed(stream, revision, &reason, out);
             }
             SourceResult::Unchanged { newest } => self.note_unchanged(now, stream, newest, out),
-            SourceResult::Nothing => {
-                self.contact.prove(now, self.role.turn());
+            SourceResult::NothingPublished => {
+                self.contact.record_contact(now, self.role.takeover_rank());
                 self.reads[stream as usize].note_nothing_published(now, &mut self.rng);
             }
             SourceResult::Busy { retry_after } => {
                 // The platform answered: a takeover by other nodes would only
                 // add load.
-                self.contact.prove(now, self.role.turn());
+                self.contact.record_contact(now, self.role.takeover_rank());
                 let wait = retry_after.unwrap_or_default();
                 self.reads[stream as usize].fail(now, wait, &mut self.rng);
             }
@@ -245,7 +246,7 @@
             return false;
         };
         self.reads[Stream::Instances as usize].defer_until(now, deferral.until);
-        out.push(Action::Audit(AuditEvent::ListWaits {
+        out.push(Action::Audit(AuditEvent::ListDeferred {
             offered: list.version().revision(),
             missing: deferral.missing,
             wait: deferral.until.since(now),
@@ -264,12 +265,12 @@
         };
         let read_started = self.reads[stream as usize].newest_read_started();
         if let (Some(read_started), Some(newest)) = (read_started, newest) {
-            self.list_proof.prove(read_started, newest);
+            self.list_proof.record_source_answer(read_started, newest);
         }
     }
 
     fn note_source_answer(&mut self, now: Tick, stream: Stream, seen: Option<Revision>) {
-        self.contact.prove(now, self.role.turn());
+        self.contact.record_contact(now, self.role.takeover_rank());
         self.reads[stream as usize].succeed(now, seen);
     }
 
@@ -363,20 +364,21 @@
         let Some(list) = self.store.instances() else {
             return;
         };
-        let place = Place::find(list, &self.local.id, &self.local.domain);
-        let before = self.role.reads();
+        let place = Placement::find(list, &self.local.id, &self.local.domain);
+        let before = self.role.is_reader();
         self.was_listed |= place.listed;
-        self.role.set_place(place.clone());
-        self.budget.place(now, &place, self.role.readers());
-        if self.role.reads() != before {
+        self.role.set_placement(place.clone());
+        self.budget
+            .set_placement(now, &place, self.role.readers_in_domain());
+        if self.role.is_reader() != before {
             self.audit_reading(out);
         }
     }
 
     pub(super) fn audit_reading(&self, out: &mut Vec<Action>) {
         out.push(Action::Audit(AuditEvent::Reading {
-            reading: self.role.reads(),
-            rank: self.role.turn(),
+            reading: self.role.is_reader(),
+            rank: self.role.takeover_rank(),
         }));
     }
 }
--- a/crates/core/src/spread/machine/wakeup.rs
+++ b/crates/core/src/spread/machine/wakeup.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Spread;
+use super::SpreadMachine;
 use crate::Action;
 use crate::AuditEvent;
 use crate::Stream;
@@ -15,7 +15,7 @@
 /// Minimum delay until the next wakeup, so that the caller can't busy-loop.
 const MIN_WAKEUP_DELAY: Duration = Duration::from_millis(1);
 
-impl Spread {
+impl SpreadMachine {
     /// When [`Event::Wakeup`](crate::Event::Wakeup) is due next.
     pub fn next_wakeup(&self) -> Tick {
         let now = self.last_event_at;
@@ -24,7 +24,7 @@
         let others = [
             self.calls.next_deadline(),
             self.gossip.announce_due(),
-            self.pending_answers.due(),
+            self.pending_answers.next_due(),
             self.join_deadline(),
             self.takeover_due(now),
         ];
@@ -36,10 +36,13 @@
 
     /// When this node takes over as a reader.
     fn takeover_due(&self, now: Tick) -> Option<Tick> {
-        if self.role.reads() || self.role.place().is_none() {
+        if self.role.is_reader() || self.role.placement().is_none() {
             return None;
         }
-        let left = self.role.patience().saturating_sub(self.contact_age(now));
+        let left = self
+            .role
+            .takeover_age()
+            .saturating_sub(self.contact_age(now));
         Some(now + left)
     }
 
--- a/crates/core/src/spread/tests/list_proofs.rs
+++ b/crates/core/src/spread/tests/list_proofs.rs
@@ -15,7 +15,7 @@
 use crate::Revision;
 use crate::Stream;
 use crate::Tick;
-use crate::spread::list_proof::ListClock;
+use crate::spread::list_proof::NewestListProof;
 
 /// The publication time of each list revision, in microseconds.
 struct Publications(Vec<(i64, u64)>);
@@ -42,7 +42,7 @@
 fn assert_proofs(net: &Net, published: &Publications) -> Duration {
     let mut oldest = Duration::ZERO;
     for node in net.running() {
-        let Some(proof) = node.machine.status(net.now).list else {
+        let Some(proof) = node.machine.status(net.now).list_proof else {
             continue;
         };
         let at = micros(net.now) - i64::from(proof.age_ms) * 1_000;
@@ -109,10 +109,7 @@
         net.run_for(Duration::from_millis(400));
         oldest = oldest.max(assert_proofs(&net, &published));
     }
-    assert!(
-        oldest < crate::RepeatSettings::default().lease,
-        "{oldest:?}"
-    );
+    assert!(oldest < crate::DedupSettings::default().lease, "{oldest:?}");
 }
 
 /// Guards against an answer that counts as fresh although it was delayed in a buffer.
@@ -124,16 +121,16 @@
             age_ms,
         })
     };
-    let mut clock = ListClock::default();
+    let mut clock = NewestListProof::default();
     assert_eq!(clock.current(Tick::ZERO), None);
-    clock.merge(Tick::from_millis(10_000), proof(4, 3_000));
+    clock.record_peer_proof(Tick::from_millis(10_000), proof(4, 3_000));
     let now = Tick::from_millis(20_000);
     assert_eq!(clock.current(now), proof(4, 13_001));
-    clock.prove(Tick::from_millis(9_000), Revision::new(3).unwrap());
+    clock.record_source_answer(Tick::from_millis(9_000), Revision::new(3).unwrap());
     assert_eq!(clock.current(now), proof(4, 13_001), "of an older list");
-    clock.prove(Tick::from_millis(5_000), Revision::new(5).unwrap());
+    clock.record_source_answer(Tick::from_millis(5_000), Revision::new(5).unwrap());
     assert_eq!(clock.current(now), proof(5, 15_001), "of a newer list");
-    clock.merge(Tick::ZERO, proof(5, 60_000));
+    clock.record_peer_proof(Tick::ZERO, proof(5, 60_000));
     assert_eq!(
         clock.current(now),
         proof(5, 15_001),
--- a/crates/node/src/admin/answers.rs
+++ b/crates/node/src/admin/answers.rs
@@ -75,7 +75,7 @@
     Versions {
         instance: admin.settings.instance.clone(),
         held: versions_in_force(admin),
-        heard: advertised_versions(&spread.heard),
+        heard: advertised_versions(&spread.advertised),
         refused: spread.refused.map(Into::into),
         refusals: spread.refusals,
         conflicts: spread.conflicts,
--- a/crates/node/src/control/driver.rs
+++ b/crates/node/src/control/driver.rs
@@ -161,7 +161,7 @@
             let contact_at = Tick::ZERO + since_start;
             self.context.shared.contact().note(contact_at);
         }
-        if let Some(advertised) = status.heard.catalogue {
+        if let Some(advertised) = status.advertised.catalogue {
             self.context.shared.heard().note(now, advertised.revision());
         }
         self.record_list_proof(now, &status);
@@ -173,7 +173,7 @@
     /// The age of the contact with the platform can't be used for this: it is
     /// also renewed by answers that don't concern the list.
     fn record_list_proof(&self, now: Tick, status: &SpreadStatus) {
-        let Some(proof) = status.list else {
+        let Some(proof) = status.list_proof else {
             return;
         };
         let age = Duration::from_millis(proof.age_ms.into());
--- a/crates/node/src/control/probe/tests.rs
+++ b/crates/node/src/control/probe/tests.rs
@@ -11,8 +11,8 @@
 use rstest::rstest;
 use sassafrasspool_core::Incarnation;
 use sassafrasspool_core::Instance;
+use sassafrasspool_core::TargetGeneration;
 use sassafrasspool_core::TargetId;
-use sassafrasspool_core::TargetLife;
 use tokio::net::TcpListener;
 
 use super::track_cold_state;
@@ -61,10 +61,10 @@
 
 fn view() -> View {
     let instance = Instance {
-        target: Some(TargetLife {
+        target: Some(TargetGeneration {
             id: TargetId::new("i-1").expect("valid target id"),
-            listed_at: 1,
-            born: None,
+            listed_revision: 1,
+            started_ms: None,
         }),
         ..instance("wd-1")
     };
--- a/crates/node/src/control/tests.rs
+++ b/crates/node/src/control/tests.rs
@@ -147,9 +147,9 @@
     };
     let changes = [
         monitor.record_read(Stream::Catalogue, &failed),
-        monitor.record_read(Stream::Instances, &SourceResult::Nothing),
+        monitor.record_read(Stream::Instances, &SourceResult::NothingPublished),
         monitor.record_read(Stream::Catalogue, &failed),
-        monitor.record_read(Stream::Catalogue, &SourceResult::Nothing),
+        monitor.record_read(Stream::Catalogue, &SourceResult::NothingPublished),
     ];
     let [lost, regained] = [
         AvailabilityChange::Lost,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
+use sassafrasspool_core::DedupSettings;
 use sassafrasspool_core::DomainName;
 use sassafrasspool_core::Faults;
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::RegionName;
-use sassafrasspool_core::RepeatSettings;
 use sassafrasspool_core::ServiceName;
 
 pub use self::control::ControlSettings;
@@ -66,7 +66,7 @@
     /// The number of threads that forward requests.
     pub traffic_threads: usize,
     /// Deduplication by request key; the same on every node.
-    pub repeat: RepeatSettings,
+    pub repeat: DedupSettings,
     /// Format, level and rate of the log.
     pub log: LogSettings,
     /// Time limits of a stop.
--- a/crates/node/src/settings/tests.rs
+++ b/crates/node/src/settings/tests.rs
@@ -65,7 +65,7 @@
     assert_ne!(text, COMPLETE);
     let cold = Settings::parse(&text).expect("valid settings").target.cold;
     assert_eq!(
-        (cold.over_percent, cold.slack),
+        (cold.max_rate_percent, cold.slack_requests),
         (case.over_percent, case.slack)
     );
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -9,11 +9,11 @@
 use std::sync::atomic::Ordering;
 
 use arc_swap::ArcSwapOption;
+use sassafrasspool_core::DedupWindow;
 use sassafrasspool_core::Incarnation;
 use sassafrasspool_core::InstanceId;
+use sassafrasspool_core::Locality;
 use sassafrasspool_core::Phase;
-use sassafrasspool_core::Position;
-use sassafrasspool_core::RepeatWindow;
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::ServiceName;
 use sassafrasspool_core::Tick;
@@ -200,7 +200,7 @@
     /// Sets the node's locality and its deduplication window of keyed requests.
     ///
     /// Routes are built only after this was called, so it precedes the first view.
-    pub fn place(&self, locality: Position, dedup: RepeatWindow) {
+    pub fn place(&self, locality: Locality, dedup: DedupWindow) {
         self.routing.configure(locality, dedup);
     }
 
--- a/crates/node/src/shared/local_cold_tracker.rs
+++ b/crates/node/src/shared/local_cold_tracker.rs
@@ -8,7 +8,7 @@
 use sassafrasspool_core::ColdLimit;
 use sassafrasspool_core::ColdStart;
 use sassafrasspool_core::ColdTolerance;
-use sassafrasspool_core::Coldness;
+use sassafrasspool_core::ColdTracker;
 use sassafrasspool_core::Tick;
 use tokio::sync::Notify;
 
@@ -17,7 +17,7 @@
 /// The tracked cold time of the local target.
 #[derive(Debug, Default)]
 pub(crate) struct LocalColdTracker {
-    state: Mutex<Coldness>,
+    state: Mutex<ColdTracker>,
     /// Notified when the target may be warm before the tracked end of its cold time.
     unconfirmed: Notify,
 }
@@ -34,10 +34,10 @@
         let instance = &endpoint.instance;
         self.update_state(|state| {
             if let Some(generation) = &instance.target {
-                state.follow_list(now, start, generation, instance.cold_for);
+                state.update_from_list(now, start, generation, instance.cold_for);
             }
             let evacuated = routes.view.snapshot.is_evacuated(&instance.domain);
-            state.follow_evacuation(now, start, evacuated);
+            state.update_evacuation(now, start, evacuated);
         });
     }
 
@@ -53,16 +53,16 @@
         let start = start?;
         let until = self.update_state(|state| {
             if let Some(generation) = generation {
-                state.follow_request(now, start, generation);
+                state.record_requested_generation(now, start, generation);
             }
-            state.until()
+            state.cold_until()
         });
         (now < until).then(|| tolerance.limit(start.per_s, until))
     }
 
     /// The remaining cold time of the target, as tracked.
     pub(crate) fn left(&self, now: Tick) -> Duration {
-        self.lock().until().since(now)
+        self.lock().cold_until().since(now)
     }
 
     /// Waits until the target may be warm before the tracked end of its cold time.
@@ -73,26 +73,26 @@
     /// Whether the target may be warm before the tracked end of its cold time.
     pub(crate) fn is_unproved(&self, now: Tick) -> bool {
         let state = self.lock();
-        state.is_unproved() && now < state.until()
+        state.is_unconfirmed() && now < state.cold_until()
     }
 
     /// Records the remaining cold time that the target reported to a probe.
     pub(crate) fn probed(&self, now: Tick, left: Duration) {
-        self.lock().probed(now, left);
+        self.lock().record_probe(now, left);
     }
 
     /// Updates the state; notifies if it has become unconfirmed.
-    fn update_state<T>(&self, update: impl FnOnce(&mut Coldness) -> T) -> T {
+    fn update_state<T>(&self, update: impl FnOnce(&mut ColdTracker) -> T) -> T {
         let mut state = self.lock();
-        let was_unconfirmed = state.is_unproved();
+        let was_unconfirmed = state.is_unconfirmed();
         let result = update(&mut state);
-        if state.is_unproved() && !was_unconfirmed {
+        if state.is_unconfirmed() && !was_unconfirmed {
             self.unconfirmed.notify_one();
         }
         result
     }
 
-    fn lock(&self) -> MutexGuard<'_, Coldness> {
+    fn lock(&self) -> MutexGuard<'_, ColdTracker> {
         // No update of the state can panic halfway.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/node/src/shared/quarantine.rs
+++ b/crates/node/src/shared/quarantine.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use sassafrasspool_core::ANSWER_EXCUSES;
+use sassafrasspool_core::ANSWER_EXEMPTION;
 use sassafrasspool_core::Content;
 use sassafrasspool_core::Event;
 use sassafrasspool_core::Fingerprint;
-use sassafrasspool_core::Sighting;
+use sassafrasspool_core::Observation;
+use sassafrasspool_core::QuarantineState;
 use sassafrasspool_core::Tick;
-use sassafrasspool_core::Verdicts;
 use tokio::sync::watch;
 
 use super::Clock;
@@ -28,7 +28,7 @@
 /// The requests in quarantine, and the recent answers of the local target.
 #[derive(Debug, Default)]
 pub(crate) struct Quarantine {
-    state: ArcSwap<Verdicts>,
+    state: ArcSwap<QuarantineState>,
     /// Notified after another state is in force.
     updated: watch::Sender<()>,
     recent_answers: Mutex<RecentAnswers>,
@@ -45,7 +45,7 @@
 
     /// How much longer no target is to run a request, if it is in quarantine at `now`.
     pub(crate) fn holds(&self, now: Tick, content: &Content) -> Option<Duration> {
-        let until = self.state.load().held_until(now, content)?;
+        let until = self.state.load().quarantined_until(now, content)?;
         Some(until.since(now))
     }
 
@@ -64,7 +64,7 @@
     /// All requests in quarantine, and how much longer each is.
     pub(crate) fn list(&self, now: Tick) -> Vec<(Fingerprint, Duration)> {
         let state = self.state.load();
-        let quarantined = state.held_at(now);
+        let quarantined = state.quarantined_at(now);
         quarantined
             .map(|(content, until)| (content, until.since(now)))
             .collect()
@@ -72,17 +72,17 @@
 
     /// Puts another state in force, and reports the recent answers of the local target to
     /// requests that have become suspect with it.
-    pub(crate) fn judge(&self, now: Tick, state: Arc<Verdicts>) {
+    pub(crate) fn judge(&self, now: Tick, state: Arc<QuarantineState>) {
         let answered: Vec<(Fingerprint, Tick)> = {
             let recent = self.recent_answers.lock();
             let recent = recent.unwrap_or_else(PoisonError::into_inner);
             let answered_at = |content| Some((content, recent.find(content)?));
-            state.doubted().filter_map(answered_at).collect()
+            state.suspects().filter_map(answered_at).collect()
         };
         let before = self.state.swap(state);
         self.updated.send_replace(());
         for (content, at) in answered {
-            if !before.doubts(content) {
+            if !before.is_suspect(content) {
                 self.report_answer(content, now.since(at));
             }
         }
@@ -99,7 +99,7 @@
             }
         }
         let state = self.state.load();
-        for content in content.fingerprints().filter(|it| state.doubts(*it)) {
+        for content in content.fingerprints().filter(|it| state.is_suspect(*it)) {
             self.report_answer(content, Duration::ZERO);
         }
     }
@@ -107,14 +107,14 @@
     /// Reports that the local target crashed while it ran these requests.
     pub(crate) async fn crashed(&self, ran: Vec<Content>) {
         // The report is dropped if the node has ended.
-        self.report(Sighting::Crashed(ran)).await;
+        self.report(Observation::Crashed(ran)).await;
     }
 
     /// Orders the release of a request from quarantine; returns false if the node has
     /// ended.
     pub(crate) async fn release(&self, content: &Content) -> bool {
         for content in content.fingerprints() {
-            if !self.report(Sighting::Released(content)).await {
+            if !self.report(Observation::Released(content)).await {
                 return false;
             }
         }
@@ -123,21 +123,21 @@
 
     /// Sends an observation made just now to the control side; returns false if there is
     /// none or the node has ended.
-    async fn report(&self, sighting: Sighting) -> bool {
+    async fn report(&self, observation: Observation) -> bool {
         let Some(control) = self.control.get() else {
             return false;
         };
-        let ago = Duration::ZERO;
-        let event = Event::Sighted { sighting, ago };
+        let age = Duration::ZERO;
+        let event = Event::Observed { observation, age };
         control.send(ControlEvent::Spread(event)).await
     }
 
-    fn report_answer(&self, content: Fingerprint, ago: Duration) {
+    fn report_answer(&self, content: Fingerprint, age: Duration) {
         let Some(control) = self.control.get() else {
             return;
         };
-        let sighting = Sighting::Answered(content);
-        let event = ControlEvent::Spread(Event::Sighted { sighting, ago });
+        let observation = Observation::Answered(content);
+        let event = ControlEvent::Spread(Event::Observed { observation, age });
         if !control.try_send(event) {
             // The next answer is reported again, as long as the request is suspect.
             tracing::debug!(%content, "answer not reported: the control queue is full");
@@ -149,7 +149,7 @@
 ///
 /// The times are kept in two halves. The older half is dropped when the newer one is full,
 /// or has been filled for as long as an answer exempts a request from crashes
-/// ([`ANSWER_EXCUSES`]).
+/// ([`ANSWER_EXEMPTION`]).
 #[derive(Debug, Default)]
 struct RecentAnswers {
     newer: HashMap<Fingerprint, Tick>,
@@ -160,7 +160,7 @@
 
 impl RecentAnswers {
     fn record(&mut self, now: Tick, content: Fingerprint) {
-        let is_old = now.since(self.newer_since) >= ANSWER_EXCUSES;
+        let is_old = now.since(self.newer_since) >= ANSWER_EXEMPTION;
         if is_old || self.newer.len() >= MAX_ANSWERS_PER_HALF {
             std::mem::swap(&mut self.newer, &mut self.older);
             self.newer.clear();
--- a/crates/node/src/shared/routing.rs
+++ b/crates/node/src/shared/routing.rs
@@ -10,17 +10,17 @@
 
 use arc_swap::ArcSwapOption;
 use sassafrasspool_core::BoundService;
+use sassafrasspool_core::DedupWindow;
 use sassafrasspool_core::Endpoint;
 use sassafrasspool_core::EndpointKey;
 use sassafrasspool_core::EndpointState;
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::InstanceState;
 use sassafrasspool_core::Intake;
+use sassafrasspool_core::Locality;
 use sassafrasspool_core::Meters;
 use sassafrasspool_core::Phase;
 use sassafrasspool_core::Picker;
-use sassafrasspool_core::Position;
-use sassafrasspool_core::RepeatWindow;
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::RouteSettings;
 use sassafrasspool_core::Tick;
@@ -75,8 +75,8 @@
 /// The node's locality and its deduplication window of keyed requests.
 #[derive(Debug)]
 struct Config {
-    locality: Position,
-    dedup: RepeatWindow,
+    locality: Locality,
+    dedup: DedupWindow,
 }
 
 /// Builds the routes on the control thread, and publishes them to the traffic threads.
@@ -91,7 +91,7 @@
 
 impl Routing {
     /// Sets the node's locality and its window; a second call changes nothing.
-    pub(super) fn configure(&self, locality: Position, dedup: RepeatWindow) {
+    pub(super) fn configure(&self, locality: Locality, dedup: DedupWindow) {
         // Set once for each node, from its settings.
         let _ = self.cfg.set(Config { locality, dedup });
     }
@@ -99,7 +99,7 @@
     /// Records a proof that the instance list of `revision` was the newest at `at`.
     pub(super) fn record_list_proof(&self, at: Tick, revision: Revision) {
         if let Some(cfg) = self.cfg.get() {
-            cfg.dedup.prove(at, revision);
+            cfg.dedup.record_proof(at, revision);
         }
     }
 
@@ -124,7 +124,7 @@
                 // INVARIANT: The window gets the snapshot before requests are
                 // routed by it, so that the owner of a key doesn't apply it later
                 // than the nodes that send requests with the key.
-                dedup.snapshot_changed(now, &view.snapshot);
+                dedup.apply_snapshot(now, &view.snapshot);
                 self.meters.retain(&view.snapshot);
                 self.apply_all_states(&view.states, now);
                 let cfg = RouteSettings::default();
@@ -159,7 +159,7 @@
             before != Some(state.phase)
         });
         for (id, state) in changed {
-            self.meters.mark(id, intake(state.phase), now);
+            self.meters.set_intake(id, intake(state.phase), now);
         }
         *applied = Arc::clone(states);
     }
@@ -169,7 +169,7 @@
     /// meter for it.
     fn apply_all_states(&self, states: &Arc<States>, now: Tick) {
         for (id, state) in states.iter() {
-            self.meters.mark(id, intake(state.phase), now);
+            self.meters.set_intake(id, intake(state.phase), now);
         }
         *self.lock_applied_states() = Arc::clone(states);
     }
--- a/crates/node/src/traffic/hub.rs
+++ b/crates/node/src/traffic/hub.rs
@@ -7,16 +7,16 @@
 use sassafrasspool_core::AdmissionSettings;
 use sassafrasspool_core::ColdTolerance;
 use sassafrasspool_core::Content;
+use sassafrasspool_core::DedupWindow;
+use sassafrasspool_core::Locality;
 use sassafrasspool_core::Phase;
-use sassafrasspool_core::Position;
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Refusal;
 use sassafrasspool_core::RegionName;
-use sassafrasspool_core::RepeatWindow;
 use sassafrasspool_core::Result;
 use sassafrasspool_core::ServiceName;
 use sassafrasspool_core::Step;
-use sassafrasspool_core::TargetLife;
+use sassafrasspool_core::TargetGeneration;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
@@ -55,7 +55,7 @@
     pub(super) egress: Counters,
     pub(super) peers: Counters,
     /// The requests with a key that the local target has run.
-    pub(super) repeat: RepeatWindow,
+    pub(super) repeat: DedupWindow,
     /// The most bytes of an answer that are stored for repeated requests.
     pub(super) max_stored: usize,
     /// Cancelled when the node's stop is requested.
@@ -80,12 +80,12 @@
         shared: Arc<Shared>,
         cancel: CancellationToken,
     ) -> Result<Hub> {
-        let position = Position {
+        let position = Locality {
             instance: cfg.instance.clone(),
             domain: cfg.domain.clone(),
             region: cfg.region.clone(),
         };
-        let repeat = RepeatWindow::new(cfg.repeat, cfg.instance.clone(), cfg.service.clone())?;
+        let repeat = DedupWindow::new(cfg.repeat, cfg.instance.clone(), cfg.service.clone())?;
         shared.place(position, repeat.clone());
         shared.set_service(cfg.service.clone());
         let admission = Admission::new(AdmissionSettings::default(), cfg.target.slots)?;
@@ -122,11 +122,11 @@
     /// A target that restarts under the same name isn't detected by a refusal: a connection
     /// to the previous process would accept a request and not answer until its deadline.
     /// Requests in flight end with their connections.
-    pub(super) fn follow_target(&self, listed: &TargetLife) {
+    pub(super) fn follow_target(&self, listed: &TargetGeneration) {
         if self.own_life.follow(listed) {
             tracing::info!(
                 target = listed.id.as_str(),
-                born = listed.born,
+                born = listed.started_ms,
                 "the local target has restarted"
             );
             self.pool.clear();
@@ -147,7 +147,7 @@
         };
         let quarantine = self.shared.quarantine();
         let left = quarantine.entered(self.shared.clock(), content).await;
-        Refusal::not_run(step, Reason::Quarantined).after(left)
+        Refusal::not_run(step, Reason::Quarantined).with_retry_after(left)
     }
 
     /// Checks that a request isn't quarantined.
@@ -161,7 +161,7 @@
         content: Option<&Content>,
     ) -> std::result::Result<(), Refusal> {
         match self.quarantined_for(content) {
-            Some(left) => Err(Refusal::not_run(step, Reason::Quarantined).after(left)),
+            Some(left) => Err(Refusal::not_run(step, Reason::Quarantined).with_retry_after(left)),
             None => Ok(()),
         }
     }
--- a/crates/node/src/traffic/inbound/admission.rs
+++ b/crates/node/src/traffic/inbound/admission.rs
@@ -3,8 +3,8 @@
 use std::convert::Infallible;
 
 use sassafrasspool_core::Admission;
-use sassafrasspool_core::Ask;
-use sassafrasspool_core::Offer;
+use sassafrasspool_core::AdmissionDecision;
+use sassafrasspool_core::AdmissionRequest;
 use sassafrasspool_core::Permit;
 use sassafrasspool_core::Queued;
 use sassafrasspool_core::Reason;
@@ -29,11 +29,11 @@
 pub(in crate::traffic) async fn admit(
     admission: &Admission,
     clock: &Clock,
-    ask: &Ask<'_>,
+    ask: &AdmissionRequest<'_>,
     aborted: impl Future<Output = Refusal>,
 ) -> Result<Permit, Refusal> {
     let mut decision_rx = None;
-    let offer = admission.offer(clock.now(), ask, || {
+    let offer = admission.request_slot(clock.now(), ask, || {
         let (tx, rx) = oneshot::channel::<Decision>();
         decision_rx = Some(rx);
         Box::new(move |decision| {
@@ -42,9 +42,9 @@
         })
     });
     match (offer, decision_rx) {
-        (Offer::Admitted(permit), _) => Ok(permit),
-        (Offer::Refused(refusal), _) => Err(refusal),
-        (Offer::Queued(queued), Some(rx)) => {
+        (AdmissionDecision::Admitted(permit), _) => Ok(permit),
+        (AdmissionDecision::Refused(refusal), _) => Err(refusal),
+        (AdmissionDecision::Queued(queued), Some(rx)) => {
             tokio::select! {
                 biased;
                 decision = wait(queued, rx, clock) => decision,
@@ -52,21 +52,21 @@
                 never = admit_while_cold(admission, clock) => match never {},
             }
         }
-        (Offer::Queued(_), None) => Err(queue_timeout()),
+        (AdmissionDecision::Queued(_), None) => Err(queue_timeout()),
     }
 }
 
 /// Admits queued requests at the rate that a cold target tolerates, while requests are
 /// queued.
 async fn admit_while_cold(admission: &Admission, clock: &Clock) -> Infallible {
-    while let Some(next) = admission.refill(clock.now()) {
+    while let Some(next) = admission.admit_queued(clock.now()) {
         tokio::time::sleep_until(clock.instant(next).into()).await;
     }
     std::future::pending().await
 }
 
 async fn wait(queued: Queued, mut rx: oneshot::Receiver<Decision>, clock: &Clock) -> Decision {
-    let until = clock.instant(queued.until());
+    let until = clock.instant(queued.expires_at());
     match tokio::time::timeout_at(until.into(), &mut rx).await {
         Ok(decision) => decision.unwrap_or_else(|_| Err(queue_timeout())),
         Err(_) => match queued.expire(clock.now()) {
--- a/crates/node/src/traffic/inbound/body_intake.rs
+++ b/crates/node/src/traffic/inbound/body_intake.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::Request;
-use sassafrasspool_core::Ask;
+use sassafrasspool_core::AdmissionRequest;
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Refusal;
 use sassafrasspool_core::Step;
@@ -40,7 +40,7 @@
     /// Refuses the request as not run, with a retry delay, if the bound is reached.
     pub(in crate::traffic) fn try_acquire(&self) -> Result<SemaphorePermit<'_>, Refusal> {
         let permit = self.0.try_acquire();
-        permit.map_err(|_| refuse(Reason::QueueFull).after(UPLOAD_RETRY_AFTER))
+        permit.map_err(|_| refuse(Reason::QueueFull).with_retry_after(UPLOAD_RETRY_AFTER))
     }
 }
 
@@ -56,14 +56,14 @@
 /// Refuses the request as not run.
 pub(in crate::traffic) async fn receive_body(
     hub: &Hub,
-    ask: &Ask<'_>,
+    ask: &AdmissionRequest<'_>,
     req: Request<Payload>,
 ) -> Result<Request<Payload>, Missed> {
     if req.body().streamed_bytes().is_none() {
         return Ok(req);
     }
     let clock = hub.shared.clock();
-    if let Some(refusal) = hub.admission.foresee(clock.now(), ask) {
+    if let Some(refusal) = hub.admission.predict_refusal(clock.now(), ask) {
         return Err(Missed::unsent(refusal, req));
     }
     // A body that fits into the upload window arrives with the head of the request.
--- a/crates/node/src/traffic/inbound/exchange.rs
+++ b/crates/node/src/traffic/inbound/exchange.rs
@@ -16,7 +16,7 @@
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Refusal;
 use sassafrasspool_core::Request as Stage;
-use sassafrasspool_core::Running;
+use sassafrasspool_core::RunPermit;
 use sassafrasspool_core::Step;
 use sassafrasspool_wire::header::REQUEST_ID;
 
@@ -38,7 +38,7 @@
     pub(in crate::traffic) hub: Arc<Hub>,
     pub(in crate::traffic) stage: Stage<HandedOver>,
     /// The right to run the request of its key, if it has one.
-    pub(in crate::traffic) running: Option<Running>,
+    pub(in crate::traffic) running: Option<RunPermit>,
     pub(in crate::traffic) deadline: Deadline,
     /// Records how the target fares while it runs the request; `None` if the content of
     /// the request is unknown.
@@ -119,7 +119,7 @@
             }
             Ok(Err(target::ExchangeFailure::NotSent(err, proof, unsent))) => {
                 tracing::debug!(%err, "not handed over");
-                let refusal = self.stage.take_back(clock.now(), proof);
+                let refusal = self.stage.refuse_unsent(clock.now(), proof);
                 let failure = release_key(self.running, refusal).into();
                 Err(Missed { failure, unsent })
             }
@@ -155,7 +155,7 @@
         };
         let unsigned = !declined && dialect.lacks_signature(&res);
         if (dialect.echoes_id && is_foreign) || unsigned {
-            return Err(self.lose(LossCause::AnswerSpoiled));
+            return Err(self.lose(LossCause::AnswerInvalid));
         }
         if !declined {
             if let Some(named) = &self.generation {
@@ -166,13 +166,16 @@
         let reason = match res.status() {
             StatusCode::MISDIRECTED_REQUEST => {
                 self.record_other_generation(&res);
-                Reason::OtherLife
+                Reason::OtherGeneration
             }
             _ => Reason::TargetShed,
         };
         let now = self.hub.shared.clock().now();
         let wait = self.hub.admission.expected_wait(self.stage.class());
-        let refusal = self.stage.declined(now, reason).after(wait);
+        let refusal = self
+            .stage
+            .refuse_by_target(now, reason)
+            .with_retry_after(wait);
         Err(release_key(self.running, refusal).into())
     }
 
@@ -188,7 +191,7 @@
 
     fn into_answer(self, res: Response<TargetBody>) -> Response<Answer> {
         let clock = *self.hub.shared.clock();
-        let stage = self.stage.answered();
+        let stage = self.stage.begin_answer();
         let mut watched = self.watched;
         if let Some(watched) = &mut watched {
             watched.record_status(res.status());
@@ -206,16 +209,16 @@
     fn lose(self, cause: LossCause) -> Missed {
         let now = self.hub.shared.clock().now();
         if let Some(running) = self.running {
-            running.lost(now);
+            running.mark_unknown(now);
         }
-        self.stage.lost(now, cause).into()
+        self.stage.lose(now, cause).into()
     }
 }
 
 /// Marks the key of a refused request as unused.
-pub(in crate::traffic) fn release_key(running: Option<Running>, refusal: Refusal) -> Refusal {
+pub(in crate::traffic) fn release_key(running: Option<RunPermit>, refusal: Refusal) -> Refusal {
     match running {
-        Some(running) => running.refused(refusal),
+        Some(running) => running.release(refusal),
         None => refusal,
     }
 }
--- a/crates/node/src/traffic/inbound/forward.rs
+++ b/crates/node/src/traffic/inbound/forward.rs
@@ -6,8 +6,8 @@
 use http::HeaderValue;
 use http::Request;
 use http::Response;
-use sassafrasspool_core::Ask;
-use sassafrasspool_core::Begin;
+use sassafrasspool_core::AdmissionRequest;
+use sassafrasspool_core::AttemptDecision;
 use sassafrasspool_core::BoundService;
 use sassafrasspool_core::Class;
 use sassafrasspool_core::ColdLimit;
@@ -20,7 +20,7 @@
 use sassafrasspool_core::Refusal;
 use sassafrasspool_core::Request as Stage;
 use sassafrasspool_core::Route;
-use sassafrasspool_core::Running;
+use sassafrasspool_core::RunPermit;
 use sassafrasspool_core::Step;
 use sassafrasspool_core::StoredAnswer;
 use sassafrasspool_core::Tick;
@@ -72,12 +72,12 @@
         &'a self,
         class: Class,
         limits: &'a Limits,
-    ) -> Ask<'a> {
-        Ask {
+    ) -> AdmissionRequest<'a> {
+        AdmissionRequest {
             kind: self.kind.as_ref(),
-            aim: self.aim,
-            settles: self.settles,
-            ..Stage::received(class, self.deadline).ask(limits)
+            soft_deadline: self.aim,
+            last_resort: self.settles,
+            ..Stage::received(class, self.deadline).admission_request(limits)
         }
     }
 }
@@ -106,7 +106,7 @@
     };
     // The sending node may have routed by an earlier catalogue version.
     if route.is_some_and(|route| !route.homes.allows(&hub.region)) {
-        return Err(Missed::unsent(refuse(Reason::NotAtHome), req));
+        return Err(Missed::unsent(refuse(Reason::OutsideHomes), req));
     }
     let listed = call.routes.own().map(|(endpoint, _)| &endpoint.instance);
     let slots = listed.map(|instance| instance.slots);
@@ -156,9 +156,9 @@
     let service = local_service(worker, call)?;
     let class = call.class.unwrap_or(service.entry.class);
     let mut ask = call.admission_request(class, &service.entry.limits);
-    ask.cold = cold_limit(worker, service, call);
+    ask.cold_limit = cold_limit(worker, service, call);
     let now = worker.hub.shared.clock().now();
-    match worker.hub.admission.foresee(now, &ask) {
+    match worker.hub.admission.predict_refusal(now, &ask) {
         Some(refusal) => Err(refusal),
         None => worker.hub.arrivals.try_acquire().map(drop),
     }
@@ -188,7 +188,7 @@
 /// Whether a request is run, according to its key if it has one.
 #[derive(Debug)]
 enum RunDecision {
-    Run(Option<Running>),
+    Run(Option<RunPermit>),
     Answer(Arc<StoredAnswer>),
     Refuse(Refusal),
 }
@@ -204,10 +204,10 @@
         Err(refusal) => return RunDecision::Refuse(refusal),
     };
     let now = hub.shared.clock().now();
-    match hub.repeat.begin(now, keyed.key, keyed.attempt) {
-        Begin::Run(running) => RunDecision::Run(Some(running)),
-        Begin::Answer(stored) => RunDecision::Answer(stored),
-        Begin::Refuse(refusal) => RunDecision::Refuse(refusal),
+    match hub.repeat.begin_attempt(now, keyed.key, keyed.attempt) {
+        AttemptDecision::Run(running) => RunDecision::Run(Some(running)),
+        AttemptDecision::Answer(stored) => RunDecision::Answer(stored),
+        AttemptDecision::Refuse(refusal) => RunDecision::Refuse(refusal),
     }
 }
 
--- a/crates/node/src/traffic/inbound/inbound_request.rs
+++ b/crates/node/src/traffic/inbound/inbound_request.rs
@@ -70,7 +70,7 @@
         let hub = &self.worker.hub;
         let stage = Stage::received(class, self.call.deadline);
         let mut ask = self.call.admission_request(class, limits);
-        ask.cold = cold;
+        ask.cold_limit = cold;
         if let Some(slots) = slots {
             ask.slots = Some(slots);
             hub.pool.resize(slots);
@@ -97,7 +97,7 @@
             // The request was quarantined while it was queued.
             let now = hub.shared.clock().now();
             let refusal = stage.refuse(now, Step::Admission, Reason::Quarantined);
-            return Err(Missed::unsent(refusal.after(left), self.req));
+            return Err(Missed::unsent(refusal.with_retry_after(left), self.req));
         }
         match target::acquire(&hub.pool, self.worker.index).await {
             Ok(conn) => self.hand_over(stage, conn).await,
--- a/crates/node/src/traffic/inbound/unsent_key.rs
+++ b/crates/node/src/traffic/inbound/unsent_key.rs
@@ -2,7 +2,7 @@
 
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Refusal;
-use sassafrasspool_core::Running;
+use sassafrasspool_core::RunPermit;
 use sassafrasspool_core::Step;
 use sassafrasspool_core::Tick;
 
@@ -15,10 +15,10 @@
 /// key as unused, as when the request is refused or its caller disconnects while the
 /// request is queued.
 #[derive(Debug)]
-pub(in crate::traffic) struct UnsentKey(Option<Running>);
+pub(in crate::traffic) struct UnsentKey(Option<RunPermit>);
 
 impl UnsentKey {
-    pub(in crate::traffic) fn new(running: Option<Running>) -> UnsentKey {
+    pub(in crate::traffic) fn new(running: Option<RunPermit>) -> UnsentKey {
         UnsentKey(running)
     }
 
@@ -30,9 +30,12 @@
     pub(in crate::traffic) fn into_running(
         mut self,
         now: Tick,
-    ) -> Result<Option<Running>, Refusal> {
+    ) -> Result<Option<RunPermit>, Refusal> {
         // INVARIANT: The drop finds no right that it would release.
-        self.0.take().map(|running| running.check(now)).transpose()
+        self.0
+            .take()
+            .map(|running| running.recheck(now))
+            .transpose()
     }
 }
 
@@ -40,7 +43,7 @@
     fn drop(&mut self) {
         if let Some(running) = self.0.take() {
             // If the request was refused, that refusal is returned already.
-            let _ = running.refused(Refusal::not_run(Step::Admission, Reason::CallerGone));
+            let _ = running.release(Refusal::not_run(Step::Admission, Reason::CallerGone));
         }
     }
 }
--- a/crates/node/src/traffic/outbound/access_log.rs
+++ b/crates/node/src/traffic/outbound/access_log.rs
@@ -86,7 +86,7 @@
         self.picked = Some(PickedEndpoint {
             endpoint: picked.endpoint(),
             load_percent: picked.load_percent(),
-            picked_at: picked.since(),
+            picked_at: picked.picked_at(),
         });
     }
 
--- a/crates/node/src/traffic/outbound/attempt.rs
+++ b/crates/node/src/traffic/outbound/attempt.rs
@@ -12,6 +12,7 @@
 use http::uri::Authority;
 use http::uri::Scheme;
 use hyper::body::Incoming;
+use sassafrasspool_core::AttemptOutcome;
 use sassafrasspool_core::Class;
 use sassafrasspool_core::Content;
 use sassafrasspool_core::Deadline;
@@ -27,7 +28,6 @@
 use sassafrasspool_core::Refusal;
 use sassafrasspool_core::Step;
 use sassafrasspool_core::Tick;
-use sassafrasspool_core::Verdict;
 use sassafrasspool_wire::header as names;
 
 use crate::Routes;
@@ -79,12 +79,12 @@
         };
         let now = self.worker.hub.shared.clock().now();
         let outcome = match &result {
-            Ok(res) if is_unavailable(res) => Verdict::Failed,
-            Ok(_) => Verdict::Answered(now.since(picked.since())),
+            Ok(res) if is_unavailable(res) => AttemptOutcome::Failed,
+            Ok(_) => AttemptOutcome::Answered(now.since(picked.picked_at())),
             Err(failed) => outcome_of(&failed.failure),
         };
-        if let Verdict::Answered(took) = outcome {
-            picked.timed(self.kind, took);
+        if let AttemptOutcome::Answered(took) = outcome {
+            picked.record_latency(self.kind, took);
         }
         picked.finish(now, outcome);
         result
@@ -178,7 +178,10 @@
         req: Request<Payload>,
     ) -> Result<Response<Incoming>, Missed> {
         let clock = self.worker.hub.shared.clock();
-        let left = self.deadline.remaining_beyond(clock.now()).as_millis();
+        let left = self
+            .deadline
+            .remaining_for_next_hop(clock.now())
+            .as_millis();
         if left == 0 {
             return Err(Refusal::not_run(Step::Forward, Reason::DeadlinePassed).into());
         }
@@ -201,9 +204,9 @@
             Err(_) => return Err(Loss::new(Step::Forward, LossCause::Timeout).into()),
         };
         if let Some(load) = parse_load(&res) {
-            picked.report(clock.now(), load);
+            picked.record_load(clock.now(), load);
             let cold_ms = head::number(res.headers(), &names::COLD_MS).unwrap_or(0);
-            picked.cold_for(clock.now(), Duration::from_millis(cold_ms));
+            picked.mark_cold_for(clock.now(), Duration::from_millis(cold_ms));
         }
         Ok(res)
     }
@@ -281,16 +284,18 @@
 }
 
 /// The outcome that a failed attempt counts as for the endpoint.
-fn outcome_of(failure: &Failure) -> Verdict {
+fn outcome_of(failure: &Failure) -> AttemptOutcome {
     match failure {
-        Failure::Lost(_) => Verdict::Failed,
+        Failure::Lost(_) => AttemptOutcome::Failed,
         Failure::Refused(refusal) => match refusal.reason() {
-            Reason::Connect => Verdict::NoConnection,
-            Reason::Draining | Reason::Starting | Reason::Evacuated => Verdict::Draining,
-            Reason::ColdStart => Verdict::Cold(refusal.retry_after().unwrap_or_default()),
+            Reason::Connect => AttemptOutcome::NoConnection,
+            Reason::Draining | Reason::Starting | Reason::Evacuated => AttemptOutcome::Draining,
+            Reason::ColdStart => AttemptOutcome::Cold(refusal.retry_after().unwrap_or_default()),
             // These depend on the request, not on the endpoint.
-            Reason::DeadlinePassed | Reason::Quarantined | Reason::NotAtHome => Verdict::Cancelled,
-            _ => Verdict::Shed,
+            Reason::DeadlinePassed | Reason::Quarantined | Reason::OutsideHomes => {
+                AttemptOutcome::Cancelled
+            }
+            _ => AttemptOutcome::Shed,
         },
     }
 }
--- a/crates/node/src/traffic/outbound/departed.rs
+++ b/crates/node/src/traffic/outbound/departed.rs
@@ -34,7 +34,7 @@
     let Some(current) = found.and_then(|key| newest.endpoint(key)) else {
         return false;
     };
-    newest.takes_work(&current.instance) && is_same_generation(&current.instance, instance)
+    newest.accepts_new_work(&current.instance) && is_same_generation(&current.instance, instance)
 }
 
 /// Whether both name the same generation of a target; without generations they always do.
--- a/crates/node/src/traffic/outbound/first_hop.rs
+++ b/crates/node/src/traffic/outbound/first_hop.rs
@@ -7,21 +7,21 @@
 use rand::Rng;
 use sassafrasspool_core::BoundRoute;
 use sassafrasspool_core::BoundService;
-use sassafrasspool_core::Budget;
 use sassafrasspool_core::Content;
 use sassafrasspool_core::Deadline;
 use sassafrasspool_core::EndpointKey;
 use sassafrasspool_core::Failure;
 use sassafrasspool_core::Hop;
-use sassafrasspool_core::Next;
 use sassafrasspool_core::Picked;
 use sassafrasspool_core::Reason;
 use sassafrasspool_core::Refusal;
+use sassafrasspool_core::RetryBudget;
+use sassafrasspool_core::RetryDecision;
+use sassafrasspool_core::RetryState;
 use sassafrasspool_core::Route;
 use sassafrasspool_core::ServiceKey;
 use sassafrasspool_core::Step;
 use sassafrasspool_core::Tick;
-use sassafrasspool_core::Tries;
 use sassafrasspool_wire::header as names;
 
 use crate::Routes;
@@ -51,7 +51,7 @@
     route: &'a BoundRoute,
     service_key: ServiceKey,
     service: &'a BoundService,
-    budget: &'a Budget,
+    budget: &'a RetryBudget,
     keyed: Option<Keyed>,
     arrived: Tick,
     deadline: Deadline,
@@ -79,7 +79,7 @@
         let no_route = || refuse(Reason::NoRoute);
         let route = snapshot.match_route(head::host(req), req.uri().path());
         let route = route.ok_or_else(no_route)?;
-        let service_key = route.choose(rand::rng().next_u64());
+        let service_key = route.choose_service(rand::rng().next_u64());
         let service = snapshot.service(service_key).ok_or_else(no_route)?;
         let budget = routes.picker.budget(service_key);
         let keyed = match route.route.idempotent {
@@ -172,16 +172,16 @@
             let at = now(self.worker);
             let homes = &self.route.route.homes;
             let picker = &self.routes.picker;
-            let has_other = picker.has_other(self.service_key, homes, at, &avoid);
-            let last_resort = copy.is_none() || !has_other || !retry.may_ask_more(at);
+            let has_other = picker.has_alternative(self.service_key, homes, at, &avoid);
+            let last_resort = copy.is_none() || !has_other || !retry.may_try_more_nodes(at);
             let failed = match self.attempt(picked, req, last_resort).await {
                 Ok(res) => return Ok(res),
                 Err(failed) => failed,
             };
             logger.log_failed_attempt(&failed.failure);
-            let failure = match retry.after(now(self.worker), failed.failure, self.budget) {
-                Next::Again => failed.failure,
-                Next::Stop(failure) => return Err(failure),
+            let failure = match retry.on_failure(now(self.worker), failed.failure, self.budget) {
+                RetryDecision::Retry => failed.failure,
+                RetryDecision::Stop(failure) => return Err(failure),
             };
             req = match copy.or(failed.unsent.map(|req| *req)) {
                 Some(req) => req,
@@ -205,7 +205,7 @@
         }
     }
 
-    fn retry_state(&self) -> Tries {
+    fn retry_state(&self) -> RetryState {
         // In a chain of nineteen calls, running idempotent requests twice at each hop would
         // turn one run into half a million. Calls that a target makes for a request are
         // therefore retried only if it is proved that nothing ran, which doesn't multiply
@@ -213,8 +213,8 @@
         let idempotent = self.route.route.idempotent && self.hop == 1;
         let mut limits = self.service.entry.limits.retry;
         limits.attempts = self.route.route.attempts.unwrap_or(limits.attempts);
-        let retry = Tries::first(Hop::First, idempotent, &limits, self.deadline, self.budget);
-        retry.until(self.soft_deadline)
+        let retry = RetryState::new(Hop::First, idempotent, &limits, self.deadline, self.budget);
+        retry.with_soft_deadline(self.soft_deadline)
     }
 
     /// The endpoints that accept no new work according to the list in force now.
--- a/crates/node/src/traffic/outbound/kind_timeouts.rs
+++ b/crates/node/src/traffic/outbound/kind_timeouts.rs
@@ -5,15 +5,15 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
+use sassafrasspool_core::CallerTimeouts;
 use sassafrasspool_core::KindName;
-use sassafrasspool_core::Patience;
 
 /// The most kinds that are tracked. Requests of further kinds count as first attempts.
 const MAX_KINDS: usize = 1_024;
 
 /// The timeouts that callers send, by the kind of the requests.
 #[derive(Debug, Default)]
-pub(in crate::traffic) struct KindTimeouts(Mutex<HashMap<KindName, Patience>>);
+pub(in crate::traffic) struct KindTimeouts(Mutex<HashMap<KindName, CallerTimeouts>>);
 
 impl KindTimeouts {
     /// Records the timeout that a caller sent, and infers from it how long ago the
@@ -29,12 +29,12 @@
             if kinds.len() == MAX_KINDS {
                 return Duration::ZERO;
             }
-            kinds.insert(kind.clone(), Patience::default());
+            kinds.insert(kind.clone(), CallerTimeouts::default());
         }
         let Some(timeouts) = kinds.get_mut(kind) else {
             return Duration::ZERO;
         };
-        timeouts.note(timeout);
-        timeouts.since_first(timeout)
+        timeouts.record(timeout);
+        timeouts.time_since_first_attempt(timeout)
     }
 }
--- a/crates/node/src/traffic/stored_answer.rs
+++ b/crates/node/src/traffic/stored_answer.rs
@@ -7,7 +7,7 @@
 use http::Response;
 use http::StatusCode;
 use http_body::Frame;
-use sassafrasspool_core::Running;
+use sassafrasspool_core::RunPermit;
 use sassafrasspool_core::StoredAnswer;
 use sassafrasspool_core::Tick;
 
@@ -16,7 +16,7 @@
 /// Copies an answer while it is forwarded, and stores it for repeats of its request.
 #[derive(Debug)]
 pub(super) struct AnswerRecorder {
-    running: Running,
+    running: RunPermit,
     answer: StoredAnswer,
     /// Bytes of the body that may still be copied; `None` once the body is too large.
     bytes_left: Option<usize>,
@@ -25,7 +25,11 @@
 impl AnswerRecorder {
     /// Copies the head of the answer to the request of `running`. At most `max_bytes` of
     /// the body are copied.
-    pub(super) fn new<B>(running: Running, head: &Response<B>, max_bytes: usize) -> AnswerRecorder {
+    pub(super) fn new<B>(
+        running: RunPermit,
+        head: &Response<B>,
+        max_bytes: usize,
+    ) -> AnswerRecorder {
         let header = |(name, value): (&HeaderName, &HeaderValue)| {
             (name.as_str().to_owned(), value.as_bytes().to_vec())
         };
@@ -58,8 +62,8 @@
     /// repeat is then not run and is refused with an unknown outcome.
     pub(super) fn finish(self, now: Tick) {
         match self.bytes_left {
-            Some(_) => self.running.done(now, self.answer),
-            None => self.running.lost(now),
+            Some(_) => self.running.complete(now, self.answer),
+            None => self.running.mark_unknown(now),
         }
     }
 }
--- a/crates/node/src/traffic/target/body.rs
+++ b/crates/node/src/traffic/target/body.rs
@@ -170,7 +170,7 @@
             stage.finish(clock.now());
         } else {
             // The connection or stream that carries this body fails by itself.
-            let _ = stage.cut(clock.now(), LossCause::AnswerCut);
+            let _ = stage.cut_short(clock.now(), LossCause::AnswerCut);
         }
     }
 }
--- a/crates/node/src/traffic/target/lives.rs
+++ b/crates/node/src/traffic/target/lives.rs
@@ -5,8 +5,8 @@
 use std::sync::PoisonError;
 
 use http::HeaderValue;
-use sassafrasspool_core::Succession;
-use sassafrasspool_core::TargetLife;
+use sassafrasspool_core::GenerationTracker;
+use sassafrasspool_core::TargetGeneration;
 use sassafrasspool_core::Tick;
 
 #[cfg(test)]
@@ -15,26 +15,26 @@
 /// The generations of the local target as of the last requests.
 #[derive(Debug, Default)]
 pub(in crate::traffic) struct OwnLife {
-    listed: Mutex<Option<TargetLife>>,
-    succession: Mutex<Succession<HeaderValue>>,
+    listed: Mutex<Option<TargetGeneration>>,
+    succession: Mutex<GenerationTracker<HeaderValue>>,
 }
 
 impl OwnLife {
     /// Stores the generation that is listed now, and returns whether it replaces
     /// an earlier one.
-    pub(in crate::traffic) fn follow(&self, listed: &TargetLife) -> bool {
+    pub(in crate::traffic) fn follow(&self, listed: &TargetGeneration) -> bool {
         let mut stored = self.listed.lock().unwrap_or_else(PoisonError::into_inner);
-        listed.replaces(&mut stored)
+        listed.replace_held(&mut stored)
     }
 
     /// The generation to name to the target in a request that is meant for `requested`.
     pub(in crate::traffic) fn resolve(&self, now: Tick, requested: &HeaderValue) -> HeaderValue {
-        self.succession().meant(now, requested).clone()
+        self.succession().resolve(now, requested).clone()
     }
 
     /// Records that the target answered a request that named this generation.
     pub(in crate::traffic) fn record_answered(&self, named: &HeaderValue) {
-        self.succession().answered(named);
+        self.succession().record_answered(named);
     }
 
     /// Records that the target declined a request that named another generation than
@@ -45,7 +45,7 @@
         named: &HeaderValue,
         answering: &HeaderValue,
     ) {
-        if self.succession().declined(now, named, answering) {
+        if self.succession().record_declined(now, named, answering) {
             tracing::info!(
                 ?named,
                 ?answering,
@@ -54,7 +54,7 @@
         }
     }
 
-    fn succession(&self) -> MutexGuard<'_, Succession<HeaderValue>> {
+    fn succession(&self) -> MutexGuard<'_, GenerationTracker<HeaderValue>> {
         self.succession
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/node/src/traffic/target/lives/tests.rs
+++ b/crates/node/src/traffic/target/lives/tests.rs
@@ -1,13 +1,13 @@
+use sassafrasspool_core::TargetGeneration;
 use sassafrasspool_core::TargetId;
-use sassafrasspool_core::TargetLife;
 
 use super::OwnLife;
 
-fn generation(id: &str, listed_at: u64, born: Option<u64>) -> TargetLife {
-    TargetLife {
+fn generation(id: &str, listed_at: u64, born: Option<u64>) -> TargetGeneration {
+    TargetGeneration {
         id: TargetId::new(id).expect("the id is valid"),
-        listed_at,
-        born,
+        listed_revision: listed_at,
+        started_ms: born,
     }
 }
 
