--- a/crates/core/src/admit/tests/fixture.rs
+++ b/crates/core/src/admit/tests/fixture.rs
@@ -79,9 +79,9 @@
         let waker = move || -> crate::Waker {
             Box::new(move |decision| decisions.lock().unwrap().push((id, decision)))
         };
-        let offer = self.admission.request_slot(now, &request, waker);
+        let decision = self.admission.request_slot(now, &request, waker);
         let mut handle = None;
-        match offer {
+        match decision {
             AdmissionDecision::Admitted(permit) => {
                 self.decisions.lock().unwrap().push((id, Ok(permit)))
             }
--- a/crates/core/src/admit/tests/retry_hint.rs
+++ b/crates/core/src/admit/tests/retry_hint.rs
@@ -67,8 +67,8 @@
             slots: None,
             cold_limit: None,
         };
-        let offer = admission.request_slot(now, &request, || Box::new(drop));
-        let declined = match offer {
+        let decision = admission.request_slot(now, &request, || Box::new(drop));
+        let declined = match decision {
             AdmissionDecision::Admitted(permit) if rng.random_bool(DECLINED_SHARE) => {
                 permit.release(now);
                 true
--- a/crates/core/src/dedup/tests.rs
+++ b/crates/core/src/dedup/tests.rs
@@ -68,7 +68,7 @@
 
 fn run(window: &DedupWindow, s: u64, text: &str) -> RunPermit {
     match window.begin_attempt(at(s), key(text), Attempt::MayRepeat) {
-        AttemptDecision::Run(running) => running,
+        AttemptDecision::Run(permit) => permit,
         other => panic!("{text} should run: {other:?}"),
     }
 }
@@ -127,14 +127,14 @@
 #[test]
 fn a_repeat_gets_the_stored_answer_of_the_first_run() {
     let window = proved(100);
-    let running = run(&window, 100, "a");
+    let permit = run(&window, 100, "a");
     let refusal = refused(&window, 100, "a", REPEAT);
     assert_eq!(
         (refusal.outcome(), refusal.reason()),
         (Outcome::Unknown, Reason::EarlierRunning)
     );
     assert!(refusal.retry_after().is_some());
-    running.complete(at(101), answer(9));
+    permit.complete(at(101), answer(9));
     let AttemptDecision::Answer(again) = window.begin_attempt(at(150), key("a"), REPEAT) else {
         panic!("the answer should be stored");
     };
@@ -148,11 +148,11 @@
 #[case(false)]
 fn a_key_with_unknown_outcome_is_never_run_again(#[case] is_reported: bool) {
     let window = proved(100);
-    let running = run(&window, 100, "a");
+    let permit = run(&window, 100, "a");
     if is_reported {
-        running.mark_unknown(at(101));
+        permit.mark_unknown(at(101));
     } else {
-        drop(running);
+        drop(permit);
     }
     let refusal = refused(&window, 102, "a", FIRST);
     assert_eq!(refusal.outcome(), Outcome::Unknown);
--- a/crates/core/src/instance/generation.rs
+++ b/crates/core/src/instance/generation.rs
@@ -81,7 +81,7 @@
     /// different names may use different clocks, so the platform's revision decides.
     pub fn is_not_older_than(&self, stored: &TargetGeneration) -> bool {
         match (self.started_ms, stored.started_ms) {
-            (Some(born), Some(before)) if self.id == stored.id => born >= before,
+            (Some(started), Some(before)) if self.id == stored.id => started >= before,
             _ => self.listed_revision >= stored.listed_revision,
         }
     }
--- a/crates/core/src/quarantine.rs
+++ b/crates/core/src/quarantine.rs
@@ -5,8 +5,8 @@
 //! copy is another request. The copies have the same [`Content`]. The node of a crashed
 //! target reports the requests that ran there ([`Observation::Crashed`]), the reports are
 //! disseminated among the nodes, and each node evaluates them for itself: a request that
-//! was running in [`CRASHES_TO_QUARANTINE`] crashes, and was not answered by any target meanwhile, is in
-//! quarantine on all nodes ([`QuarantineState`]).
+//! was running in [`CRASHES_TO_QUARANTINE`] crashes, and was not answered by any target
+//! meanwhile, is in quarantine on all nodes ([`QuarantineState`]).
 //!
 //! A crash doesn't prove which of the requests that it ended caused it. Harmless requests
 //! are distinguished by being answered elsewhere: after an answer, no crash before it or
--- a/crates/core/src/quarantine/reports.rs
+++ b/crates/core/src/quarantine/reports.rs
@@ -18,8 +18,8 @@
 use crate::Digest;
 use crate::Tick;
 
-/// The largest number of reports kept. Beyond it, the oldest of those that contribute to
-/// no verdict are evicted first.
+/// The largest number of reports kept. Beyond it, the oldest of those that don't
+/// contribute to the quarantine state are evicted first.
 const MAX_REPORTS: usize = 512;
 
 /// The largest number of requests in the report of one crash: all slots of a large target.
@@ -120,9 +120,9 @@
         }
     }
 
-    /// Marks the verdicts as outdated if a report of these contents, added or removed, may
-    /// change them. Most reports contain only requests that were lost with a single target,
-    /// and change no verdict.
+    /// Marks the state as outdated if a report of these contents, added or removed, may
+    /// change it. Most reports contain only requests that were lost with a single target,
+    /// and change nothing.
     fn invalidate_state(&mut self, contents: &BTreeSet<Fingerprint>) {
         let is_suspect = |content| {
             self.crashes
@@ -132,7 +132,7 @@
         self.is_up_to_date &= !contents.iter().any(is_suspect);
     }
 
-    /// Evaluates the reports. Returns the previous and the new verdicts if they differ.
+    /// Evaluates the reports. Returns the previous and the new state if they differ.
     pub(crate) fn evaluate(&mut self) -> Option<(QuarantineState, &QuarantineState)> {
         if std::mem::replace(&mut self.is_up_to_date, true) {
             return None;
@@ -160,7 +160,7 @@
         Some((before, &self.state))
     }
 
-    /// The verdicts of the last evaluation.
+    /// The state after the last evaluation.
     pub(crate) fn state(&self) -> &QuarantineState {
         &self.state
     }
@@ -193,7 +193,7 @@
         selected
     }
 
-    /// Whether the report contributes to a verdict: it is an answer or a release, or a crash
+    /// Whether the report contributes to the state: it is an answer or a release, or a crash
     /// report with a suspect request.
     fn is_significant(&self, kept: &KeptReport) -> bool {
         match &kept.observation {
@@ -206,7 +206,7 @@
     }
 
     /// Evicts one report. Crashes of many targets without a common request must not evict
-    /// the reports that contribute to a verdict.
+    /// the reports that contribute to the state.
     fn evict_one(&mut self) {
         let least = self
             .reports
--- a/crates/core/src/reader/budget.rs
+++ b/crates/core/src/reader/budget.rs
@@ -67,16 +67,17 @@
 
     /// Applies this node's placement in a new list. An unlisted node can't determine
     /// how many other nodes are unlisted too, so it still assumes a large fleet.
-    pub(crate) fn set_placement(&mut self, now: Tick, place: &Placement, readers: u32) {
+    pub(crate) fn set_placement(&mut self, now: Tick, placement: &Placement, readers: u32) {
         self.refill(now);
-        self.chosen = place.rank.is_some_and(|rank| rank < readers);
-        let part = self.half_share_per_s / f64::from(place.domain_count.saturating_mul(readers));
+        self.chosen = placement.rank.is_some_and(|rank| rank < readers);
+        let part =
+            self.half_share_per_s / f64::from(placement.domain_count.saturating_mul(readers));
         // Within any second a bucket allows its stored tokens plus the refill of that second.
         self.max_tokens = (part / 2.0).clamp(1.0, MAX_BURST_READS);
         self.tokens_per_s = (part - self.max_tokens).max(part / 2.0);
-        let fleet = match place.rank {
-            Some(_) => place.fleet_size,
-            None => place.fleet_size.max(self.assumed_fleet),
+        let fleet = match placement.rank {
+            Some(_) => placement.fleet_size,
+            None => placement.fleet_size.max(self.assumed_fleet),
         };
         let new_period = period(fleet, self.half_share_per_s);
         if new_period != self.period {
--- a/crates/core/src/reader/placement/tests.rs
+++ b/crates/core/src/reader/placement/tests.rs
@@ -35,6 +35,6 @@
     let with_node = [instance("new-1", 9_002)];
     let revision = Revision::new(1).unwrap();
     let list = InstanceList::new(revision, without_node.chain(with_node.clone())).unwrap();
-    let place = Placement::find(&list, &with_node[0].id, &with_node[0].domain);
-    assert_eq!((place.rank, place.fleet_size), (Some(0), 1));
+    let placement = Placement::find(&list, &with_node[0].id, &with_node[0].domain);
+    assert_eq!((placement.rank, placement.fleet_size), (Some(0), 1));
 }
--- a/crates/core/src/reader/role.rs
+++ b/crates/core/src/reader/role.rs
@@ -56,10 +56,10 @@
     }
 
     /// Applies this node's placement in a new list.
-    pub(crate) fn set_placement(&mut self, place: Placement) {
-        let per_domain = self.fleet_readers.div_ceil(place.domain_count.max(1));
-        let fleet = place.fleet_size.max(1);
-        self.placement = Some(place);
+    pub(crate) fn set_placement(&mut self, placement: Placement) {
+        let per_domain = self.fleet_readers.div_ceil(placement.domain_count.max(1));
+        let fleet = placement.fleet_size.max(1);
+        self.placement = Some(placement);
         self.domain_readers = match self.every_node_reads() {
             true => fleet,
             false => per_domain,
--- a/crates/core/src/reader/tests.rs
+++ b/crates/core/src/reader/tests.rs
@@ -90,7 +90,7 @@
 
 /// Reads in each of 30 seconds from `start` on, by `fleet` nodes that request a read
 /// again as soon as the previous one is answered; each answer takes no time.
-fn reads_by_second(fleet: usize, start: Tick, place: Option<Placement>) -> Vec<usize> {
+fn reads_by_second(fleet: usize, start: Tick, placement: Option<Placement>) -> Vec<usize> {
     let cfg = SpreadConfig {
         assumed_fleet: u32::try_from(fleet).unwrap(),
         ..SpreadConfig::default()
@@ -99,8 +99,8 @@
     for seed in 0..fleet {
         let mut rng = SmallRng::seed_from_u64(seed as u64);
         let mut budget = ReadBudget::new(&cfg, &mut rng, Tick::ZERO);
-        if let Some(place) = &place {
-            budget.set_placement(Tick::ZERO, place, READERS);
+        if let Some(placement) = &placement {
+            budget.set_placement(Tick::ZERO, placement, READERS);
         }
         let mut now = start;
         loop {
@@ -121,15 +121,15 @@
 #[test]
 fn the_whole_fleet_stays_within_its_share() {
     let fleet = 4_100;
-    let place = Placement {
+    let placement = Placement {
         rank: Some(9),
         listed: true,
         higher_ranked: Vec::new(),
         domain_count: 4,
         fleet_size: 4_100,
     };
-    for place in [None, Some(place)] {
-        let reads = reads_by_second(fleet, Tick::from_millis(61_234), place);
+    for placement in [None, Some(placement)] {
+        let reads = reads_by_second(fleet, Tick::from_millis(61_234), placement);
         let most = reads.iter().max().unwrap();
         assert!(*most <= 250, "{reads:?}");
         let total: usize = reads.iter().sum();
@@ -139,14 +139,14 @@
 
 #[test]
 fn chosen_readers_get_their_part_of_the_share() {
-    let place = Placement {
+    let placement = Placement {
         rank: Some(1),
         listed: true,
         higher_ranked: Vec::new(),
         domain_count: 4,
         fleet_size: 4_100,
     };
-    let reads = reads_by_second(8, Tick::from_millis(5_000), Some(place));
+    let reads = reads_by_second(8, Tick::from_millis(5_000), Some(placement));
     assert!(
         reads.iter().all(|reads| (100..=250).contains(reads)),
         "{reads:?}"
--- a/crates/core/src/request/tests.rs
+++ b/crates/core/src/request/tests.rs
@@ -18,8 +18,9 @@
 fn admitted(admission: &Admission) -> Request<crate::Admitted> {
     let deadline = Deadline::within(NOW, Duration::from_millis(500));
     let request = Request::received(Class::Critical, deadline);
-    let offer = admission.request_slot(NOW, &request.admission_request(&LIMITS), || Box::new(drop));
-    let AdmissionDecision::Admitted(permit) = offer else {
+    let decision =
+        admission.request_slot(NOW, &request.admission_request(&LIMITS), || Box::new(drop));
+    let AdmissionDecision::Admitted(permit) = decision else {
         panic!("a slot is free");
     };
     request.admit(permit)
--- a/crates/core/src/retry/retry_state.rs
+++ b/crates/core/src/retry/retry_state.rs
@@ -1,4 +1,4 @@
-//! The remaining tries of one request.
+//! The remaining attempts of one request.
 
 use crate::Attempt;
 use crate::Deadline;
@@ -10,12 +10,12 @@
 use crate::RetryLimits;
 use crate::Tick;
 
-/// The largest number of reroutes of a request: tries at another endpoint
+/// The largest number of reroutes of a request: attempts at another endpoint
 /// because the previous one was the wrong one.
 const MAX_REROUTES: u32 = 4;
 
-/// The largest number of tries at another endpoint because the node of the
-/// previous one had no capacity. No target is reached, so that a try costs no
+/// The largest number of attempts at another endpoint because the node of the
+/// previous one had no capacity. No target is reached, so an attempt costs no
 /// target anything. In an overload of the whole service the next node is full
 /// as well.
 const MAX_CAPACITY_RETRIES: u32 = 2;
@@ -39,12 +39,12 @@
     Stop(Failure),
 }
 
-/// The remaining tries of one request.
+/// The remaining attempts of one request.
 ///
 /// # Invariants
 ///
-/// [`RetryDecision::Retry`] only follows a try that is proved not to have run, unless
-/// the route is idempotent. Once the outcome of a try is unknown, no failure
+/// [`RetryDecision::Retry`] only follows an attempt that is proved not to have run, unless
+/// the route is idempotent. Once the outcome of an attempt is unknown, no failure
 /// returned says that the request wasn't run.
 #[derive(Debug)]
 pub struct RetryState {
@@ -57,7 +57,7 @@
     capacity_retries_left: u32,
     /// The soft deadline: after it, no other node is tried for capacity.
     soft_deadline: Option<Tick>,
-    /// The loss of the first try that may have run.
+    /// The loss of the first attempt that may have run.
     first_loss: Option<Loss>,
 }
 
--- a/crates/core/src/retry/tests/properties.rs
+++ b/crates/core/src/retry/tests/properties.rs
@@ -28,11 +28,11 @@
 /// The timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The largest number of retries of one request after tries that reached no
-/// target: reroutes from wrong endpoints, and tries at nodes without capacity.
+/// The largest number of retries of one request after attempts that reached no
+/// target: reroutes from wrong endpoints, and attempts at nodes without capacity.
 const MAX_RETRIES_WITHOUT_TARGET: usize = 4 + 2;
 
-/// One request with the failures of its tries, each with its time in milliseconds.
+/// One request with the failures of its attempts, each with its time in milliseconds.
 #[derive(Debug, Clone)]
 struct RandomRequest {
     hop: Hop,
--- a/crates/core/src/route/tests/choice.rs
+++ b/crates/core/src/route/tests/choice.rs
@@ -244,15 +244,15 @@
 #[rstest]
 #[case::new_generation(200, true)]
 #[case::same_generation(100, false)]
-fn ejection_ends_with_new_generation_of_target(#[case] born: u64, #[case] open: bool) {
-    let generation = |born| TargetGeneration {
+fn ejection_ends_with_new_generation_of_target(#[case] start: u64, #[case] open: bool) {
+    let generation = |start| TargetGeneration {
         id: TargetId::new("t-1").unwrap(),
-        listed_revision: born,
-        started_ms: Some(born),
+        listed_revision: start,
+        started_ms: Some(start),
     };
-    let listed = |born| {
+    let listed = |start| {
         let mut all = near(&["a", "b", "c"]);
-        all[0].target = Some(generation(born));
+        all[0].target = Some(generation(start));
         all
     };
     let mut fixture = Fixture::new("caller", listed(100));
@@ -262,7 +262,7 @@
         !fixture.pick_counts(NOW, 50).contains_key("a"),
         "the endpoint is ejected"
     );
-    fixture.rebind("caller", listed(born), NOW);
+    fixture.rebind("caller", listed(start), NOW);
     // Picks that stay in flight fill the other endpoints: the new process is in slow start and
     // gets only its share.
     let held: Vec<_> = (0..40).map(|_| fixture.pick(NOW)).collect();
--- a/crates/core/src/spread/machine/read.rs
+++ b/crates/core/src/spread/machine/read.rs
@@ -125,8 +125,9 @@
     /// others. In a fleet in which all nodes read, it reads as well, though it
     /// has no rank.
     pub(super) fn is_unlisted_or_unranked(&self) -> bool {
-        let place = self.role.placement();
-        place.is_some_and(|it| !it.listed || (it.rank.is_none() && self.role.every_node_reads()))
+        let placement = self.role.placement();
+        placement
+            .is_some_and(|it| !it.listed || (it.rank.is_none() && self.role.every_node_reads()))
     }
 
     /// Whether a recent comparison with a peer makes reads of the platform
@@ -364,12 +365,12 @@
         let Some(list) = self.store.instances() else {
             return;
         };
-        let place = Placement::find(list, &self.local.id, &self.local.domain);
+        let placement = Placement::find(list, &self.local.id, &self.local.domain);
         let before = self.role.is_reader();
-        self.was_listed |= place.listed;
-        self.role.set_placement(place.clone());
+        self.was_listed |= placement.listed;
+        self.role.set_placement(placement.clone());
         self.budget
-            .set_placement(now, &place, self.role.readers_in_domain());
+            .set_placement(now, &placement, self.role.readers_in_domain());
         if self.role.is_reader() != before {
             self.audit_reading(out);
         }
--- a/crates/core/src/spread/machine/reports.rs
+++ b/crates/core/src/spread/machine/reports.rs
@@ -118,7 +118,7 @@
         if new_ids.len() <= MAX_ANNOUNCED_REPORTS {
             self.forward_reports(now, new_ids);
         }
-        self.apply_verdicts(origin, out);
+        self.apply_quarantine(origin, out);
     }
 
     /// Forwards new reports: all of this node's own, and those of others within
@@ -172,12 +172,12 @@
     pub(super) fn expire_reports(&mut self, now: Tick, out: &mut Vec<Action>) {
         self.reports.remove_expired(now);
         let origin = Origin::Peer(self.local.id.clone());
-        self.apply_verdicts(&origin, out);
+        self.apply_quarantine(&origin, out);
     }
 
-    /// Puts the verdicts that follow from the reports in force, if they have
+    /// Puts the quarantine state that follows from the reports in force, if it has
     /// changed.
-    fn apply_verdicts(&mut self, origin: &Origin, out: &mut Vec<Action>) {
+    fn apply_quarantine(&mut self, origin: &Origin, out: &mut Vec<Action>) {
         let Some((before, quarantine)) = self.reports.evaluate() else {
             return;
         };
--- a/crates/core/src/spread/machine/sync.rs
+++ b/crates/core/src/spread/machine/sync.rs
@@ -80,7 +80,7 @@
             let before = self
                 .role
                 .placement()
-                .map(|place| place.higher_ranked.as_slice());
+                .map(|placement| placement.higher_ranked.as_slice());
             let turn = usize::try_from(self.gossip.sync_count / 2).unwrap_or(0);
             let readers = usize::try_from(self.role.readers_in_domain()).unwrap_or(1);
             let reader = before.and_then(|before| before.get(turn % readers));
--- a/crates/core/tests/at_most_once/world.rs
+++ b/crates/core/tests/at_most_once/world.rs
@@ -44,7 +44,7 @@
 /// A request with a permit of its owner, before or after the hand-over.
 struct Open {
     sent: Sent,
-    running: RunPermit,
+    permit: RunPermit,
     handed_over: bool,
 }
 
--- a/crates/core/tests/at_most_once/world/calls.rs
+++ b/crates/core/tests/at_most_once/world/calls.rs
@@ -115,9 +115,9 @@
         let key = key(self.requests[&sent.request]);
         let window = &self.nodes[sent.owner].window;
         match window.begin_attempt(self.now, key, sent.attempt) {
-            AttemptDecision::Run(running) => self.open.push(Open {
+            AttemptDecision::Run(permit) => self.open.push(Open {
                 sent,
-                running,
+                permit,
                 handed_over: false,
             }),
             AttemptDecision::Answer(_) => self.record_answer(sent.request),
@@ -134,8 +134,8 @@
             return;
         }
         let mut open = self.open.swap_remove(i);
-        match open.running.recheck(self.now) {
-            Ok(running) => open.running = running,
+        match open.permit.recheck(self.now) {
+            Ok(permit) => open.permit = permit,
             Err(refusal) => return self.refuse(open.sent.request, open.sent.attempt, refusal),
         }
         open.handed_over = true;
@@ -159,7 +159,7 @@
         let open = self.open.swap_remove(i);
         if open.sent.request.0.is_multiple_of(3) {
             // The target broke off the answer: the outcome is unknown.
-            self.mark_unknown(open.running);
+            self.mark_unknown(open.permit);
             return self.record_unknown(open.sent.request);
         }
         let answer = StoredAnswer {
@@ -167,7 +167,7 @@
             headers: Vec::new(),
             body: Vec::new(),
         };
-        open.running.complete(self.now, answer);
+        open.permit.complete(self.now, answer);
         if arrives && self.can_reach(open.sent.hop, open.sent.owner) {
             self.record_answer(open.sent.request);
         } else {
@@ -175,7 +175,7 @@
         }
     }
 
-    pub(super) fn mark_unknown(&self, running: RunPermit) {
+    pub(super) fn mark_unknown(&self, permit: RunPermit) {
         let loss = Loss::new(
             sassafrasspool_core::Step::Forward,
             LossCause::ConnectionLost,
@@ -185,9 +185,9 @@
             Fault::UnknownOutcomeForgotten => {
                 let step = sassafrasspool_core::Step::Forward;
                 let reason = sassafrasspool_core::Reason::Connect;
-                let _ = running.release(Refusal::not_run(step, reason));
+                let _ = permit.release(Refusal::not_run(step, reason));
             }
-            _ => running.mark_unknown(self.now),
+            _ => permit.mark_unknown(self.now),
         }
     }
 }
--- a/crates/core/tests/requests/sim/calls.rs
+++ b/crates/core/tests/requests/sim/calls.rs
@@ -119,8 +119,11 @@
         let waker = move || -> sassafrasspool_core::Waker {
             Box::new(move |verdict| wakes.lock().unwrap().push((id, verdict)))
         };
-        let ask = request.admission_request(&self.limits);
-        match endpoint.admission.request_slot(self.now, &ask, waker) {
+        let admission_request = request.admission_request(&self.limits);
+        match endpoint
+            .admission
+            .request_slot(self.now, &admission_request, waker)
+        {
             AdmissionDecision::Admitted(permit) => self.hand_over(id, request, permit),
             AdmissionDecision::Queued(queued) => {
                 let until = queued.expires_at();
