--- a/crates/core/src/admit/cold_tolerance.rs
+++ b/crates/core/src/admit/cold_tolerance.rs
@@ -24,8 +24,8 @@
 /// use sassafrasspool_core::Tick;
 ///
 /// let tolerance = ColdTolerance {
-///     over_percent: 150,
-///     slack: 8,
+///     max_rate_percent: 150,
+///     slack_requests: 8,
 /// };
 /// // Of 23 requests a second 21 are used: 15 at an even rate, and 6 as a burst.
 /// let limit = tolerance.limit(10, Tick::from_millis(3_000));
--- a/crates/core/src/request/handed_over.rs
+++ b/crates/core/src/request/handed_over.rs
@@ -43,8 +43,8 @@
     /// ```
     /// use sassafrasspool_core::NothingSent;
     ///
-    /// assert!(NothingSent::by_count(512, 512).is_some());
-    /// assert!(NothingSent::by_count(512, 513).is_none());
+    /// assert!(NothingSent::from_byte_counts(512, 512).is_some());
+    /// assert!(NothingSent::from_byte_counts(512, 513).is_none());
     /// ```
     pub fn from_byte_counts(before: u64, after: u64) -> Option<NothingSent> {
         (before == after).then_some(NothingSent(()))
