--- a/crates/core/tests/requests/policy.rs
+++ b/crates/core/tests/requests/policy.rs
@@ -7,14 +7,14 @@
     Full,
     /// Any endpoint, no queue, no retry.
     Naive,
-    /// As `TableFull`, but a lost request is retried.
+    /// As `Full`, but a lost request is retried.
     RetryUnknown,
-    /// As `TableFull`, but a lost request is reported as not run.
+    /// As `Full`, but a lost request is reported as not run.
     UnknownAsNotRun,
-    /// As `TableFull`, but a draining target continues to admit requests.
+    /// As `Full`, but a draining target continues to admit requests.
     AdmitWhileDraining,
-    /// As `TableFull`, but a planned stop doesn't wait for running requests.
+    /// As `Full`, but a planned stop doesn't wait for running requests.
     StopWithoutWaiting,
-    /// As `TableFull`, but some refusals are not sent to their caller.
+    /// As `Full`, but some refusals are not sent to their caller.
     DropRefusals,
 }
