--- a/crates/core/src/admit/state.rs
+++ b/crates/core/src/admit/state.rs
@@ -9,12 +9,12 @@
 use super::reserve::Reserve;
 use super::service_times::ServiceTimes;
 use super::service_times::WorkType;
-use super::token_bucket::Bucket;
+use super::token_bucket::TokenBucket;
 use super::wake::Wake;
 use super::wake::Waker;
 use super::warm_up::WarmUp;
+use crate::AdmissionRequest;
 use crate::AdmissionSettings;
-use crate::Ask;
 use crate::Class;
 use crate::LoadReport;
 use crate::Permit;
@@ -59,7 +59,7 @@
     running_by_class: [u32; Class::ALL.len()],
     service_times: ServiceTimes,
     queue: Queue,
-    bucket: Bucket,
+    bucket: TokenBucket,
     reserve: Reserve,
     warm_up: WarmUp,
     /// The reasons for which nothing is admitted, the oldest first.
@@ -77,7 +77,7 @@
             running_by_class: [0; Class::ALL.len()],
             service_times: ServiceTimes::default(),
             queue: Queue::new(),
-            bucket: Bucket::full(),
+            bucket: TokenBucket::full(),
             reserve: Reserve::default(),
             warm_up: WarmUp::new(),
             close_reasons: Vec::new(),
@@ -98,7 +98,7 @@
     pub(super) fn decide(
         &mut self,
         now: Tick,
-        request: &Ask<'_>,
+        request: &AdmissionRequest<'_>,
         waker: impl FnOnce() -> Waker,
         wakes: &mut Vec<Wake>,
     ) -> Decision {
@@ -107,7 +107,7 @@
             self.slots = slots.clamp(1, u32::from(u16::MAX));
         }
         self.concurrency = self.slots.min(request.limits.concurrency.max(1));
-        self.warm_up.set_limit(request.cold);
+        self.warm_up.set_limit(request.cold_limit);
         self.expire_overdue(wakes);
         if let Some(refusal) = self.refuse_before_queueing(request) {
             return Decision::Refuse(refusal);
@@ -121,7 +121,7 @@
         self.enqueue(request, work, waker, wakes)
     }
 
-    fn refuse_before_queueing(&mut self, request: &Ask<'_>) -> Option<Refusal> {
+    fn refuse_before_queueing(&mut self, request: &AdmissionRequest<'_>) -> Option<Refusal> {
         if let Some(reason) = self.close_reasons.first() {
             return Some(refusal(*reason));
         }
@@ -130,12 +130,12 @@
         }
         let rate = request.limits.rate_per_s;
         let wait = self.bucket.refill(self.now, rate, self.settings.burst)?;
-        Some(refusal(Reason::RateLimited).after(wait))
+        Some(refusal(Reason::RateLimited).with_retry_after(wait))
     }
 
     fn enqueue(
         &mut self,
-        request: &Ask<'_>,
+        request: &AdmissionRequest<'_>,
         work: WorkType,
         waker: impl FnOnce() -> Waker,
         wakes: &mut Vec<Wake>,
@@ -156,11 +156,16 @@
             );
             let Some(displaced) = displaced else {
                 self.record_refusal(request.class);
-                return Decision::Refuse(refusal(Reason::QueueFull).after(position.wait));
+                return Decision::Refuse(
+                    refusal(Reason::QueueFull).with_retry_after(position.wait),
+                );
             };
             let wait = self.expected_class_wait(displaced.work.class);
             self.record_refusal(displaced.work.class);
-            wakes.push(refuse(displaced, refusal(Reason::Displaced).after(wait)));
+            wakes.push(refuse(
+                displaced,
+                refusal(Reason::Displaced).with_retry_after(wait),
+            ));
         }
         self.bucket.take();
         let expires_at = request
@@ -269,7 +274,7 @@
 
     fn queue_timeout_refusal(&mut self, class: Class) -> Refusal {
         self.record_refusal(class);
-        refusal(Reason::QueueTimeout).after(self.expected_class_wait(class))
+        refusal(Reason::QueueTimeout).with_retry_after(self.expected_class_wait(class))
     }
 
     /// Whether a request of that class may have a slot now.
--- a/crates/core/src/admit/state/queue_position.rs
+++ b/crates/core/src/admit/state/queue_position.rs
@@ -4,7 +4,7 @@
 
 use super::State;
 use super::refusal;
-use crate::Ask;
+use crate::AdmissionRequest;
 use crate::Class;
 use crate::Reason;
 use crate::Refusal;
@@ -31,11 +31,11 @@
     /// Refuses a request whose wait would be wasted.
     pub(super) fn queue_position(
         &mut self,
-        request: &Ask<'_>,
+        request: &AdmissionRequest<'_>,
         work: WorkType,
     ) -> Result<QueuePosition, Refusal> {
         let took = self.service_times.expected(work);
-        let latest_start = request.aim.map(|aim| before(aim, took));
+        let latest_start = request.soft_deadline.map(|deadline| before(deadline, took));
         let in_time = latest_start.is_none_or(|latest_start| self.now <= latest_start);
         let precedence = Precedence::new(took, latest_start, self.now);
         let ahead = self.queue.count_ahead(request.class);
@@ -47,19 +47,19 @@
             false => Reason::QueueFull,
         };
         if wait + took > request.deadline.remaining(self.now) {
-            return Err(refusal(Reason::DeadlineTooShort).after(wait));
+            return Err(refusal(Reason::DeadlineTooShort).with_retry_after(wait));
         }
         // The answer would be late here and may be in time from another target. If no
         // other target is asked, a late answer is better than none: a refused call fails
         // its parent request, whose slot time is then wasted.
         let late =
             in_time && latest_start.is_some_and(|latest_start| self.now + wait > latest_start);
-        if late && !request.settles {
-            return Err(refusal(full).after(wait));
+        if late && !request.last_resort {
+            return Err(refusal(full).with_retry_after(wait));
         }
         // A queued request is refused after `max_wait`: a longer wait would be wasted.
         if wait > self.settings.max_wait {
-            return Err(refusal(full).after(wait));
+            return Err(refusal(full).with_retry_after(wait));
         }
         Ok(QueuePosition {
             latest_start,
@@ -72,10 +72,10 @@
     pub(in crate::admit) fn predict_refusal(
         &mut self,
         now: Tick,
-        request: &Ask<'_>,
+        request: &AdmissionRequest<'_>,
     ) -> Option<Refusal> {
         self.now = self.now.max(now);
-        self.warm_up.set_limit(request.cold);
+        self.warm_up.set_limit(request.cold_limit);
         if let Some(reason) = self.close_reasons.first() {
             return Some(refusal(*reason));
         }
@@ -96,7 +96,7 @@
                 self.now,
             )
         };
-        let refusal = refusal(Reason::QueueFull).after(position.wait);
+        let refusal = refusal(Reason::QueueFull).with_retry_after(position.wait);
         (full && displaceable().is_none()).then_some(refusal)
     }
 
--- a/crates/core/src/coldness.rs
+++ b/crates/core/src/cold_tracker.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::ColdStart;
+use crate::TargetGeneration;
 use crate::TargetId;
-use crate::TargetLife;
 use crate::Tick;
 
 #[cfg(test)]
@@ -27,25 +27,25 @@
 /// use std::time::Duration;
 ///
 /// use sassafrasspool_core::ColdStart;
-/// use sassafrasspool_core::Coldness;
+/// use sassafrasspool_core::ColdTracker;
 /// use sassafrasspool_core::Tick;
 ///
 /// let start = ColdStart {
-///     lasts: Duration::from_secs(3),
+///     duration: Duration::from_secs(3),
 ///     per_s: 10,
 ///     probe_path: None,
 /// };
-/// let mut coldness = Coldness::default();
-/// coldness.follow_evacuation(Tick::from_millis(1_000), &start, true);
-/// coldness.follow_evacuation(Tick::from_millis(9_000), &start, false);
-/// assert!(coldness.is_unproved());
-/// assert_eq!(coldness.until(), Tick::from_millis(12_000));
-/// coldness.probed(Tick::from_millis(9_010), Duration::ZERO);
-/// assert_eq!(coldness.until(), Tick::from_millis(9_010));
+/// let mut cold = ColdTracker::default();
+/// cold.update_evacuation(Tick::from_millis(1_000), &start, true);
+/// cold.update_evacuation(Tick::from_millis(9_000), &start, false);
+/// assert!(cold.is_unconfirmed());
+/// assert_eq!(cold.cold_until(), Tick::from_millis(12_000));
+/// cold.record_probe(Tick::from_millis(9_010), Duration::ZERO);
+/// assert_eq!(cold.cold_until(), Tick::from_millis(9_010));
 /// ```
 #[derive(Debug, Default)]
-pub struct Coldness {
-    listed: Option<TargetLife>,
+pub struct ColdTracker {
+    listed: Option<TargetGeneration>,
     /// The remaining cold time in the last list that contained the target.
     listed_cold_for: Duration,
     /// The current generation, as named by requests or the list, and the one before it.
@@ -55,13 +55,13 @@
     unconfirmed: bool,
 }
 
-impl Coldness {
+impl ColdTracker {
     /// Updates the state from the entry of the target in the instance list.
-    pub fn follow_list(
+    pub fn update_from_list(
         &mut self,
         now: Tick,
         start: &ColdStart,
-        generation: &TargetLife,
+        generation: &TargetGeneration,
         cold_for: Duration,
     ) {
         let same_generation = self
@@ -92,7 +92,7 @@
     }
 
     /// Updates whether the target's failure domain is evacuated.
-    pub fn follow_evacuation(&mut self, now: Tick, start: &ColdStart, evacuated: bool) {
+    pub fn update_evacuation(&mut self, now: Tick, start: &ColdStart, evacuated: bool) {
         let evacuation_ended = self.evacuated && !evacuated;
         self.evacuated = evacuated;
         if evacuation_ended {
@@ -102,7 +102,7 @@
 
     /// Records the generation of the target that a request names. The local instance
     /// list may not contain that generation yet.
-    pub fn follow_request(&mut self, now: Tick, start: &ColdStart, generation: &str) {
+    pub fn record_requested_generation(&mut self, now: Tick, start: &ColdStart, generation: &str) {
         let is_known = |id: &TargetId| id.as_str() == generation;
         if self.recent_generations.iter().flatten().any(is_known) {
             return;
@@ -114,23 +114,23 @@
     }
 
     /// Records the remaining cold time that the target itself reported.
-    pub fn probed(&mut self, now: Tick, left: Duration) {
+    pub fn record_probe(&mut self, now: Tick, left: Duration) {
         self.cold_until = now + left;
         self.unconfirmed = false;
     }
 
     /// Until when the target is treated as cold.
-    pub const fn until(&self) -> Tick {
+    pub const fn cold_until(&self) -> Tick {
         self.cold_until
     }
 
     /// Whether the cold state is only assumed, so that a probe may show that the target is warm.
-    pub const fn is_unproved(&self) -> bool {
+    pub const fn is_unconfirmed(&self) -> bool {
         self.unconfirmed
     }
 
     fn assume_cold(&mut self, now: Tick, start: &ColdStart) {
-        self.cold_until = now + start.lasts;
+        self.cold_until = now + start.duration;
         self.unconfirmed = true;
     }
 
--- a/crates/core/src/quarantine/pending_answers.rs
+++ b/crates/core/src/quarantine/pending_answers.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 
 use super::Fingerprint;
-use super::Verdicts;
+use super::QuarantineState;
 use crate::Tick;
 
 /// The longest time that a node waits for another node to report an answer first: some
@@ -35,7 +35,7 @@
 
 impl PendingAnswers {
     /// Adds an answer given at `answered`, in a fleet of `nodes` nodes.
-    pub(crate) fn note(
+    pub(crate) fn schedule(
         &mut self,
         now: Tick,
         content: Fingerprint,
@@ -52,16 +52,20 @@
     }
 
     /// When the next answer is to be reported.
-    pub(crate) fn due(&self) -> Option<Tick> {
+    pub(crate) fn next_due(&self) -> Option<Tick> {
         self.0.values().map(|pending| pending.due).min()
     }
 
     /// Takes the requests whose answer is due and which are still suspect, each with the
     /// time of its answer. Answers to requests that are no longer suspect are dropped.
-    pub(crate) fn take_due(&mut self, now: Tick, verdicts: &Verdicts) -> Vec<(Fingerprint, Tick)> {
+    pub(crate) fn take_due(
+        &mut self,
+        now: Tick,
+        state: &QuarantineState,
+    ) -> Vec<(Fingerprint, Tick)> {
         let mut due_answers = Vec::new();
         self.0.retain(|content, pending| {
-            if !verdicts.doubts(*content) {
+            if !state.is_suspect(*content) {
                 return false;
             }
             let is_waiting = pending.due > now;
--- a/crates/core/src/quarantine/verdicts.rs
+++ b/crates/core/src/quarantine/quarantine_state.rs
@@ -12,11 +12,11 @@
 use crate::Tick;
 
 /// The number of crashes while a request ran after which no target runs it any more.
-pub const CRASHES: usize = 3;
+pub const CRASHES_TO_QUARANTINE: usize = 3;
 
 /// The number of crashes after which a request is suspect and answers to it have to be
-/// reported: one more crash makes [`CRASHES`].
-pub(super) const CRASHES_TO_SUSPECT: usize = CRASHES - 1;
+/// reported: one more crash makes [`CRASHES_TO_QUARANTINE`].
+pub(super) const CRASHES_TO_SUSPECT: usize = CRASHES_TO_QUARANTINE - 1;
 
 /// How long a request stays in quarantine after the last crash while it ran. Then it may run
 /// again, as its targets may have been fixed. One more crash renews the quarantine.
@@ -24,7 +24,7 @@
 
 /// How long after an answer crashes don't count against the request. Targets that crash
 /// together do so while they run all frequent requests, before another target could answer.
-pub const ANSWER_EXCUSES: Duration = Duration::from_secs(10);
+pub const ANSWER_EXEMPTION: Duration = Duration::from_secs(10);
 
 /// The requests in quarantine, and the suspect ones, whose answers have to be reported.
 ///
@@ -32,15 +32,15 @@
 ///
 /// Every request in quarantine is suspect as well.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Verdicts {
+pub struct QuarantineState {
     /// The end of the quarantine of each request.
     quarantined: BTreeMap<Fingerprint, Tick>,
     suspects: BTreeSet<Fingerprint>,
 }
 
-impl Verdicts {
+impl QuarantineState {
     /// The time until which no target may run a request, if it is in quarantine at `now`.
-    pub fn held_until(&self, now: Tick, content: &Content) -> Option<Tick> {
+    pub fn quarantined_until(&self, now: Tick, content: &Content) -> Option<Tick> {
         if self.quarantined.is_empty() {
             return None;
         }
@@ -50,17 +50,17 @@
     }
 
     /// Whether a request is suspect, so that answers to it have to be reported.
-    pub fn doubts(&self, content: Fingerprint) -> bool {
+    pub fn is_suspect(&self, content: Fingerprint) -> bool {
         self.suspects.contains(&content)
     }
 
     /// All suspect requests.
-    pub fn doubted(&self) -> impl Iterator<Item = Fingerprint> {
+    pub fn suspects(&self) -> impl Iterator<Item = Fingerprint> {
         self.suspects.iter().copied()
     }
 
     /// The requests in quarantine at `now`, each with the end of its quarantine.
-    pub fn held_at(&self, now: Tick) -> impl Iterator<Item = (Fingerprint, Tick)> {
+    pub fn quarantined_at(&self, now: Tick) -> impl Iterator<Item = (Fingerprint, Tick)> {
         let quarantined = self
             .quarantined
             .iter()
@@ -69,12 +69,12 @@
     }
 
     /// The requests that are in quarantine, or whose quarantine has ended.
-    pub fn held(&self) -> impl Iterator<Item = Fingerprint> {
+    pub fn quarantined(&self) -> impl Iterator<Item = Fingerprint> {
         self.quarantined.keys().copied()
     }
 
     /// Whether a request is in quarantine, or its quarantine has ended.
-    pub(crate) fn holds(&self, content: Fingerprint) -> bool {
+    pub(crate) fn contains(&self, content: Fingerprint) -> bool {
         self.quarantined.contains_key(&content)
     }
 
@@ -83,24 +83,24 @@
     pub(super) fn evaluate(
         crashes: &[(ObservedAt, &[Content])],
         exempt_until: &HashMap<Fingerprint, ObservedAt>,
-    ) -> Verdicts {
-        let mut verdicts = Verdicts::default();
+    ) -> QuarantineState {
+        let mut state = QuarantineState::default();
         let mut by_whole = CrashCounts::new(exempt_until);
         for (at, ran) in crashes {
             by_whole.count(*at, ran.iter().map(Content::whole));
         }
-        by_whole.evaluate(&mut verdicts);
+        by_whole.evaluate(&mut state);
         // A crash while a quarantined request ran doesn't count against requests that differ
         // from it only by their query.
         let mut by_resource = CrashCounts::new(exempt_until);
         for (at, ran) in crashes {
-            let quarantined = ran.iter().filter(|it| verdicts.holds(it.whole()));
+            let quarantined = ran.iter().filter(|it| state.contains(it.whole()));
             let explained: HashSet<Fingerprint> = quarantined.map(Content::resource).collect();
             let resources = ran.iter().map(Content::resource);
             by_resource.count(*at, resources.filter(|it| !explained.contains(it)));
         }
-        by_resource.evaluate(&mut verdicts);
-        verdicts
+        by_resource.evaluate(&mut state);
+        state
     }
 }
 
@@ -130,15 +130,15 @@
         }
     }
 
-    fn evaluate(self, verdicts: &mut Verdicts) {
+    fn evaluate(self, state: &mut QuarantineState) {
         for (content, crashes) in self.crashes {
             if crashes.len() >= CRASHES_TO_SUSPECT {
-                verdicts.suspects.insert(content);
+                state.suspects.insert(content);
             }
-            if crashes.len() >= CRASHES
+            if crashes.len() >= CRASHES_TO_QUARANTINE
                 && let Some(last) = crashes.iter().max()
             {
-                verdicts
+                state
                     .quarantined
                     .insert(content, last.later_by(QUARANTINE_PERIOD).tick());
             }
--- a/crates/core/src/quarantine/reports.rs
+++ b/crates/core/src/quarantine/reports.rs
@@ -7,19 +7,19 @@
 
 use super::Content;
 use super::Fingerprint;
+use super::Observation;
+use super::QuarantineState;
 use super::Report;
 use super::ReportId;
-use super::Sighting;
-use super::Verdicts;
 use super::observed_at::ObservedAt;
 use super::observed_at::REPORT_RETENTION;
-use super::verdicts::ANSWER_EXCUSES;
-use super::verdicts::CRASHES_TO_SUSPECT;
+use super::quarantine_state::ANSWER_EXEMPTION;
+use super::quarantine_state::CRASHES_TO_SUSPECT;
 use crate::Digest;
 use crate::Tick;
 
-/// The largest number of reports kept. Beyond it, the oldest of those that contribute to
-/// no verdict are evicted first.
+/// The largest number of reports kept. Beyond it, the oldest of those that don't
+/// contribute to the quarantine state are evicted first.
 const MAX_REPORTS: usize = 512;
 
 /// The largest number of requests in the report of one crash: all slots of a large target.
@@ -42,20 +42,20 @@
 /// A report is never changed: the first copy of it counts. `root` is a hash over the ids of
 /// the kept reports, so that two nodes with the same root keep the same reports. `crashes`
 /// counts for each request the crash reports that contain it. While `is_up_to_date`,
-/// `verdicts` follow from the reports.
+/// `state` follows from the reports.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
     reports: BTreeMap<ReportId, KeptReport>,
     root: u64,
     crashes: HashMap<Fingerprint, usize>,
-    verdicts: Verdicts,
+    state: QuarantineState,
     is_up_to_date: bool,
 }
 
 #[derive(Debug)]
 struct KeptReport {
     at: ObservedAt,
-    sighting: Sighting,
+    observation: Observation,
 }
 
 impl Reports {
@@ -68,11 +68,11 @@
         if self.reports.contains_key(&report.id) {
             return false;
         }
-        let mut sighting = report.sighting.clone();
-        if let Sighting::Crashed(ran) = &mut sighting {
+        let mut observation = report.observation.clone();
+        if let Observation::Crashed(ran) = &mut observation {
             ran.truncate(MAX_CONTENTS_PER_CRASH);
         }
-        let kept = KeptReport { at, sighting };
+        let kept = KeptReport { at, observation };
         // INVARIANT: A report enters the root once, when it is added.
         self.root ^= hash_id(&report.id);
         let contents = kept.contents();
@@ -81,7 +81,7 @@
                 *self.crashes.entry(*content).or_default() += 1;
             }
         }
-        self.invalidate_verdicts(&contents);
+        self.invalidate_state(&contents);
         self.reports.insert(report.id.clone(), kept);
         if self.reports.len() > MAX_REPORTS {
             self.evict_one();
@@ -90,7 +90,7 @@
     }
 
     /// Removes the reports that are too old to count.
-    pub(crate) fn forget(&mut self, now: Tick) {
+    pub(crate) fn remove_expired(&mut self, now: Tick) {
         let is_old = |kept: &KeptReport| kept.at.age(now) >= REPORT_RETENTION;
         let old = self.reports.iter().filter(|(_, kept)| is_old(kept));
         let old: Vec<ReportId> = old.map(|(id, _)| id.clone()).collect();
@@ -106,7 +106,7 @@
         // INVARIANT: A removed report leaves the root and the counts.
         self.root ^= hash_id(id);
         let contents = kept.contents();
-        self.invalidate_verdicts(&contents);
+        self.invalidate_state(&contents);
         if !kept.is_crash() {
             return;
         }
@@ -120,10 +120,10 @@
         }
     }
 
-    /// Marks the verdicts as outdated if a report of these contents, added or removed, may
-    /// change them. Most reports contain only requests that were lost with a single target,
-    /// and change no verdict.
-    fn invalidate_verdicts(&mut self, contents: &BTreeSet<Fingerprint>) {
+    /// Marks the state as outdated if a report of these contents, added or removed, may
+    /// change it. Most reports contain only requests that were lost with a single target,
+    /// and change nothing.
+    fn invalidate_state(&mut self, contents: &BTreeSet<Fingerprint>) {
         let is_suspect = |content| {
             self.crashes
                 .get(content)
@@ -132,8 +132,8 @@
         self.is_up_to_date &= !contents.iter().any(is_suspect);
     }
 
-    /// Evaluates the reports. Returns the previous and the new verdicts if they differ.
-    pub(crate) fn judge(&mut self) -> Option<(Verdicts, &Verdicts)> {
+    /// Evaluates the reports. Returns the previous and the new state if they differ.
+    pub(crate) fn evaluate(&mut self) -> Option<(QuarantineState, &QuarantineState)> {
         if std::mem::replace(&mut self.is_up_to_date, true) {
             return None;
         }
@@ -144,23 +144,25 @@
             *latest = until.max(*latest);
         };
         for kept in self.reports.values() {
-            match &kept.sighting {
-                Sighting::Crashed(ran) => crashes.push((kept.at, ran)),
-                Sighting::Answered(content) => exempt(*content, kept.at.later_by(ANSWER_EXCUSES)),
-                Sighting::Released(content) => exempt(*content, kept.at),
+            match &kept.observation {
+                Observation::Crashed(ran) => crashes.push((kept.at, ran)),
+                Observation::Answered(content) => {
+                    exempt(*content, kept.at.later_by(ANSWER_EXEMPTION))
+                }
+                Observation::Released(content) => exempt(*content, kept.at),
             }
         }
-        let verdicts = Verdicts::evaluate(&crashes, &exempt_until);
-        if verdicts == self.verdicts {
+        let state = QuarantineState::evaluate(&crashes, &exempt_until);
+        if state == self.state {
             return None;
         }
-        let before = std::mem::replace(&mut self.verdicts, verdicts);
-        Some((before, &self.verdicts))
+        let before = std::mem::replace(&mut self.state, state);
+        Some((before, &self.state))
     }
 
-    /// The verdicts of the last evaluation.
-    pub(crate) fn verdicts(&self) -> &Verdicts {
-        &self.verdicts
+    /// The state after the last evaluation.
+    pub(crate) fn state(&self) -> &QuarantineState {
+        &self.state
     }
 
     /// A hash over the ids of all kept reports.
@@ -191,20 +193,20 @@
         selected
     }
 
-    /// Whether the report contributes to a verdict: it is an answer or a release, or a crash
+    /// Whether the report contributes to the state: it is an answer or a release, or a crash
     /// report with a suspect request.
     fn is_significant(&self, kept: &KeptReport) -> bool {
-        match &kept.sighting {
-            Sighting::Answered(_) | Sighting::Released(_) => true,
-            Sighting::Crashed(ran) => ran
+        match &kept.observation {
+            Observation::Answered(_) | Observation::Released(_) => true,
+            Observation::Crashed(ran) => ran
                 .iter()
                 .flat_map(Content::fingerprints)
-                .any(|content| self.verdicts.doubts(content)),
+                .any(|content| self.state.is_suspect(content)),
         }
     }
 
     /// Evicts one report. Crashes of many targets without a common request must not evict
-    /// the reports that contribute to a verdict.
+    /// the reports that contribute to the state.
     fn evict_one(&mut self) {
         let least = self
             .reports
@@ -219,14 +221,16 @@
 
 impl KeptReport {
     fn is_crash(&self) -> bool {
-        matches!(self.sighting, Sighting::Crashed(_))
+        matches!(self.observation, Observation::Crashed(_))
     }
 
     /// The fingerprints in the report, each once.
     fn contents(&self) -> BTreeSet<Fingerprint> {
-        match &self.sighting {
-            Sighting::Crashed(ran) => ran.iter().flat_map(Content::fingerprints).collect(),
-            Sighting::Answered(content) | Sighting::Released(content) => BTreeSet::from([*content]),
+        match &self.observation {
+            Observation::Crashed(ran) => ran.iter().flat_map(Content::fingerprints).collect(),
+            Observation::Answered(content) | Observation::Released(content) => {
+                BTreeSet::from([*content])
+            }
         }
     }
 
@@ -235,23 +239,25 @@
         Report {
             id: id.clone(),
             age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
-            sighting: self.sighting.clone(),
+            observation: self.observation.clone(),
         }
     }
 
     /// The approximate bytes of the report in a message.
     fn bytes(&self) -> usize {
-        match &self.sighting {
-            Sighting::Crashed(ran) => REPORT_OVERHEAD_BYTES + CONTENT_BYTES * ran.len(),
-            Sighting::Answered(_) | Sighting::Released(_) => REPORT_OVERHEAD_BYTES + CONTENT_BYTES,
+        match &self.observation {
+            Observation::Crashed(ran) => REPORT_OVERHEAD_BYTES + CONTENT_BYTES * ran.len(),
+            Observation::Answered(_) | Observation::Released(_) => {
+                REPORT_OVERHEAD_BYTES + CONTENT_BYTES
+            }
         }
     }
 }
 
 fn hash_id(id: &ReportId) -> u64 {
     let mut bytes = Vec::with_capacity(64);
-    bytes.extend_from_slice(id.witness.as_str().as_bytes());
+    bytes.extend_from_slice(id.reporter.as_str().as_bytes());
     bytes.extend_from_slice(&id.incarnation.to_le_bytes());
     bytes.extend_from_slice(&id.number.to_le_bytes());
-    Digest::of(&bytes).head()
+    Digest::of(&bytes).prefix_u64()
 }
--- a/crates/core/src/route/meters.rs
+++ b/crates/core/src/route/meters.rs
@@ -15,7 +15,7 @@
 use crate::InstanceId;
 use crate::ServiceName;
 use crate::Snapshot;
-use crate::TargetLife;
+use crate::TargetGeneration;
 use crate::Tick;
 
 /// Whether an endpoint accepts new requests, as announced by its own node.
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 struct EndpointRecord {
     meter: Arc<Meter>,
-    generation: Option<TargetLife>,
+    generation: Option<TargetGeneration>,
     /// How long the target was listed to stay cold at that time.
     cold_for: Duration,
     /// Whether its failure domain was evacuated at that time.
@@ -67,7 +67,7 @@
     fn update_target(&mut self, instance: &Instance, now: Tick) {
         let generation = instance.target.as_ref();
         let replaced =
-            generation.is_some_and(|generation| generation.replaces(&mut self.generation));
+            generation.is_some_and(|generation| generation.replace_held(&mut self.generation));
         if replaced {
             self.meter.reset(now);
         }
@@ -81,7 +81,7 @@
     /// evacuation ends.
     fn update_evacuation(&mut self, evacuated: bool, cold_start: Option<&ColdStart>, now: Tick) {
         if self.evacuated && !evacuated {
-            let lasts = cold_start.map_or(Duration::ZERO, |cold| cold.lasts);
+            let lasts = cold_start.map_or(Duration::ZERO, |cold| cold.duration);
             self.meter.set_cold_until(now + lasts);
         }
         self.evacuated = evacuated;
@@ -97,7 +97,7 @@
     /// Stores what an endpoint's own node announced.
     ///
     /// The caller orders announcements by incarnation and sequence; the last call counts.
-    pub fn mark(&self, instance: &InstanceId, intake: Intake, now: Tick) {
+    pub fn set_intake(&self, instance: &InstanceId, intake: Intake, now: Tick) {
         let mut inner = self.lock();
         let record = inner.endpoints.entry(instance.clone()).or_default();
         match intake {
--- a/crates/core/src/spread/machine/join.rs
+++ b/crates/core/src/spread/machine/join.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Spread;
+use super::SpreadMachine;
 use crate::Action;
 use crate::AuditEvent;
 use crate::Catalogue;
@@ -19,7 +19,7 @@
 /// Mean time between two rounds of comparisons while joining.
 pub(super) const JOIN_SYNC_INTERVAL: Duration = Duration::from_millis(500);
 
-impl Spread {
+impl SpreadMachine {
     /// Starts comparisons with some peers: listed ones if there is a list, else
     /// the seeds and the senders of messages.
     pub(super) fn send_join_syncs(&mut self, now: Tick, out: &mut Vec<Action>) {
@@ -188,7 +188,7 @@
         // either may fail.
         unlisted.retain(|peer| *origin == Origin::Source || next_by_id.as_ref() == Some(peer));
         self.gossip.unlisted = unlisted;
-        self.members.relist(now, &held);
+        self.members.apply_list(now, &held);
         self.members.merge(now, &self.own_state, Some(&held));
         self.update_place(now, out);
         if self.is_unlisted_or_unranked() {
--- a/crates/core/tests/at_most_once/world/setup.rs
+++ b/crates/core/tests/at_most_once/world/setup.rs
@@ -8,9 +8,9 @@
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::InstanceList;
 use sassafrasspool_core::InstanceState;
+use sassafrasspool_core::Locality;
 use sassafrasspool_core::Meters;
 use sassafrasspool_core::Picker;
-use sassafrasspool_core::Position;
 use sassafrasspool_core::RequestKey;
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::RouteSettings;
@@ -72,13 +72,13 @@
     let published = Catalogue::new(Revision::new(1).unwrap(), items).unwrap();
     let snapshot = Snapshot::build(&published, list).unwrap();
     let at = instance(0);
-    let position = Position {
+    let locality = Locality {
         instance: at.id,
         domain: at.domain,
         region: at.region,
     };
     let meters = Arc::new(Meters::new());
     let cfg = RouteSettings::default();
-    let picker = Picker::build(&snapshot, &position, cfg, &meters, Tick::ZERO);
+    let picker = Picker::build(&snapshot, &locality, cfg, &meters, Tick::ZERO);
     Routing { snapshot, picker }
 }
--- /dev/null
+++ b/crates/node/src/shared/local_cold_tracker.rs
@@ -0,0 +1,99 @@
+//! Tracks how long the local target stays cold, for both sides of the node.
+
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::PoisonError;
+use std::time::Duration;
+
+use sassafrasspool_core::ColdLimit;
+use sassafrasspool_core::ColdStart;
+use sassafrasspool_core::ColdTolerance;
+use sassafrasspool_core::ColdTracker;
+use sassafrasspool_core::Tick;
+use tokio::sync::Notify;
+
+use super::Routes;
+
+/// The tracked cold time of the local target.
+#[derive(Debug, Default)]
+pub(crate) struct LocalColdTracker {
+    state: Mutex<ColdTracker>,
+    /// Notified when the target may be warm before the tracked end of its cold time.
+    unconfirmed: Notify,
+}
+
+impl LocalColdTracker {
+    /// Applies the instance list and the evacuations of the routes in force.
+    pub(super) fn update(&self, now: Tick, routes: &Routes) {
+        let Some((endpoint, service)) = routes.own() else {
+            return;
+        };
+        let Some(start) = &service.entry.cold_start else {
+            return;
+        };
+        let instance = &endpoint.instance;
+        self.update_state(|state| {
+            if let Some(generation) = &instance.target {
+                state.update_from_list(now, start, generation, instance.cold_for);
+            }
+            let evacuated = routes.view.snapshot.is_evacuated(&instance.domain);
+            state.update_evacuation(now, start, evacuated);
+        });
+    }
+
+    /// The limit on requests to the target, if it is cold. A request meant for an unknown
+    /// `generation` of the target counts as the start of a cold time.
+    pub(crate) fn limit(
+        &self,
+        now: Tick,
+        start: Option<&ColdStart>,
+        tolerance: ColdTolerance,
+        generation: Option<&str>,
+    ) -> Option<ColdLimit> {
+        let start = start?;
+        let until = self.update_state(|state| {
+            if let Some(generation) = generation {
+                state.record_requested_generation(now, start, generation);
+            }
+            state.cold_until()
+        });
+        (now < until).then(|| tolerance.limit(start.per_s, until))
+    }
+
+    /// The remaining cold time of the target, as tracked.
+    pub(crate) fn left(&self, now: Tick) -> Duration {
+        self.lock().cold_until().since(now)
+    }
+
+    /// Waits until the target may be warm before the tracked end of its cold time.
+    pub(crate) async fn unproved(&self) {
+        self.unconfirmed.notified().await;
+    }
+
+    /// Whether the target may be warm before the tracked end of its cold time.
+    pub(crate) fn is_unproved(&self, now: Tick) -> bool {
+        let state = self.lock();
+        state.is_unconfirmed() && now < state.cold_until()
+    }
+
+    /// Records the remaining cold time that the target reported to a probe.
+    pub(crate) fn probed(&self, now: Tick, left: Duration) {
+        self.lock().record_probe(now, left);
+    }
+
+    /// Updates the state; notifies if it has become unconfirmed.
+    fn update_state<T>(&self, update: impl FnOnce(&mut ColdTracker) -> T) -> T {
+        let mut state = self.lock();
+        let was_unconfirmed = state.is_unconfirmed();
+        let result = update(&mut state);
+        if state.is_unconfirmed() && !was_unconfirmed {
+            self.unconfirmed.notify_one();
+        }
+        result
+    }
+
+    fn lock(&self) -> MutexGuard<'_, ColdTracker> {
+        // No update of the state can panic halfway.
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- a/crates/wire/src/platform/response.rs
+++ b/crates/wire/src/platform/response.rs
@@ -51,7 +51,7 @@
         StatusCode::NOT_MODIFIED => Ok(SourceResult::Unchanged {
             newest: parse_revision(headers).ok(),
         }),
-        StatusCode::NOT_FOUND => Ok(SourceResult::Nothing),
+        StatusCode::NOT_FOUND => Ok(SourceResult::NothingPublished),
         StatusCode::TOO_MANY_REQUESTS => Ok(SourceResult::Busy {
             retry_after: parse_retry_after(headers),
         }),
