--- a/crates/core/src/instance/generation.rs
+++ b/crates/core/src/instance/generation.rs
@@ -14,36 +14,37 @@
 /// # Example
 ///
 /// ```
+/// use sassafrasspool_core::TargetGeneration;
 /// use sassafrasspool_core::TargetId;
-/// use sassafrasspool_core::TargetLife;
 ///
-/// let generation = |born| TargetLife {
+/// let generation = |started_ms| TargetGeneration {
 ///     id: TargetId::new("i-1").expect("a name"),
-///     listed_at: 7,
-///     born,
+///     listed_revision: 7,
+///     started_ms,
 /// };
-/// assert!(generation(Some(200)).follows(&generation(Some(100))));
-/// assert!(!generation(Some(100)).follows(&generation(Some(200))));
+/// assert!(generation(Some(200)).is_not_older_than(&generation(Some(100))));
+/// assert!(!generation(Some(100)).is_not_older_than(&generation(Some(200))));
 /// assert!(!generation(Some(200)).is_same(&generation(Some(100))));
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetLife {
+pub struct TargetGeneration {
     /// The name that the target reported; an earlier generation may have had the same.
     pub id: TargetId,
     /// The platform's revision at which the generation was first listed. Of two
     /// generations at one address, the one with the higher revision is running.
-    pub listed_at: u64,
+    #[serde(rename = "listed_at")]
+    pub listed_revision: u64,
     /// Start time in milliseconds since 1970, if the target reports it. Generations
     /// with the same name differ only in this time.
-    #[serde(default)]
-    pub born: Option<u64>,
+    #[serde(default, rename = "born")]
+    pub started_ms: Option<u64>,
 }
 
-impl TargetLife {
+impl TargetGeneration {
     /// Whether both are the same generation of the same target. It may have been
     /// listed again after its entry had expired.
-    pub fn is_same(&self, other: &TargetLife) -> bool {
-        self.id == other.id && self.born == other.born
+    pub fn is_same(&self, other: &TargetGeneration) -> bool {
+        self.id == other.id && self.started_ms == other.started_ms
     }
 
     /// Stores this generation in `stored` unless `stored` already is the same generation.
@@ -52,20 +53,20 @@
     /// # Example
     ///
     /// ```
+    /// use sassafrasspool_core::TargetGeneration;
     /// use sassafrasspool_core::TargetId;
-    /// use sassafrasspool_core::TargetLife;
     ///
-    /// let generation = |name| TargetLife {
+    /// let generation = |name| TargetGeneration {
     ///     id: TargetId::new(name).expect("a name"),
-    ///     listed_at: 7,
-    ///     born: None,
+    ///     listed_revision: 7,
+    ///     started_ms: None,
     /// };
     /// let mut stored = None;
-    /// assert!(!generation("i-1").replaces(&mut stored));
-    /// assert!(!generation("i-1").replaces(&mut stored));
-    /// assert!(generation("i-2").replaces(&mut stored));
+    /// assert!(!generation("i-1").replace_held(&mut stored));
+    /// assert!(!generation("i-1").replace_held(&mut stored));
+    /// assert!(generation("i-2").replace_held(&mut stored));
     /// ```
-    pub fn replaces(&self, stored: &mut Option<TargetLife>) -> bool {
+    pub fn replace_held(&self, stored: &mut Option<TargetGeneration>) -> bool {
         if stored.as_ref().is_some_and(|stored| stored.is_same(self)) {
             return false;
         }
@@ -78,10 +79,10 @@
     /// Two generations with the same name are ordered by the clock of their instance,
     /// since their entry may not have expired between the two starts. Targets with
     /// different names may use different clocks, so the platform's revision decides.
-    pub fn follows(&self, stored: &TargetLife) -> bool {
-        match (self.born, stored.born) {
-            (Some(born), Some(before)) if self.id == stored.id => born >= before,
-            _ => self.listed_at >= stored.listed_at,
+    pub fn is_not_older_than(&self, stored: &TargetGeneration) -> bool {
+        match (self.started_ms, stored.started_ms) {
+            (Some(started), Some(before)) if self.id == stored.id => started >= before,
+            _ => self.listed_revision >= stored.listed_revision,
         }
     }
 }
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -21,13 +21,13 @@
 
 /// The result of merging a received record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Merged {
+pub(crate) enum MergeOutcome {
     /// The record was newer and is stored now; contains the previous phase.
-    News(Option<Phase>),
+    Newer(Option<Phase>),
     /// The record was not newer than the stored one.
-    Known,
+    NotNewer,
     /// The table already holds the maximum number of unlisted instances.
-    Full,
+    TableFull,
 }
 
 /// The newest record of each instance.
@@ -43,7 +43,7 @@
 /// A record is only replaced by a newer one. Each bucket's digest covers exactly
 /// the listed records of that bucket.
 #[derive(Debug)]
-pub(crate) struct Members {
+pub(crate) struct MembershipTable {
     records: BTreeMap<InstanceId, Record>,
     buckets: [u64; BUCKETS],
     unlisted: usize,
@@ -58,9 +58,9 @@
     unlisted_since: Option<Tick>,
 }
 
-impl Members {
-    pub(crate) fn new() -> Members {
-        Members {
+impl MembershipTable {
+    pub(crate) fn new() -> MembershipTable {
+        MembershipTable {
             records: BTreeMap::new(),
             buckets: [0; BUCKETS],
             unlisted: 0,
@@ -83,11 +83,11 @@
         now: Tick,
         state: &EndpointState,
         list: Option<&InstanceList>,
-    ) -> Merged {
+    ) -> MergeOutcome {
         let hash = hash_of(state);
         if let Some(record) = self.records.get_mut(&state.instance) {
             if !state.is_newer_than(&record.state) {
-                return Merged::Known;
+                return MergeOutcome::NotNewer;
             }
             let before = record.state.phase;
             if record.unlisted_since.is_none() {
@@ -96,18 +96,18 @@
             }
             record.state = state.clone();
             record.hash = hash;
-            return Merged::News(Some(before));
+            return MergeOutcome::Newer(Some(before));
         }
         let listed = list.is_some_and(|list| list.get(&state.instance).is_some());
         if !listed && self.unlisted >= MAX_UNLISTED {
-            return Merged::Full;
+            return MergeOutcome::TableFull;
         }
         self.insert(now, state.clone(), hash, listed);
-        Merged::News(None)
+        MergeOutcome::Newer(None)
     }
 
     /// Marks records as listed or unlisted by a new list and removes expired ones.
-    pub(crate) fn relist(&mut self, now: Tick, list: &InstanceList) {
+    pub(crate) fn apply_list(&mut self, now: Tick, list: &InstanceList) {
         self.buckets = [0; BUCKETS];
         self.unlisted = 0;
         for (id, record) in &mut self.records {
@@ -120,11 +120,11 @@
                 self.unlisted += 1;
             }
         }
-        self.forget(now);
+        self.expire_unlisted(now);
     }
 
     /// Removes records of instances that have been unlisted for the retention time.
-    pub(crate) fn forget(&mut self, now: Tick) {
+    pub(crate) fn expire_unlisted(&mut self, now: Tick) {
         if self.unlisted == 0 {
             return;
         }
@@ -141,13 +141,13 @@
     }
 
     /// A digest over all listed records.
-    pub(crate) fn root(&self) -> u64 {
+    pub(crate) fn root_digest(&self) -> u64 {
         let mix = |sum: u64, bucket: &u64| sum.rotate_left(5).wrapping_mul(31) ^ bucket;
         self.buckets.iter().fold(0, mix)
     }
 
     /// The digest of the listed records of each bucket.
-    pub(crate) fn digests(&self) -> Vec<u32> {
+    pub(crate) fn bucket_digests(&self) -> Vec<u32> {
         self.buckets
             .iter()
             .map(|bucket| low_half(*bucket))
@@ -155,14 +155,14 @@
     }
 
     /// A bit set of the buckets whose digest differs from the peer's.
-    pub(crate) fn differing(&self, peer_digests: &[u32]) -> u64 {
+    pub(crate) fn differing_buckets(&self, peer_digests: &[u32]) -> u64 {
         let differs = |n: &usize| peer_digests.get(*n) != Some(&low_half(self.buckets[*n]));
         let differing = (0..BUCKETS).filter(differs);
         differing.fold(0, |bits, n| bits | 1 << n)
     }
 
     /// The listed records of the buckets whose bit is set.
-    pub(crate) fn in_buckets(&self, bits: u64) -> impl Iterator<Item = &EndpointState> {
+    pub(crate) fn records_in_buckets(&self, bits: u64) -> impl Iterator<Item = &EndpointState> {
         let selected =
             move |it: &&Record| it.unlisted_since.is_none() && bits & (1 << it.bucket) != 0;
         let records = self.records.values().filter(selected);
@@ -198,7 +198,7 @@
     bytes.extend_from_slice(&state.incarnation.to_le_bytes());
     bytes.extend_from_slice(&state.sequence.to_le_bytes());
     bytes.push(state.phase as u8);
-    Digest::of(&bytes).head()
+    Digest::of(&bytes).prefix_u64()
 }
 
 /// The low 32 bits, which keeps messages small. A difference that they don't show
--- a/crates/core/src/reader/tests.rs
+++ b/crates/core/src/reader/tests.rs
@@ -6,9 +6,9 @@
 
 use super::Backoff;
 use super::ContactClock;
-use super::Place;
+use super::Placement;
 use super::ReadBudget;
-use super::Role;
+use super::ReaderRole;
 use crate::Contact;
 use crate::DomainName;
 use crate::InstanceId;
@@ -35,7 +35,7 @@
 }
 
 fn rank(list: &InstanceList, n: usize) -> Option<u32> {
-    Place::find(list, &id(n), &domain(n)).rank
+    Placement::find(list, &id(n), &domain(n)).rank
 }
 
 #[test]
@@ -62,7 +62,7 @@
     };
     contact.merge(now, Some(received));
     assert_eq!(contact.age(now), Some(Duration::from_secs(60)));
-    contact.prove(now, 1);
+    contact.record_contact(now, 1);
     contact.merge(now + Duration::from_secs(1), Some(received));
     let later = now + Duration::from_secs(2);
     assert_eq!(contact.age(later), Some(Duration::from_secs(2)));
@@ -76,7 +76,7 @@
     let mut below_half = 0;
     for _ in 0..200 {
         let mut backoff = Backoff::new(Duration::from_millis(200), cap);
-        let waits: Vec<_> = (0..40).map(|_| backoff.fail(&mut rng)).collect();
+        let waits: Vec<_> = (0..40).map(|_| backoff.record_failure(&mut rng)).collect();
         assert!(waits[0] <= Duration::from_millis(200));
         longest = longest.max(*waits.iter().max().unwrap());
         below_half += usize::from(waits[39] < cap / 2);
@@ -90,7 +90,7 @@
 
 /// Reads in each of 30 seconds from `start` on, by `fleet` nodes that request a read
 /// again as soon as the previous one is answered; each answer takes no time.
-fn reads_by_second(fleet: usize, start: Tick, place: Option<Place>) -> Vec<usize> {
+fn reads_by_second(fleet: usize, start: Tick, placement: Option<Placement>) -> Vec<usize> {
     let cfg = SpreadConfig {
         assumed_fleet: u32::try_from(fleet).unwrap(),
         ..SpreadConfig::default()
@@ -99,17 +99,17 @@
     for seed in 0..fleet {
         let mut rng = SmallRng::seed_from_u64(seed as u64);
         let mut budget = ReadBudget::new(&cfg, &mut rng, Tick::ZERO);
-        if let Some(place) = &place {
-            budget.place(Tick::ZERO, place, READERS);
+        if let Some(placement) = &placement {
+            budget.set_placement(Tick::ZERO, placement, READERS);
         }
         let mut now = start;
         loop {
-            now = budget.book(now);
+            now = budget.reserve(now);
             let second = usize::try_from(now.since(start).as_secs()).unwrap();
             if second >= reads.len() {
                 break;
             }
-            budget.take(now);
+            budget.consume(now);
             reads[second] += 1;
         }
     }
@@ -121,15 +121,15 @@
 #[test]
 fn the_whole_fleet_stays_within_its_share() {
     let fleet = 4_100;
-    let place = Place {
+    let placement = Placement {
         rank: Some(9),
         listed: true,
-        before: Vec::new(),
-        domains: 4,
-        fleet: 4_100,
+        higher_ranked: Vec::new(),
+        domain_count: 4,
+        fleet_size: 4_100,
     };
-    for place in [None, Some(place)] {
-        let reads = reads_by_second(fleet, Tick::from_millis(61_234), place);
+    for placement in [None, Some(placement)] {
+        let reads = reads_by_second(fleet, Tick::from_millis(61_234), placement);
         let most = reads.iter().max().unwrap();
         assert!(*most <= 250, "{reads:?}");
         let total: usize = reads.iter().sum();
@@ -139,24 +139,24 @@
 
 #[test]
 fn chosen_readers_get_their_part_of_the_share() {
-    let place = Place {
+    let placement = Placement {
         rank: Some(1),
         listed: true,
-        before: Vec::new(),
-        domains: 4,
-        fleet: 4_100,
+        higher_ranked: Vec::new(),
+        domain_count: 4,
+        fleet_size: 4_100,
     };
-    let reads = reads_by_second(8, Tick::from_millis(5_000), Some(place));
+    let reads = reads_by_second(8, Tick::from_millis(5_000), Some(placement));
     assert!(
         reads.iter().all(|reads| (100..=250).contains(reads)),
         "{reads:?}"
     );
 }
 
-fn role(list: &InstanceList, n: usize) -> Role {
+fn role(list: &InstanceList, n: usize) -> ReaderRole {
     let mut rng = SmallRng::seed_from_u64(n as u64);
-    let mut role = Role::new(&SpreadConfig::default(), &mut rng);
-    role.set_place(Place::find(list, &id(n), &domain(n)));
+    let mut role = ReaderRole::new(&SpreadConfig::default(), &mut rng);
+    role.set_placement(Placement::find(list, &id(n), &domain(n)));
     role
 }
 
@@ -184,9 +184,9 @@
     };
     let reads = |n: &usize| {
         let mut rng = SmallRng::seed_from_u64(1);
-        let mut role = Role::new(&cfg, &mut rng);
-        role.set_place(Place::find(&all, &id(*n), &domain(*n)));
-        role.reads()
+        let mut role = ReaderRole::new(&cfg, &mut rng);
+        role.set_placement(Placement::find(&all, &id(*n), &domain(*n)));
+        role.is_reader()
     };
     assert_eq!((0..case.fleet).filter(reads).count(), case.expected);
 }
@@ -194,17 +194,17 @@
 #[test]
 fn ranks_take_over_one_after_the_other() {
     let all = list(0..60);
-    let mut roles: Vec<Role> = (0..60).step_by(3).map(|n| role(&all, n)).collect();
-    roles.sort_by_key(Role::rank);
+    let mut roles: Vec<ReaderRole> = (0..60).step_by(3).map(|n| role(&all, n)).collect();
+    roles.sort_by_key(ReaderRole::rank);
     let step = SpreadConfig::default().takeover_step;
     for pair in roles[2..].windows(2) {
-        assert!(pair[1].patience() >= pair[0].patience() + step);
+        assert!(pair[1].takeover_age() >= pair[0].takeover_age() + step);
     }
     assert!(roles[0].is_chosen() && roles[1].is_chosen() && !roles[2].is_chosen());
-    let takeover_age = roles[2].patience();
-    assert!(roles[2].step_in(takeover_age) && roles[2].reads());
-    assert!(!roles[3].step_in(takeover_age));
+    let takeover_age = roles[2].takeover_age();
+    assert!(roles[2].try_take_over(takeover_age) && roles[2].is_reader());
+    assert!(!roles[3].try_take_over(takeover_age));
     // It yields to a node that ranks before it, not to a node that ranks after it.
-    assert!(!roles[2].step_back(3, Duration::ZERO));
-    assert!(roles[2].step_back(1, Duration::ZERO) && !roles[2].reads());
+    assert!(!roles[2].yield_to(3, Duration::ZERO));
+    assert!(roles[2].yield_to(1, Duration::ZERO) && !roles[2].is_reader());
 }
--- a/crates/core/src/retry/retry_state.rs
+++ b/crates/core/src/retry/retry_state.rs
@@ -1,21 +1,21 @@
-//! The remaining tries of one request.
+//! The remaining attempts of one request.
 
 use crate::Attempt;
-use crate::Budget;
 use crate::Deadline;
 use crate::Failure;
 use crate::Loss;
 use crate::Outcome;
 use crate::Reason;
+use crate::RetryBudget;
 use crate::RetryLimits;
 use crate::Tick;
 
-/// The largest number of reroutes of a request: tries at another endpoint
+/// The largest number of reroutes of a request: attempts at another endpoint
 /// because the previous one was the wrong one.
 const MAX_REROUTES: u32 = 4;
 
-/// The largest number of tries at another endpoint because the node of the
-/// previous one had no capacity. No target is reached, so that a try costs no
+/// The largest number of attempts at another endpoint because the node of the
+/// previous one had no capacity. No target is reached, so an attempt costs no
 /// target anything. In an overload of the whole service the next node is full
 /// as well.
 const MAX_CAPACITY_RETRIES: u32 = 2;
@@ -32,22 +32,22 @@
 /// What to do after a try without an answer.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a request is either tried again or answered"]
-pub enum Next {
+pub enum RetryDecision {
     /// Choose an endpoint again and retry immediately.
-    Again,
+    Retry,
     /// Send this failure to the caller immediately as the final answer.
     Stop(Failure),
 }
 
-/// The remaining tries of one request.
+/// The remaining attempts of one request.
 ///
 /// # Invariants
 ///
-/// [`Next::Again`] only follows a try that is proved not to have run, unless
-/// the route is idempotent. Once the outcome of a try is unknown, no failure
+/// [`RetryDecision::Retry`] only follows an attempt that is proved not to have run, unless
+/// the route is idempotent. Once the outcome of an attempt is unknown, no failure
 /// returned says that the request wasn't run.
 #[derive(Debug)]
-pub struct Tries {
+pub struct RetryState {
     hop: Hop,
     idempotent: bool,
     deadline: Deadline,
@@ -57,21 +57,21 @@
     capacity_retries_left: u32,
     /// The soft deadline: after it, no other node is tried for capacity.
     soft_deadline: Option<Tick>,
-    /// The loss of the first try that may have run.
+    /// The loss of the first attempt that may have run.
     first_loss: Option<Loss>,
 }
 
-impl Tries {
+impl RetryState {
     /// The state of a request before its first try, which adds to `budget`.
-    pub fn first(
+    pub fn new(
         hop: Hop,
         idempotent: bool,
         limits: &RetryLimits,
         deadline: Deadline,
-        budget: &Budget,
-    ) -> Tries {
+        budget: &RetryBudget,
+    ) -> RetryState {
         budget.credit_first_try(limits);
-        Tries {
+        RetryState {
             hop,
             idempotent,
             deadline,
@@ -86,21 +86,21 @@
 
     /// Sets the soft deadline of the request, if it has one.
     #[must_use]
-    pub const fn until(mut self, soft_deadline: Option<Tick>) -> Tries {
+    pub const fn with_soft_deadline(mut self, soft_deadline: Option<Tick>) -> RetryState {
         self.soft_deadline = soft_deadline;
         self
     }
 
     /// Marks the request as one with a key, which only the key's owner may run.
     #[must_use]
-    pub const fn keyed(mut self, attempt: Attempt) -> Tries {
+    pub const fn with_attempt(mut self, attempt: Attempt) -> RetryState {
         self.attempt = Some(attempt);
         self
     }
 
     /// Whether another endpoint may be tried if the node of the next one has no
     /// capacity.
-    pub fn may_ask_more(&self, now: Tick) -> bool {
+    pub fn may_try_more_nodes(&self, now: Tick) -> bool {
         let in_time = self.soft_deadline.is_none_or(|deadline| now < deadline);
         self.hop == Hop::First
             && self.attempt.is_none()
@@ -109,7 +109,12 @@
     }
 
     /// Decides what to do after `failure`.
-    pub fn after(&mut self, now: Tick, failure: Failure, budget: &Budget) -> Next {
+    pub fn on_failure(
+        &mut self,
+        now: Tick,
+        failure: Failure,
+        budget: &RetryBudget,
+    ) -> RetryDecision {
         if let Failure::Lost(loss) = failure {
             self.first_loss.get_or_insert(loss);
         }
@@ -119,9 +124,9 @@
             && self.has_time_for_capacity(now, &failure)
             && self.spend(&failure, budget);
         if again {
-            return Next::Again;
+            return RetryDecision::Retry;
         }
-        Next::Stop(self.final_failure(failure))
+        RetryDecision::Stop(self.final_failure(failure))
     }
 
     /// The failure that the caller receives if `failure` ends the request.
@@ -137,7 +142,7 @@
         }
         match (failure, self.attempt) {
             (Failure::Refused(refusal), Some(Attempt::MayRepeat)) => {
-                Failure::Refused(refusal.of_repeat())
+                Failure::Refused(refusal.for_keyed_retry())
             }
             (failure, _) => failure,
         }
@@ -162,11 +167,11 @@
         let Failure::Refused(refusal) = failure else {
             return true;
         };
-        let is_full = refusal.reason().is_overload() && !refusal.reason().is_of_target();
+        let is_full = refusal.reason().is_overload() && !refusal.reason().is_from_target();
         !is_full || self.soft_deadline.is_none_or(|deadline| now < deadline)
     }
 
-    fn spend(&mut self, failure: &Failure, budget: &Budget) -> bool {
+    fn spend(&mut self, failure: &Failure, budget: &RetryBudget) -> bool {
         // A wrong endpoint is no sign of load on the service, and no target has
         // spent anything on the request. A reroute therefore costs less and has
         // a bound of its own, so that a drain doesn't use up the retries. The
@@ -176,14 +181,14 @@
             Failure::Refused(refusal) => Some(refusal.reason()),
             Failure::Lost(_) => None,
         };
-        let (left, spend): (&mut u32, fn(&Budget) -> bool) = match reason {
-            Some(reason) if reason.is_misplaced() => {
-                (&mut self.reroutes_left, Budget::spend_reroute)
+        let (left, spend): (&mut u32, fn(&RetryBudget) -> bool) = match reason {
+            Some(reason) if reason.is_wrong_endpoint() => {
+                (&mut self.reroutes_left, RetryBudget::spend_reroute)
             }
-            Some(reason) if !reason.is_of_target() => {
-                (&mut self.capacity_retries_left, Budget::spend_reroute)
+            Some(reason) if !reason.is_from_target() => {
+                (&mut self.capacity_retries_left, RetryBudget::spend_reroute)
             }
-            _ => (&mut self.retries_left, Budget::spend_retry),
+            _ => (&mut self.retries_left, RetryBudget::spend_retry),
         };
         if *left == 0 || !spend(budget) {
             return false;
@@ -215,7 +220,7 @@
             | Reason::Draining
             | Reason::Starting
             | Reason::Evacuated
-            | Reason::NotAtHome => keyed,
+            | Reason::OutsideHomes => keyed,
             _ => false,
         }
     }
--- a/crates/core/src/spread/machine/answer.rs
+++ b/crates/core/src/spread/machine/answer.rs
@@ -1,6 +1,6 @@
 //! Replies to the messages of peers.
 
-use super::Spread;
+use super::SpreadMachine;
 use crate::Action;
 use crate::Announce;
 use crate::Heads;
@@ -16,7 +16,7 @@
 use crate::Tick;
 use crate::spread::join_state::JoinState;
 
-impl Spread {
+impl SpreadMachine {
     pub(super) fn answer_message(
         &mut self,
         now: Tick,
@@ -64,9 +64,9 @@
         let peer = self.address(from, sync.control);
         self.merge_contact(now, sync.contact, out);
         self.merge_heads(now, sync.heads, &peer, out);
-        let buckets = match self.members.root() == sync.states {
+        let buckets = match self.members.root_digest() == sync.states {
             true => Vec::new(),
-            false => self.members.digests(),
+            false => self.members.bucket_digests(),
         };
         PeerReply::Sync(SyncReply {
             from: self.local.id.clone(),
@@ -104,7 +104,7 @@
         reconcile: &Reconcile,
         out: &mut Vec<Action>,
     ) -> PeerReply {
-        let own_states = self.members.in_buckets(reconcile.buckets);
+        let own_states = self.members.records_in_buckets(reconcile.buckets);
         let is_lacking = |state: &crate::EndpointState| {
             let found = reconcile
                 .states
--- a/crates/ctl/src/catalogue.rs
+++ b/crates/ctl/src/catalogue.rs
@@ -41,7 +41,7 @@
 ///
 /// Returns every fault, with its place where it can be found in the text.
 pub(crate) fn validate(text: &str) -> Result<Catalogue, Faults> {
-    catalogue::review(text).map_err(|faults| add_places(text, &faults))
+    catalogue::validate(text).map_err(|faults| add_places(text, &faults))
 }
 
 /// Adds places to the faults that were found by checks across entries.
--- a/crates/node/src/node/spread.rs
+++ b/crates/node/src/node/dissemination.rs
@@ -1,4 +1,4 @@
-//! The decisions of spreading, made from settings.
+//! Creates dissemination from the node's settings.
 
 use std::net::SocketAddr;
 use std::time::SystemTime;
@@ -7,22 +7,23 @@
 use sassafrasspool_core::Disseminate;
 use sassafrasspool_core::Incarnation;
 use sassafrasspool_core::LocalNode;
-use sassafrasspool_core::Naive;
-use sassafrasspool_core::Spread;
+use sassafrasspool_core::NaiveSpread;
+use sassafrasspool_core::SpreadMachine;
 use sassafrasspool_core::Tick;
 
 use crate::Settings;
 use crate::settings::Strategy;
 
-/// This start of the node.
-pub(super) fn incarnation() -> Incarnation {
+/// The incarnation of this start of the node, from the wall clock.
+pub(super) fn new_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let ms = since.map_or(0, |since| since.as_millis());
     Incarnation::from_start_millis(u64::try_from(ms).unwrap_or(u64::MAX))
 }
 
-/// The decisions of a node that takes control messages on `control`.
-pub(super) fn decisions(
+/// Creates the dissemination of a node that receives control messages on
+/// `control`, with the settings' strategy.
+pub(super) fn new_dissemination(
     settings: &Settings,
     control: SocketAddr,
     incarnation: Incarnation,
@@ -34,17 +35,18 @@
         domain: settings.domain.clone(),
         control,
         incarnation,
-        seeds: other_seeds(&settings.seeds, control),
+        seeds: seeds_without_self(&settings.seeds, control),
     };
     let cfg = settings.spread.config.clone();
     match settings.spread.strategy {
-        Strategy::Spread => Box::new(Spread::new(cfg, local, seed, now)),
-        Strategy::Naive => Box::new(Naive::new(cfg, local, seed, now)),
+        Strategy::Spread => Box::new(SpreadMachine::new(cfg, local, seed, now)),
+        Strategy::Naive => Box::new(NaiveSpread::new(cfg, local, seed, now)),
     }
 }
 
-/// The seeds without the node itself: all nodes may be given one list.
-pub(super) fn other_seeds(seeds: &[SocketAddr], control: SocketAddr) -> Vec<SocketAddr> {
+/// The seeds without the node's own address: all nodes may be given the same
+/// list.
+pub(super) fn seeds_without_self(seeds: &[SocketAddr], control: SocketAddr) -> Vec<SocketAddr> {
     let others = seeds.iter().filter(|seed| **seed != control);
     others.copied().collect()
 }
