--- a/crates/node/tests/control/common.rs
+++ b/crates/node/tests/control/common.rs
@@ -1,4 +1,4 @@
-//! What the tests of whole nodes and of the program have in common.
+//! Support shared by the tests of whole nodes and of the program.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use sassafrasspool_standin::target::ServiceTimes;
 use tokio::net::TcpStream;
 
-/// A catalogue whose one service is that of all nodes.
+/// A catalogue with one service, to which every node belongs.
 pub(crate) const CATALOGUE: &str = "
 kinds:
   lookup: {weight: 1}
@@ -32,7 +32,7 @@
       - {path: /workshop, kind: lookup, idempotent: true}
 ";
 
-/// The settings of node number `n` as text, whose ports are any free ones.
+/// The settings of node `n` as YAML; each address takes any free port.
 pub(crate) fn settings_text(n: usize, target: SocketAddr, platform: SocketAddr) -> String {
     let domain = ["bayanzurkh", "khan-uul", "sukhbaatar"][n % 3];
     format!(
@@ -55,8 +55,8 @@
     )
 }
 
-/// A node as the platform lists it.
-pub(crate) fn instance(settings: &Settings, addrs: NodeAddrs) -> Instance {
+/// The entry of a node in the instance list.
+pub(crate) fn instance_of(settings: &Settings, addrs: NodeAddrs) -> Instance {
     Instance {
         id: settings.instance.clone(),
         service: settings.service.clone(),
@@ -72,9 +72,9 @@
     }
 }
 
-/// A target that takes `service` for each request.
+/// Settings of a target that runs each request for `service`.
 pub(crate) fn slow_target(service: Duration) -> TargetSettings {
-    let us = u64::try_from(service.as_micros()).expect("a service time");
+    let us = u64::try_from(service.as_micros()).expect("a service time below 2^64 µs");
     TargetSettings {
         service: ServiceTimes {
             default_us: us,
@@ -84,19 +84,23 @@
     }
 }
 
-/// The catalogue with a deadline that no test outlasts.
-pub(crate) fn patient() -> String {
+/// [`CATALOGUE`] with a deadline of 60 s, longer than any test.
+pub(crate) fn catalogue_with_long_deadline() -> String {
     CATALOGUE.replace("deadline_ms: 2000", "deadline_ms: 60000")
 }
 
-/// Asks an HTTP address once; gives the status and the body.
-pub(crate) async fn http_text(method: &str, addr: SocketAddr, path: &str) -> (StatusCode, String) {
-    let answer = try_http_text(method, addr, path).await;
+/// Sends one HTTP request; returns the status and the body of the answer.
+pub(crate) async fn request_text(
+    method: &str,
+    addr: SocketAddr,
+    path: &str,
+) -> (StatusCode, String) {
+    let answer = try_request_text(method, addr, path).await;
     answer.expect("a whole answer")
 }
 
-/// The same, or nothing if the answer didn't come whole.
-pub(crate) async fn try_http_text(
+/// Like [`request_text`], but returns `None` unless the whole answer arrives.
+pub(crate) async fn try_request_text(
     method: &str,
     addr: SocketAddr,
     path: &str,
@@ -109,10 +113,10 @@
         .uri(path)
         .header(HOST, addr.to_string())
         .body(Empty::<Bytes>::new())
-        .expect("a request");
+        .expect("a valid request");
     let res = sender.send_request(req).await.ok()?;
     let status = res.status();
     let body = res.into_body().collect().await.ok()?;
-    let text = String::from_utf8(body.to_bytes().to_vec()).expect("text");
+    let text = String::from_utf8(body.to_bytes().to_vec()).expect("a UTF-8 body");
     Some((status, text))
 }
--- a/crates/node/tests/control/hostile.rs
+++ b/crates/node/tests/control/hostile.rs
@@ -1,4 +1,4 @@
-//! Messages of a faulty or hostile peer to a running node.
+//! Messages from a faulty or hostile peer to a running node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,47 +24,48 @@
 
 use crate::common::CATALOGUE;
 use crate::support::Fleet;
-use crate::support::in_force;
+use crate::support::revision_in_force;
 
-const LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of each step of an exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A catalogue that was never published.
-fn forged(revision: u64) -> Catalogue {
-    let revision = Revision::new(revision).expect("a revision");
-    let items = catalogue::parse("kinds: {}\nservices: {}").expect("a catalogue");
-    Catalogue::new(revision, items).expect("a catalogue")
+fn unpublished_catalogue(revision: u64) -> Catalogue {
+    let revision = Revision::new(revision).expect("a valid revision");
+    let items = catalogue::parse("kinds: {}\nservices: {}").expect("a valid catalogue");
+    Catalogue::new(revision, items).expect("a valid catalogue")
 }
 
-/// A whole body of the forged catalogue.
-fn whole() -> Body {
-    Body::whole(Stream::Catalogue, &forged(9)).expect("a body")
+/// A valid body of the unpublished catalogue.
+fn whole_body() -> Body {
+    Body::whole(Stream::Catalogue, &unpublished_catalogue(9)).expect("a valid body")
 }
 
-/// A body that claims another digest than its content has.
-fn other_digest() -> Body {
-    let revision = Revision::new(9).expect("a revision");
+/// A body whose version has a digest that differs from that of its content.
+fn body_with_other_digest() -> Body {
+    let revision = Revision::new(9).expect("a valid revision");
     Body {
         version: Version::new(revision, Digest::of(b"other")),
-        ..whole()
+        ..whole_body()
     }
 }
 
-/// A body that claims to be a change of what the node doesn't hold.
-fn other_base() -> Body {
+/// A body whose base is a version that the node doesn't have.
+fn body_with_other_base() -> Body {
     Body {
-        base: Some(forged(8).version()),
-        ..whole()
+        base: Some(unpublished_catalogue(8).version()),
+        ..whole_body()
     }
 }
 
-fn with_bytes(bytes: Vec<u8>) -> Body {
+fn body_with_bytes(bytes: Vec<u8>) -> Body {
     Body {
         bytes: bytes.into(),
-        ..whole()
+        ..whole_body()
     }
 }
 
-/// Announces a body, and heads to match, from an address where nobody is.
+/// An announcement of a body with matching heads, sent from `control`.
 fn announce(body: Body, control: SocketAddr) -> PeerMessage {
     PeerMessage::Announce(Announce {
         control,
@@ -80,45 +81,48 @@
 }
 
 async fn send(node: &RunningNode, from: &str, message: &PeerMessage) -> Option<PeerReply> {
-    let connection = PeerConnection::open(node.addrs().control, Arc::default(), LIMIT);
-    let connection = connection.await.expect("a connection");
-    let from = InstanceId::new(from).expect("a name");
-    connection.exchange(&from, message, LIMIT).await.ok()
+    let connection = PeerConnection::open(node.addrs().control, Arc::default(), EXCHANGE_TIMEOUT);
+    let connection = connection.await.expect("a connection to the node");
+    let from = InstanceId::new(from).expect("a valid name");
+    connection
+        .exchange(&from, message, EXCHANGE_TIMEOUT)
+        .await
+        .ok()
 }
 
-/// Guards against a damaged body that comes into force in part, or holds up the next version.
+/// Guards against an invalid body that is applied in part or blocks the next version.
 #[rstest]
-#[case::other_digest(other_digest())]
-#[case::other_base(other_base())]
-#[case::garbage(with_bytes(vec![255; 100]))]
-#[case::empty(with_bytes(Vec::new()))]
-#[case::too_large(with_bytes(vec![0; MAX_BODY_BYTES + 1]))]
+#[case::other_digest(body_with_other_digest())]
+#[case::other_base(body_with_other_base())]
+#[case::undecodable(body_with_bytes(vec![255; 100]))]
+#[case::empty(body_with_bytes(Vec::new()))]
+#[case::too_large(body_with_bytes(vec![0; MAX_BODY_BYTES + 1]))]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn faulty_body_changes_nothing(#[case] body: Body) {
+async fn invalid_body_changes_nothing(#[case] body: Body) {
     let fleet = Fleet::start(1).await;
     let first = fleet.publish(CATALOGUE);
-    fleet.until_in_force(first).await;
-    fleet.until_ready().await;
+    fleet.wait_until_in_force(first).await;
+    fleet.wait_until_ready().await;
     let node = &fleet.nodes[0];
-    let free = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let nobody = free.local_addr().expect("its address");
+    let free = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let unused = free.local_addr().expect("a bound address");
     drop(free);
 
-    send(node, "wd-9", &announce(body, nobody)).await;
-    assert_eq!(in_force(node), Some(first));
+    send(node, "wd-9", &announce(body, unused)).await;
+    assert_eq!(revision_in_force(node), Some(first));
     let second = fleet.publish(&CATALOGUE.replace("weight: 1", "weight: 2"));
-    fleet.until_in_force(second).await;
+    fleet.wait_until_in_force(second).await;
     fleet.cancel.cancel();
 }
 
-/// Guards against two processes of one name that undo each other's word.
+/// Guards against two processes with one instance id that overwrite each other's state.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn message_under_the_own_name_is_refused() {
+async fn message_with_the_id_of_the_receiver_is_refused() {
     let fleet = Fleet::start(1).await;
     let node = &fleet.nodes[0];
-    let message = announce(whole(), node.addrs().control);
+    let message = announce(whole_body(), node.addrs().control);
     let reply = send(node, "wd-0", &message).await;
     assert_eq!(reply, Some(PeerReply::Refused));
-    assert_eq!(in_force(node), None);
+    assert_eq!(revision_in_force(node), None);
     fleet.cancel.cancel();
 }
--- a/crates/node/tests/control/main.rs
+++ b/crates/node/tests/control/main.rs
@@ -1,12 +1,12 @@
-//! Whole nodes over loopback: what is published comes into force, what is bad
-//! doesn't, and a planned stop ends well.
+//! Whole nodes over loopback: valid versions come into force, invalid ones are
+//! rejected, and a planned stop cuts no request.
 
 mod admin;
 mod apply;
 mod common;
-mod crashing;
-mod herd;
+mod fleet_restart;
 mod hostile;
-mod silence;
-mod stop;
+mod planned_stop;
+mod quarantine;
+mod silent_platform;
 mod support;
--- a/crates/node/tests/control/stop.rs
+++ b/crates/node/tests/control/planned_stop.rs
@@ -1,93 +1,98 @@
-//! Planned stops with requests in flight.
+//! Planned stops of nodes with requests in flight.
 
 use std::time::Duration;
 
 use http::StatusCode;
 use sassafrasspool_node::Settings;
 
-use crate::common::http_text;
-use crate::common::patient;
+use crate::common::catalogue_with_long_deadline;
+use crate::common::request_text;
 use crate::common::slow_target;
-use crate::common::try_http_text;
+use crate::common::try_request_text;
 use crate::support::Fleet;
-use crate::support::until;
+use crate::support::wait_until;
 
-/// A node whose target takes `service` for each request.
+/// One node whose target runs each request for `service` and whose drain ends after
+/// `bound`.
 async fn slow_fleet(service: Duration, bound: Duration) -> Fleet {
     let tune = |settings: &mut Settings| settings.drain.bound = bound;
     let fleet = Fleet::start_with(1, &slow_target(service), tune).await;
-    let first = fleet.publish(&patient());
-    fleet.until_in_force(first).await;
-    fleet.until_ready().await;
+    let first = fleet.publish(&catalogue_with_long_deadline());
+    fleet.wait_until_in_force(first).await;
+    fleet.wait_until_ready().await;
     fleet
 }
 
-/// Guards against a request that a planned stop cuts.
+/// Guards against a planned stop that cuts a request.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn request_in_flight_is_finished_before_the_end() {
+async fn a_stop_waits_for_the_request_in_flight() {
     let fleet = slow_fleet(Duration::from_millis(700), Duration::from_secs(30)).await;
     let node = fleet.nodes[0].clone();
     let ingress = node.addrs().ingress;
-    let answer = tokio::spawn(http_text("GET", ingress, "/workshop/1"));
-    until(|| node.shared().in_flight().count() > 0).await;
-    let report = node.stop().await.expect("a report");
+    let call = tokio::spawn(request_text("GET", ingress, "/workshop/1"));
+    wait_until(|| node.shared().in_flight().count() > 0).await;
+    let report = node.stop().await.expect("a stop report");
     assert_eq!(report.cut, 0);
-    let (status, _) = answer.await.expect("an answer");
+    let (status, _) = call.await.expect("an answer");
     assert_eq!(status, StatusCode::OK);
     fleet.cancel.cancel();
 }
 
-/// Guards against a draining node that doesn't say that it ran nothing.
+/// Guards against a draining node whose refusal doesn't state that the request was not
+/// run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn draining_node_refuses_as_not_run() {
+async fn a_draining_node_refuses_requests_as_not_run() {
     let fleet = slow_fleet(Duration::ZERO, Duration::from_secs(30)).await;
     let node = &fleet.nodes[0];
     let ingress = node.addrs().ingress;
-    let (status, _) = http_text("GET", ingress, "/workshop/1").await;
+    let (status, _) = request_text("GET", ingress, "/workshop/1").await;
     assert_eq!(status, StatusCode::OK);
     node.drain().await;
     let runs = fleet.targets[0].ledger().runs.len();
-    let (status, text) = http_text("GET", ingress, "/workshop/2").await;
+    let (status, text) = request_text("GET", ingress, "/workshop/2").await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(text.contains("not-run"), "{text}");
     assert_eq!(fleet.targets[0].ledger().runs.len(), runs);
     fleet.cancel.cancel();
 }
 
-/// Guards against a stop that waits for a hanging target beyond its bound.
+/// Guards against a stop that waits for a hanging target longer than its bound.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn bound_ends_what_does_not_finish() {
+async fn a_stop_at_its_bound_cuts_the_request_in_flight() {
     let fleet = slow_fleet(Duration::from_secs(50), Duration::from_millis(500)).await;
     let node = fleet.nodes[0].clone();
     let ingress = node.addrs().ingress;
-    let answer = tokio::spawn(try_http_text("GET", ingress, "/workshop/1"));
-    until(|| node.shared().in_flight().count() > 0).await;
-    let report = node.stop().await.expect("a report");
+    let answer = tokio::spawn(try_request_text("GET", ingress, "/workshop/1"));
+    wait_until(|| node.shared().in_flight().count() > 0).await;
+    let report = node.stop().await.expect("a stop report");
     assert!(report.cut > 0);
-    let answer = answer.await.expect("no panic");
+    let answer = answer.await.expect("the task doesn't panic");
     assert!(answer.is_none_or(|(status, _)| status != StatusCode::OK));
     fleet.cancel.cancel();
 }
 
-/// Guards against callers that are refused before they can notice a planned stop.
+/// Guards against refusals of callers that can't yet have detected a planned stop.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn stopping_node_serves_until_its_callers_have_gone() {
+async fn a_stopping_node_serves_callers_during_their_grace_period() {
     let tune = |settings: &mut Settings| settings.drain.callers = Duration::from_millis(800);
     let fleet = Fleet::start_with(1, &slow_target(Duration::ZERO), tune).await;
-    let first = fleet.publish(&patient());
-    fleet.until_in_force(first).await;
-    fleet.until_ready().await;
+    let first = fleet.publish(&catalogue_with_long_deadline());
+    fleet.wait_until_in_force(first).await;
+    fleet.wait_until_ready().await;
     let node = fleet.nodes[0].clone();
     assert!(node.shared().takes_callers());
     let stopping = tokio::spawn({
         let node = node.clone();
         async move { node.stop().await }
     });
-    until(|| !node.shared().takes_callers()).await;
-    let (status, _) = http_text("GET", node.addrs().ingress, "/workshop/1").await;
+    wait_until(|| !node.shared().takes_callers()).await;
+    let (status, _) = request_text("GET", node.addrs().ingress, "/workshop/1").await;
     assert_eq!(status, StatusCode::OK);
     assert_eq!(fleet.targets[0].ledger().runs.len(), 1);
-    let report = stopping.await.expect("no panic").expect("a report");
+    let report = stopping
+        .await
+        .expect("the task doesn't panic")
+        .expect("a stop report");
     assert_eq!(report.cut, 0);
     fleet.cancel.cancel();
 }
--- a/crates/node/tests/process/main.rs
+++ b/crates/node/tests/process/main.rs
@@ -1,8 +1,8 @@
-//! The node as a process of its own.
+//! The node as a separate process.
 //!
-//! These tests have a program of their own: while one starts a process, a copy
-//! of it holds every listener for a moment, and a node that restarts in the
-//! same program would find its port in use.
+//! These tests are a separate program: while a test starts a process, the forked copy holds
+//! every listener of the program for a moment, and a node that restarts in the same program
+//! would find its port in use.
 
 #[path = "../control/common.rs"]
 mod common;
@@ -36,82 +36,86 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::common::CATALOGUE;
-use crate::common::http_text;
-use crate::common::instance;
-use crate::common::patient;
+use crate::common::catalogue_with_long_deadline;
+use crate::common::instance_of;
+use crate::common::request_text;
 use crate::common::settings_text;
 use crate::common::slow_target;
-use crate::common::try_http_text;
+use crate::common::try_request_text;
 
-/// What a node's process needs around it.
+/// The platform and the target of a node's process.
 #[derive(Debug)]
-struct Around {
+struct Environment {
     platform: Platform,
     target: Target,
 }
 
-impl Around {
-    async fn start(target: TargetSettings) -> Around {
+impl Environment {
+    async fn start(target: TargetSettings) -> Environment {
         let cancel = CancellationToken::new();
         let platform = Platform::start(PlatformSettings::default(), cancel.clone());
         let target = Target::start(target, cancel);
-        Around {
-            platform: platform.await.expect("a platform"),
-            target: target.await.expect("a target"),
+        Environment {
+            platform: platform.await.expect("the platform starts"),
+            target: target.await.expect("the target starts"),
         }
     }
 
-    /// Publishes a catalogue and a list that doesn't name the node yet.
-    fn publish_without_nodes(&self) {
-        self.platform.publish_instances(&[]).expect("a list");
+    /// Publishes a catalogue and an empty instance list.
+    fn publish_with_empty_list(&self) {
+        self.platform.publish_instances(&[]).expect("a valid list");
         let published = self.platform.publish_catalogue(CATALOGUE);
-        published.expect("a catalogue");
+        published.expect("a valid catalogue");
     }
 
-    /// The settings of a node here.
+    /// The settings of a node of this platform and target, as YAML.
     fn settings(&self) -> String {
         settings_text(0, self.target.addr(), self.platform.addr())
     }
 }
 
-/// A node's process, which is ended with its handle.
+/// A node's process, which is killed when this is dropped.
 #[derive(Debug)]
-struct Process {
+struct NodeProcess {
     child: Child,
     addrs: NodeAddrs,
     log: Arc<Mutex<Vec<Value>>>,
     settings: NamedTempFile,
 }
 
-impl Process {
-    /// Starts the program and reads from its log where it listens.
-    fn start(settings: &str) -> Process {
-        let mut file = NamedTempFile::new().expect("a file");
-        file.write_all(settings.as_bytes()).expect("written");
+impl NodeProcess {
+    /// Starts the program and reads its addresses from its log.
+    fn start(settings: &str) -> NodeProcess {
+        let mut file = NamedTempFile::new().expect("a temporary file");
+        file.write_all(settings.as_bytes())
+            .expect("the file is written");
         let mut child = Command::new(env!("CARGO_BIN_EXE_sassafrasspool-node"))
             .arg("--settings")
             .arg(file.path())
             .stdout(Stdio::piped())
             .spawn()
-            .expect("a process");
-        let log = child.stdout.take().expect("its log");
-        let mut lines = BufReader::new(log).lines();
+            .expect("the process starts");
+        let stdout = child.stdout.take().expect("a piped stdout");
+        let mut lines = BufReader::new(stdout).lines();
         let addrs = loop {
-            let line = lines.next().expect("a line that tells").expect("text");
-            if let Some(addrs) = addrs_of(&line) {
+            let line = lines
+                .next()
+                .expect("a log line with the addresses")
+                .expect("a UTF-8 line");
+            if let Some(addrs) = parse_addrs(&line) {
                 break addrs;
             }
         };
-        // The log is read to its end, so that the process never waits for it.
+        // The log is read to its end so that the process never blocks on a full pipe.
         let log: Arc<Mutex<Vec<Value>>> = Arc::default();
-        let kept = Arc::clone(&log);
+        let lines_read = Arc::clone(&log);
         std::thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
                 let line = serde_json::from_str(&line).expect("a line of JSON");
-                kept.lock().expect("the log").push(line);
+                lines_read.lock().expect("an unpoisoned log").push(line);
             }
         });
-        Process {
+        NodeProcess {
             child,
             addrs,
             log,
@@ -119,58 +123,64 @@
         }
     }
 
-    fn signal(&self, signal: Signal) {
-        let pid = i32::try_from(self.child.id()).expect("a process id");
-        let pid = Pid::from_raw(pid).expect("a process id");
-        kill_process(pid, signal).expect("signalled");
+    fn send_signal(&self, signal: Signal) {
+        let pid = i32::try_from(self.child.id()).expect("a valid process id");
+        let pid = Pid::from_raw(pid).expect("a valid process id");
+        kill_process(pid, signal).expect("the signal is sent");
     }
 
-    async fn until_phase(&self, phase: Phase) {
-        self.until(|status| status.phase == phase).await;
+    async fn wait_for_phase(&self, phase: Phase) {
+        self.wait_for_status(|status| status.phase == phase).await;
     }
 
-    async fn until(&self, reached: impl Fn(&Status) -> bool) {
+    async fn wait_for_status(&self, condition: impl Fn(&Status) -> bool) {
         for _ in 0..6_000 {
-            let (_, text) = http_text("GET", self.addrs.admin, "/status").await;
+            let (_, text) = request_text("GET", self.addrs.admin, "/status").await;
             let status: Option<Status> = serde_json::from_str(&text).ok();
-            if status.is_some_and(|status| reached(&status)) {
+            if status.is_some_and(|status| condition(&status)) {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        panic!("the node's status isn't so within 30 s");
+        panic!("the node doesn't reach the expected status within 30 s");
     }
 
-    async fn until_logged(&self, wanted: impl Fn(&Value) -> bool) {
+    async fn wait_for_log_line(&self, matches: impl Fn(&Value) -> bool) {
         for _ in 0..6_000 {
-            if self.log.lock().expect("the log").iter().any(&wanted) {
+            if self
+                .log
+                .lock()
+                .expect("an unpoisoned log")
+                .iter()
+                .any(&matches)
+            {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        panic!("no such line within 30 s: {:?}", self.log);
+        panic!("no matching log line within 30 s: {:?}", self.log);
     }
 
-    async fn ended(&mut self) -> ExitStatus {
+    async fn wait_for_exit(&mut self) -> ExitStatus {
         for _ in 0..6_000 {
-            if let Some(status) = self.child.try_wait().expect("its state") {
+            if let Some(status) = self.child.try_wait().expect("the state of the process") {
                 return status;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        panic!("the process hasn't ended within 30 s");
+        panic!("the process doesn't exit within 30 s");
     }
 }
 
-impl Drop for Process {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
-        // Both fail only if it has ended already.
+        // Both fail only if the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn addrs_of(line: &str) -> Option<NodeAddrs> {
+fn parse_addrs(line: &str) -> Option<NodeAddrs> {
     let line: Value = serde_json::from_str(line).ok()?;
     let addr = |name: &str| line["fields"][name].as_str()?.parse().ok();
     Some(NodeAddrs {
@@ -186,58 +196,60 @@
 #[case::terminate(Signal::TERM)]
 #[case::interrupt(Signal::INT)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn signal_ends_the_node_without_a_cut(#[case] signal: Signal) {
-    let around = Around::start(TargetSettings::default()).await;
-    around.publish_without_nodes();
-    let mut node = Process::start(&around.settings());
-    node.until_phase(Phase::Ready).await;
-    node.signal(signal);
-    assert_eq!(node.ended().await.code(), Some(0));
+async fn a_signal_stops_the_node_with_exit_code_0(#[case] signal: Signal) {
+    let env = Environment::start(TargetSettings::default()).await;
+    env.publish_with_empty_list();
+    let mut node = NodeProcess::start(&env.settings());
+    node.wait_for_phase(Phase::Ready).await;
+    node.send_signal(signal);
+    assert_eq!(node.wait_for_exit().await.code(), Some(0));
 }
 
 /// Guards against a node that can't be stopped before it is ready.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn node_that_never_was_ready_ends_too() {
-    let nowhere = "127.0.0.1:1".parse().expect("an address");
-    let mut node = Process::start(&settings_text(0, nowhere, nowhere));
-    node.until_phase(Phase::Starting).await;
-    node.signal(Signal::TERM);
-    assert_eq!(node.ended().await.code(), Some(0));
+async fn a_signal_stops_a_node_that_never_was_ready() {
+    let closed = "127.0.0.1:1".parse().expect("a valid address");
+    let mut node = NodeProcess::start(&settings_text(0, closed, closed));
+    node.wait_for_phase(Phase::Starting).await;
+    node.send_signal(Signal::TERM);
+    assert_eq!(node.wait_for_exit().await.code(), Some(0));
 }
 
-/// Guards against a drain that an operator can't cut short.
+/// Guards against a drain that an operator can't abort.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn second_signal_ends_the_node_at_once() {
-    let around = Around::start(slow_target(Duration::from_secs(50))).await;
-    let settings = around.settings();
-    let mut node = Process::start(&settings);
-    let settings = Settings::parse(&settings).expect("settings");
-    let list = [instance(&settings, node.addrs)];
-    let platform = &around.platform;
-    platform.publish_instances(&list).expect("a list");
-    platform.publish_catalogue(&patient()).expect("a catalogue");
-    node.until_phase(Phase::Ready).await;
+async fn a_second_signal_stops_the_node_at_once() {
+    let env = Environment::start(slow_target(Duration::from_secs(50))).await;
+    let settings = env.settings();
+    let mut node = NodeProcess::start(&settings);
+    let settings = Settings::parse(&settings).expect("valid settings");
+    let list = [instance_of(&settings, node.addrs)];
+    let platform = &env.platform;
+    platform.publish_instances(&list).expect("a valid list");
+    platform
+        .publish_catalogue(&catalogue_with_long_deadline())
+        .expect("a valid catalogue");
+    node.wait_for_phase(Phase::Ready).await;
     let ingress = node.addrs.ingress;
-    let answer = tokio::spawn(async move {
-        try_http_text("GET", ingress, "/workshop/1").await;
+    let call = tokio::spawn(async move {
+        try_request_text("GET", ingress, "/workshop/1").await;
     });
-    node.until(|status| status.in_flight > 0).await;
-    node.signal(Signal::TERM);
-    node.until_phase(Phase::Draining).await;
-    node.signal(Signal::TERM);
-    assert_eq!(node.ended().await.code(), Some(3));
-    answer.await.expect("no panic");
+    node.wait_for_status(|status| status.in_flight > 0).await;
+    node.send_signal(Signal::TERM);
+    node.wait_for_phase(Phase::Draining).await;
+    node.send_signal(Signal::TERM);
+    assert_eq!(node.wait_for_exit().await.code(), Some(3));
+    call.await.expect("the task doesn't panic");
 }
 
-/// Guards against changes of state that leave no line in the log.
+/// Guards against changes of state without a log line.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn changes_of_state_are_logged() {
-    let around = Around::start(TargetSettings::default()).await;
-    around.publish_without_nodes();
-    let mut node = Process::start(&around.settings());
-    node.until_phase(Phase::Ready).await;
-    node.signal(Signal::TERM);
-    node.ended().await;
+async fn phases_and_applied_versions_are_logged() {
+    let env = Environment::start(TargetSettings::default()).await;
+    env.publish_with_empty_list();
+    let mut node = NodeProcess::start(&env.settings());
+    node.wait_for_phase(Phase::Ready).await;
+    node.send_signal(Signal::TERM);
+    node.wait_for_exit().await;
     let applied = |line: &Value| {
         line["target"] == "audit"
             && line["fields"]["event"] == "applied"
@@ -246,83 +258,84 @@
     };
     let gone =
         |line: &Value| line["fields"]["event"] == "phase" && line["fields"]["phase"] == "gone";
-    node.until_logged(applied).await;
-    node.until_logged(gone).await;
+    node.wait_for_log_line(applied).await;
+    node.wait_for_log_line(gone).await;
 }
 
-/// Guards against a woken process that goes on by old beliefs.
+/// Guards against a process that continues with stale state after a pause.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn paused_process_wakes_and_catches_up() {
-    let around = Around::start(TargetSettings::default()).await;
-    around.publish_without_nodes();
-    let text = around
+async fn a_resumed_process_applies_the_newest_version() {
+    let env = Environment::start(TargetSettings::default()).await;
+    env.publish_with_empty_list();
+    let text = env
         .settings()
         .replace("spread: {", "spread: {pause_bound_ms: 500, ");
-    let node = Process::start(&text);
-    node.until_phase(Phase::Ready).await;
+    let node = NodeProcess::start(&text);
+    node.wait_for_phase(Phase::Ready).await;
 
-    node.signal(Signal::STOP);
+    node.send_signal(Signal::STOP);
     tokio::time::sleep(Duration::from_secs(1)).await;
     let next = CATALOGUE.replace("weight: 1", "weight: 2");
-    let next = around
+    let next = env
         .platform
         .publish_catalogue(&next)
-        .expect("a catalogue");
-    node.signal(Signal::CONT);
-    node.until(|status| {
+        .expect("a valid catalogue");
+    node.send_signal(Signal::CONT);
+    node.wait_for_status(|status| {
         let held = status.held.catalogue.as_ref();
         held.is_some_and(|version| version.revision == next.get())
     })
     .await;
-    let (_, text) = http_text("GET", node.addrs.admin, "/audit").await;
-    let page: AuditPage = serde_json::from_str(&text).expect("a page");
+    let (_, text) = request_text("GET", node.addrs.admin, "/audit").await;
+    let page: AuditPage = serde_json::from_str(&text).expect("an audit page");
     assert!(page.records.iter().any(|it| it.event == "paused"));
 }
 
 #[test]
-fn faulty_settings_end_the_program_with_every_fault() {
-    let mut file = NamedTempFile::new().expect("a file");
+fn invalid_settings_end_the_program_with_a_list_of_all_faults() {
+    let mut file = NamedTempFile::new().expect("a temporary file");
     file.write_all(b"instance: WD 1\nzone: b\n")
-        .expect("written");
+        .expect("the file is written");
     let output = Command::new(env!("CARGO_BIN_EXE_sassafrasspool-node"))
         .arg("--settings")
         .arg(file.path())
         .output()
-        .expect("a process");
+        .expect("the process starts");
     assert_eq!(output.status.code(), Some(1));
-    let told = String::from_utf8_lossy(&output.stderr);
+    let stderr = String::from_utf8_lossy(&output.stderr);
     for fault in ["instance id", "zone: is unknown", "listen: is missing"] {
-        assert!(told.contains(fault), "{fault} isn't told in {told}");
+        assert!(stderr.contains(fault), "{fault} is missing in {stderr}");
     }
 }
 
-/// Guards against a change of settings that ends the process or is taken in part.
+/// Guards against a change of settings that ends the process or is applied in part.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn settings_change_under_a_running_node() {
-    let around = Around::start(TargetSettings::default()).await;
-    around.publish_without_nodes();
-    let text = around.settings();
-    let mut node = Process::start(&text);
-    node.until_phase(Phase::Ready).await;
-    let write = |node: &Process, text: &str| {
-        std::fs::write(node.settings.path(), text).expect("written");
+async fn a_running_node_reloads_valid_settings_and_rejects_invalid_ones() {
+    let env = Environment::start(TargetSettings::default()).await;
+    env.publish_with_empty_list();
+    let text = env.settings();
+    let mut node = NodeProcess::start(&text);
+    node.wait_for_phase(Phase::Ready).await;
+    let write = |node: &NodeProcess, text: &str| {
+        std::fs::write(node.settings.path(), text).expect("the file is written");
     };
     write(&node, "instance: [");
-    node.signal(Signal::HUP);
-    let told = |line: &Value, message: &str| line["fields"]["message"] == message;
+    node.send_signal(Signal::HUP);
+    let has_message = |line: &Value, message: &str| line["fields"]["message"] == message;
     let refused = "settings refused, the former stay in force";
-    node.until_logged(|line| told(line, refused)).await;
+    node.wait_for_log_line(|line| has_message(line, refused))
+        .await;
     let other = text.replace("service: workshop-desk", "service: adjuster-desk");
     let other = other.replace("probe_ms: 20", "probe_ms: 30");
     write(&node, &other);
-    node.until_logged(|line| {
+    node.wait_for_log_line(|line| {
         let fields = &line["fields"];
-        told(line, "settings have changed")
+        has_message(line, "settings have changed")
             && fields["service"] == "adjuster-desk"
             && fields["wait_for_restart"] == "target"
     })
     .await;
-    node.until_phase(Phase::Ready).await;
-    node.signal(Signal::TERM);
-    assert_eq!(node.ended().await.code(), Some(0));
+    node.wait_for_phase(Phase::Ready).await;
+    node.send_signal(Signal::TERM);
+    assert_eq!(node.wait_for_exit().await.code(), Some(0));
 }
