--- a/crates/node/tests/requests/cancel.rs
+++ b/crates/node/tests/requests/cancel.rs
@@ -1,4 +1,4 @@
-//! Requests that nobody waits for any more.
+//! Requests whose callers disconnect or time out.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 use crate::fleet::SLOTS;
 use crate::wait;
 
-/// Longer than any test waits.
-const LONG: Duration = Duration::from_secs(60);
+/// Service time longer than any test waits.
+const LONGER_THAN_ANY_TEST: Duration = Duration::from_secs(60);
 
-// A fitter closes the window while a lookup runs two hops away. The target is
-// told and stops, and the slot is there for the next.
+/// Guards against lookups that keep their slots after their callers disconnected two hops
+/// away: each run is cancelled, and the next request gets a slot.
 #[tokio::test]
-async fn a_caller_that_goes_away_frees_the_slot() {
+async fn a_disconnected_caller_frees_the_slot() {
     let fleet = Fleet::start(&[DESK, ADJUSTER]).await;
     let adjuster = &fleet.members[1];
-    adjuster.target.set_slow(LONG).await;
+    adjuster.target.set_slow(LONGER_THAN_ANY_TEST).await;
     let mut calls = Vec::new();
     for n in 0..SLOTS {
         let req = client::get("/adjuster/files", &format!("r-{n}"));
@@ -31,8 +31,11 @@
             req,
         )));
     }
-    let full = u64::from(SLOTS);
-    wait::until("full slots", || adjuster.target.stats().inflight == full).await;
+    let all_slots = u64::from(SLOTS);
+    wait::until("requests in all slots", || {
+        adjuster.target.stats().inflight == all_slots
+    })
+    .await;
     for call in calls {
         call.abort();
     }
@@ -45,18 +48,18 @@
     assert_eq!(res.expect("an answer").status(), StatusCode::OK);
 }
 
-// A target does not answer by the deadline. The caller hears in time that the
-// outcome is unknown, and the approval isn't tried a second time.
+/// Guards against a target that doesn't answer by the deadline: the caller receives the
+/// unknown outcome in time, and the approval isn't retried.
 #[tokio::test]
-async fn a_slow_target_is_unknown_at_the_deadline() {
+async fn a_request_without_an_answer_is_unknown_at_the_deadline() {
     let fleet = Fleet::start(&[DESK, ADJUSTER]).await;
     let adjuster = &fleet.members[1];
-    // It stays silent: one that is only slow answers 504 by itself as its time is over, a
+    // The target never answers. A slow target would answer 504 by itself at its timeout, a
     // millisecond after the node's deadline.
     adjuster.target.set_hang_after_run(true).await;
     for member in &fleet.members {
         let mut req = client::get("/adjuster/approve", member.id);
-        let timeout = "150".parse().expect("a value");
+        let timeout = "150".parse().expect("a valid header value");
         req.headers_mut().insert("x-request-timeout-ms", timeout);
         let res = client::call(member.addrs.ingress, req).await;
         let res = res.expect("an answer");
@@ -67,21 +70,21 @@
     wait::until("free slots", || adjuster.target.stats().inflight == 0).await;
 }
 
-// Every second answer comes after its caller gave up. Were its connection used
-// again, the next caller would read the answer to someone else's request.
+/// Guards against the reuse of a connection on which an answer is still due: every second
+/// answer arrives after the caller's timeout, and the next caller would receive it.
 #[tokio::test]
-async fn a_late_answer_never_meets_another_request() {
+async fn a_late_answer_is_never_returned_for_another_request() {
     let fleet = Fleet::start(&[DESK, ADJUSTER]).await;
     let adjuster = &fleet.members[1];
     adjuster
         .target
         .late_answers(2, Duration::from_millis(200))
         .await;
-    let mut timed_out = 0;
+    let mut timeouts = 0;
     for n in 0..20 {
         let id = format!("r-{n}");
         let mut req = client::get("/adjuster/approve", &id);
-        let timeout = "100".parse().expect("a value");
+        let timeout = "100".parse().expect("a valid header value");
         req.headers_mut().insert("x-request-timeout-ms", timeout);
         let res = client::call(fleet.members[0].addrs.ingress, req).await;
         let res = res.expect("an answer");
@@ -89,10 +92,10 @@
             StatusCode::OK => assert_eq!(*res.body(), answer_body(&id, 0)),
             status => {
                 assert_eq!(status, StatusCode::GATEWAY_TIMEOUT);
-                timed_out += 1;
+                timeouts += 1;
             }
         }
         assert_eq!(adjuster.runs_of(&id).len(), 1);
     }
-    assert!(timed_out >= 10, "only {timed_out} answers were late");
+    assert!(timeouts >= 10, "only {timeouts} answers were late");
 }
--- a/crates/node/tests/requests/client.rs
+++ b/crates/node/tests/requests/client.rs
@@ -1,4 +1,4 @@
-//! A caller that uses one connection for each request and never retries.
+//! A client that opens a connection for each request, or reuses one, and never retries.
 
 use std::net::SocketAddr;
 
@@ -15,30 +15,30 @@
 /// The body of a request.
 pub(crate) type Body = Full<Bytes>;
 
-/// A request for `path` without a body.
+/// A GET request for `path` with this request id.
 pub(crate) fn get(path: &str, id: &str) -> Request<Body> {
     Request::get(path)
         .header("host", "desk.example")
         .header("x-request-id", id)
         .body(Body::default())
-        .expect("a request")
+        .expect("a valid request")
 }
 
-/// A connection that is kept.
-pub(crate) struct Kept(http1::SendRequest<Body>);
+/// A connection that can be used for several requests.
+pub(crate) struct Connection(http1::SendRequest<Body>);
 
 /// Opens a connection.
-pub(crate) async fn connect(addr: SocketAddr) -> Kept {
+pub(crate) async fn connect(addr: SocketAddr) -> Connection {
     let stream = TcpStream::connect(addr).await.expect("a connection");
     stream.set_nodelay(true).expect("a socket option");
     let handshake = http1::handshake(TokioIo::new(stream));
     let (sender, conn) = handshake.await.expect("a connection");
     tokio::spawn(conn);
-    Kept(sender)
+    Connection(sender)
 }
 
-impl Kept {
-    /// Gets the whole answer.
+impl Connection {
+    /// Sends a request on this connection; returns the whole answer.
     pub(crate) async fn call(&mut self, req: Request<Body>) -> hyper::Result<Response<Bytes>> {
         self.0.ready().await?;
         let (head, body) = self.0.send_request(req).await?.into_parts();
@@ -47,24 +47,25 @@
     }
 }
 
-/// Gets the head of the answer and a body that may still come.
-pub(crate) async fn begin(
+/// Sends a request on a new connection; returns the head of the answer, and the body to
+/// read.
+pub(crate) async fn send(
     addr: SocketAddr,
     req: Request<Body>,
 ) -> hyper::Result<Response<Incoming>> {
-    let Kept(mut sender) = connect(addr).await;
+    let Connection(mut sender) = connect(addr).await;
     sender.send_request(req).await
 }
 
-/// Gets the whole answer.
+/// Sends a request on a new connection; returns the whole answer.
 pub(crate) async fn call(addr: SocketAddr, req: Request<Body>) -> hyper::Result<Response<Bytes>> {
-    let (head, body) = begin(addr, req).await?.into_parts();
+    let (head, body) = send(addr, req).await?.into_parts();
     let whole = body.collect().await?.to_bytes();
     Ok(Response::from_parts(head, whole))
 }
 
-/// A header of an answer as text, empty if it isn't there.
+/// A header of an answer as text, empty if it is absent.
 pub(crate) fn header<'a, B>(res: &'a Response<B>, name: &str) -> &'a str {
     let value = res.headers().get(name);
-    value.map_or("", |value| value.to_str().expect("text"))
+    value.map_or("", |value| value.to_str().expect("valid UTF-8"))
 }
--- /dev/null
+++ b/crates/node/tests/requests/cold_start.rs
@@ -0,0 +1,111 @@
+//! The rate limit of cold targets.
+
+use std::time::Duration;
+use std::time::Instant;
+use std::time::SystemTime;
+use std::time::UNIX_EPOCH;
+
+use http::StatusCode;
+use sassafrasspool_core::TargetId;
+use sassafrasspool_core::TargetLife;
+
+use crate::client;
+use crate::fleet::DESK;
+use crate::fleet::Fleet;
+use crate::fleet::Spec;
+
+const SECOND: Spec = Spec { id: "wd-2", ..DESK };
+
+const THIRD: Spec = Spec { id: "wd-3", ..DESK };
+
+const SPECS: [Spec; 3] = [DESK, SECOND, THIRD];
+
+/// Requests per second that a cold target may be sent.
+const MAX_COLD_RATE_PER_S: usize = 20;
+
+/// The period whose requests, at that rate, may be sent to a cold target in one burst.
+const COLD_BURST: Duration = Duration::from_millis(500);
+
+/// Catalogue fields of the desk with [`COLD_PERIOD`] and [`MAX_COLD_RATE_PER_S`].
+const COLD_START_FIELDS: &str = "    cold_start: {lasts_ms: 2500, per_s: 20}\n";
+
+/// How long a target is cold after its start.
+const COLD_PERIOD: Duration = Duration::from_millis(2_500);
+
+/// Generation `n` of a target.
+fn generation(n: u64) -> TargetLife {
+    TargetLife {
+        id: TargetId::new(&format!("i-{n}")).expect("a valid name"),
+        listed_at: n,
+        born: None,
+    }
+}
+
+/// The largest number of requests that started within any one second.
+fn max_in_one_second(mut started_us: Vec<u64>) -> usize {
+    started_us.sort_unstable();
+    let until = |from: u64| started_us.partition_point(|us| *us < from + 1_000_000);
+    let counts = started_us.iter().enumerate();
+    let counts = counts.map(|(first, from)| until(*from) - first);
+    counts.max().unwrap_or(0)
+}
+
+/// Guards against crashes of cold targets under the load of warm ones, which is the sum of
+/// the requests of all nodes.
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn all_nodes_together_keep_to_the_rate_limit_of_cold_targets() {
+    let fleet = Fleet::start(&SPECS).await;
+    let cold = |n: u64| (Some(generation(n)), COLD_PERIOD);
+    // The first generations are listed as the nodes start; the second ones replace them.
+    fleet.publish_generations(&SPECS, 2, COLD_START_FIELDS, [cold(1), cold(2), cold(3)]);
+    let published = SystemTime::now();
+    let end = Instant::now() + COLD_PERIOD;
+    fleet.publish_generations(&SPECS, 3, COLD_START_FIELDS, [cold(4), cold(5), cold(6)]);
+    let mut callers = Vec::new();
+    for (caller, member) in fleet.members.iter().cycle().take(60).enumerate() {
+        let ingress = member.addrs.ingress;
+        callers.push(tokio::spawn(async move {
+            let mut refused = 0;
+            for n in 0.. {
+                if Instant::now() >= end {
+                    break;
+                }
+                let req = client::get("/desk/lodge", &format!("r-{caller}-{n}"));
+                let res = client::call(ingress, req).await.expect("an answer");
+                if res.status() == StatusCode::SERVICE_UNAVAILABLE {
+                    assert_eq!(client::header(&res, "x-sassafrasspool-outcome"), "not-run");
+                    refused += 1;
+                    tokio::time::sleep(Duration::from_millis(5)).await;
+                }
+            }
+            refused
+        }));
+    }
+    let mut refused = 0;
+    for caller in callers {
+        refused += caller.await.expect("the task doesn't panic");
+    }
+    assert!(
+        refused > 0,
+        "the load didn't exceed the rate of cold targets"
+    );
+    let warm_at = published.duration_since(UNIX_EPOCH).expect("a time") + COLD_PERIOD;
+    let warm_at_us = warm_at.as_micros() as u64;
+    let bound =
+        MAX_COLD_RATE_PER_S + MAX_COLD_RATE_PER_S * COLD_BURST.as_millis() as usize / 1_000 + 1;
+    for member in &fleet.members {
+        let runs = member.target.ledger().runs;
+        let started_us = runs.iter().map(|run| run.started_us);
+        let started_us: Vec<u64> = started_us.filter(|us| *us < warm_at_us).collect();
+        let received = started_us.len();
+        let most = max_in_one_second(started_us);
+        assert!(
+            most <= bound,
+            "{} received {most} in one second, at most {bound} are allowed",
+            member.id
+        );
+        // Most of the allowed rate is used.
+        let least = MAX_COLD_RATE_PER_S * COLD_PERIOD.as_millis() as usize / 1_000 * 7 / 10;
+        assert!(received >= least, "{} received only {received}", member.id);
+    }
+}
--- a/crates/node/tests/requests/drain.rs
+++ b/crates/node/tests/requests/drain.rs
@@ -19,24 +19,25 @@
 
 const THIRD: Spec = Spec { id: "wd-3", ..DESK };
 
-/// Far more than a drain takes here.
-const BOUND: Duration = Duration::from_secs(20);
+/// Far longer than any drain takes here.
+const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Longer than a departing target gets work for.
-const DEPARTED: Duration = Duration::from_millis(1_100);
+/// Longer than the 1 s after which a departing target is handed no new requests.
+const AFTER_DEPARTURE_GRACE: Duration = Duration::from_millis(1_100);
 
-/// Stops a member as a node does; returns how many requests were cut.
-async fn stop(member: &mut Member) -> u64 {
+/// Stops a member as a node does; returns the number of requests that were cut.
+async fn stop_member(member: &mut Member) -> u64 {
     member.shared.advance(Phase::Draining);
     member.shared.in_flight().idle().await;
     member.cancel.cancel();
     let traffic = member.traffic.take().expect("a running node");
-    traffic.stopped_within(BOUND).await
+    traffic.stopped_within(STOP_TIMEOUT).await
 }
 
-/// Guards against work that a leaving node runs, or refuses without saying that it didn't.
+/// Guards against a draining node that runs requests, or whose refusals don't state that
+/// they weren't run.
 #[tokio::test]
-async fn a_leaving_node_refuses_and_runs_nothing() {
+async fn a_draining_node_refuses_requests_and_runs_none() {
     let fleet = Fleet::start(&[DESK]).await;
     let desk = &fleet.members[0];
     desk.shared.advance(Phase::Draining);
@@ -48,50 +49,53 @@
         let res = client::call(addr, req).await.expect("an answer");
         assert_eq!(res.status(), StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(client::header(&res, "x-sassafrasspool-outcome"), "not-run");
-        let body = std::str::from_utf8(res.body()).expect("text");
+        let body = std::str::from_utf8(res.body()).expect("valid UTF-8");
         assert!(body.contains("\"reason\":\"draining\""), "{body}");
     }
     assert!(desk.target.ledger().runs.is_empty());
 }
 
-/// Guards against work for a departed target from a node with an old list.
+/// Guards against requests from a node with a stale list that a departed target runs.
 #[tokio::test]
-async fn what_a_node_behind_sends_to_a_departed_target_is_refused() {
+async fn requests_of_a_stale_node_to_a_departed_target_are_refused() {
     let specs = [DESK, SECOND];
     let fleet = Fleet::start(&specs).await;
-    let [first, second] = &fleet.members[..] else {
+    let [stale, departed] = &fleet.members[..] else {
         panic!("two members");
     };
-    second.shared.set_view(fleet.view(&specs, 2, &[second.id]));
+    departed
+        .shared
+        .set_view(fleet.view_of_list(&specs, 2, &[departed.id]));
     let send = async |id: &str| {
         let req = client::get("/desk/lodge", id);
-        let res = client::call(first.addrs.ingress, req).await;
+        let res = client::call(stale.addrs.ingress, req).await;
         assert_eq!(res.expect("an answer").status(), StatusCode::OK);
     };
-    tokio::time::sleep(DEPARTED).await;
+    tokio::time::sleep(AFTER_DEPARTURE_GRACE).await;
     let ids: Vec<String> = (0..20).map(|n| format!("r-{n}")).collect();
     for id in &ids {
         send(id).await;
     }
-    assert!(ids.iter().all(|id| second.runs_of(id).is_empty()));
-    assert!(ids.iter().all(|id| first.runs_of(id).len() == 1));
+    assert!(ids.iter().all(|id| departed.runs_of(id).is_empty()));
+    assert!(ids.iter().all(|id| stale.runs_of(id).len() == 1));
 }
 
-/// Callers that go on until they are told to stop.
+/// Callers that send requests until [`Callers::stop`].
 struct Callers {
-    done: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<u64>>,
 }
 
 impl Callers {
+    /// Starts callers at the ingress of member `via`.
     fn start(fleet: &Fleet, via: usize) -> Callers {
-        let done = Arc::new(AtomicBool::new(false));
+        let stopped = Arc::new(AtomicBool::new(false));
         let ingress = fleet.members[via].addrs.ingress;
-        let one = |n: usize| {
-            let done = Arc::clone(&done);
+        let start_caller = |n: usize| {
+            let stopped = Arc::clone(&stopped);
             tokio::spawn(async move {
                 let mut answered = 0;
-                while !done.load(Ordering::Relaxed) {
+                while !stopped.load(Ordering::Relaxed) {
                     let req = client::get("/desk/lodge", &format!("c-{n}-{answered}"));
                     let res = client::call(ingress, req).await.expect("an answer");
                     assert_eq!(res.status(), StatusCode::OK, "{:?}", res.body());
@@ -100,45 +104,49 @@
                 answered
             })
         };
-        let tasks = (0..4).map(one).collect();
-        Callers { done, tasks }
+        let tasks = (0..4).map(start_caller).collect();
+        Callers { stopped, tasks }
     }
 
-    async fn finish(self) -> u64 {
-        self.done.store(true, Ordering::Relaxed);
+    /// Stops the callers; returns the number of answers.
+    async fn stop(self) -> u64 {
+        self.stopped.store(true, Ordering::Relaxed);
         let mut answered = 0;
         for task in self.tasks {
-            answered += task.await.expect("no failed call");
+            answered += task.await.expect("no call fails");
         }
         answered
     }
 }
 
-/// Guards against requests that are cut or doubled by overlapping planned stops.
+/// Guards against requests that overlapping planned stops cut or run twice.
 #[tokio::test]
-async fn two_stops_at_once_under_load_cut_nothing() {
+async fn two_concurrent_stops_under_load_cut_no_request() {
     let mut fleet = Fleet::start(&[DESK, SECOND, THIRD]).await;
     for member in &fleet.members {
         member.target.set_slow(Duration::from_millis(5)).await;
     }
     let callers = Callers::start(&fleet, 2);
     let ran = |m: &Member| m.target.ledger().runs.len();
-    wait::until("load", || fleet.members.iter().all(|m| ran(m) > 20)).await;
-    let mut leaving: Vec<Member> = fleet.members.drain(..2).collect();
-    let [first, second] = &mut leaving[..] else {
+    wait::until("load on each member", || {
+        fleet.members.iter().all(|m| ran(m) > 20)
+    })
+    .await;
+    let mut stopping: Vec<Member> = fleet.members.drain(..2).collect();
+    let [first, second] = &mut stopping[..] else {
         unreachable!("two members");
     };
-    let (first, second) = tokio::join!(stop(first), stop(second));
+    let (first, second) = tokio::join!(stop_member(first), stop_member(second));
     assert_eq!((first, second), (0, 0));
     let before = ran(&fleet.members[0]);
     wait::until("more load", || ran(&fleet.members[0]) > before + 20).await;
-    let answered = callers.finish().await;
-    let members = leaving.iter().chain(&fleet.members);
+    let answered = callers.stop().await;
+    let members = stopping.iter().chain(&fleet.members);
     let ran: usize = members.map(ran).sum();
     assert_eq!(u64::try_from(ran).expect("few runs"), answered);
 }
 
-/// Guards against an answer that a planned stop cuts.
+/// Guards against a planned stop that cuts an answer.
 #[tokio::test]
 async fn a_stop_waits_for_the_answer_in_flight() {
     let mut fleet = Fleet::start(&[DESK]).await;
@@ -148,18 +156,21 @@
         .await;
     let ingress = fleet.members[0].addrs.ingress;
     let mut req = client::get("/desk/lodge", "r-1");
-    let bytes = "3000000".parse().expect("a value");
+    let bytes = "3000000".parse().expect("a valid header value");
     req.headers_mut().insert("x-answer-bytes", bytes);
-    let answer = tokio::spawn(client::call(ingress, req));
+    let call = tokio::spawn(client::call(ingress, req));
     wait::until("a run", || fleet.runs_of("r-1") == 1).await;
-    assert_eq!(stop(&mut fleet.members[0]).await, 0);
-    let res = answer.await.expect("a task").expect("a whole answer");
+    assert_eq!(stop_member(&mut fleet.members[0]).await, 0);
+    let res = call
+        .await
+        .expect("the task doesn't panic")
+        .expect("a whole answer");
     assert_eq!(res.body().len(), 3_000_000 + "r-1\n".len());
 }
 
-/// Guards against a connection that closes unread as a request crosses the stop.
+/// Guards against a connection that a stop closes while a request on it is still unread.
 #[tokio::test]
-async fn a_request_that_meets_the_stop_is_refused() {
+async fn a_request_during_the_stop_is_refused() {
     let mut fleet = Fleet::start(&[DESK]).await;
     let desk = &mut fleet.members[0];
     let mut caller = client::connect(desk.addrs.ingress).await;
@@ -172,23 +183,26 @@
     assert_eq!(client::header(&res, "x-sassafrasspool-outcome"), "not-run");
     assert_eq!(client::header(&res, "connection"), "close");
     let traffic = desk.traffic.take().expect("a running node");
-    assert_eq!(traffic.stopped_within(BOUND).await, 0);
+    assert_eq!(traffic.stopped_within(STOP_TIMEOUT).await, 0);
     assert_eq!(fleet.runs_of("r-2"), 0);
 }
 
-/// Guards against a stop that waits for a hanging target for ever, or hides what it cut.
+/// Guards against a stop that waits for a hanging target without a bound, or doesn't count
+/// the requests that it cuts.
 #[tokio::test]
-async fn a_stop_at_its_bound_says_what_it_cut() {
+async fn a_stop_at_its_bound_returns_the_number_of_cut_requests() {
     let mut fleet = Fleet::start(&[DESK]).await;
     let desk = &mut fleet.members[0];
     desk.target.set_hang_after_run(true).await;
     let req = client::get("/desk/lodge", "r-1");
-    let answer = tokio::spawn(client::call(desk.addrs.ingress, req));
+    let call = tokio::spawn(client::call(desk.addrs.ingress, req));
     wait::until("a run", || desk.runs_of("r-1").len() == 1).await;
     desk.shared.advance(Phase::Draining);
     desk.cancel.cancel();
     let traffic = desk.traffic.take().expect("a running node");
     let cut = traffic.stopped_within(Duration::from_millis(200)).await;
     assert_eq!(cut, 1);
-    answer.await.expect("a task").expect_err("a cut request");
+    call.await
+        .expect("the task doesn't panic")
+        .expect_err("a cut request");
 }
--- a/crates/node/tests/requests/shedding.rs
+++ b/crates/node/tests/requests/ejection.rs
@@ -1,4 +1,4 @@
-//! Targets that take no work by themselves.
+//! Ejection of targets that refuse all requests.
 
 use http::StatusCode;
 
@@ -9,16 +9,16 @@
 
 const SECOND: Spec = Spec { id: "wd-2", ..DESK };
 
-/// Lookups, one after the other.
+/// Lookups, which are sent one after another.
 const LOOKUPS: usize = 60;
 
-/// Failures in a row after which an endpoint is left out, and some for the one
-/// that is tried when it comes back.
-const MOST_FAILED: usize = 10;
+/// Bound on the failures: the consecutive ones after which an endpoint is ejected, and a
+/// few for the requests that probe the endpoint when its ejection ends.
+const MAX_FAILED: usize = 10;
 
-/// Guards against a failing target that draws all requests since it fails fast.
+/// Guards against a failing target that receives all requests because it fails fast.
 #[tokio::test]
-async fn a_target_that_drains_by_itself_draws_no_work() {
+async fn a_target_that_refuses_all_requests_is_ejected() {
     let fleet = Fleet::start(&[DESK, SECOND]).await;
     fleet.members[0].target.set_drain(true).await;
     let ingress = fleet.members[1].addrs.ingress;
@@ -28,5 +28,5 @@
         let res = client::call(ingress, req).await.expect("an answer");
         failed += usize::from(res.status() != StatusCode::OK);
     }
-    assert!(failed <= MOST_FAILED, "{failed} of {LOOKUPS} failed");
+    assert!(failed <= MAX_FAILED, "{failed} of {LOOKUPS} failed");
 }
--- a/crates/node/tests/requests/evacuation.rs
+++ b/crates/node/tests/requests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Failure domains that operators evacuate.
+//! Evacuation of failure domains by operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,17 +22,18 @@
 
 const SPECS: [Spec; 3] = [DESK, NEAR, FAR];
 
-/// The failure domain of the first two.
-const EVACUATED: &str = "evacuated: [bayanzurkh]\n";
+/// Catalogue lines that evacuate the failure domain of the first two members.
+const EVACUATE_BAYANZURKH: &str = "evacuated: [bayanzurkh]\n";
 
-/// How long a request takes at a target that is at work all the while.
-const AT_WORK: Duration = Duration::from_secs(1);
+/// Service time of a slow target.
+const SERVICE_TIME: Duration = Duration::from_secs(1);
 
-/// Sends lookups to the ingress of each member; all are to be answered.
-async fn look_up(fleet: &Fleet, name: &str) -> Vec<String> {
+/// Sends lookups to the ingress of each member, each of which must succeed; returns their
+/// ids.
+async fn send_lookups(fleet: &Fleet, prefix: &str) -> Vec<String> {
     let mut ids = Vec::new();
     for (n, member) in fleet.members.iter().cycle().take(30).enumerate() {
-        let id = format!("{name}-{n}");
+        let id = format!("{prefix}-{n}");
         let req = client::get("/desk/policy", &id);
         let res = client::call(member.addrs.ingress, req).await;
         assert_eq!(res.expect("an answer").status(), StatusCode::OK, "{id}");
@@ -41,33 +42,42 @@
     ids
 }
 
-fn ran(fleet: &Fleet, member: usize, ids: &[String]) -> usize {
+fn count_runs(fleet: &Fleet, member: usize, ids: &[String]) -> usize {
     let runs = ids.iter().map(|id| fleet.members[member].runs_of(id).len());
     runs.sum()
 }
 
-/// Guards against work for targets of an evacuated failure domain, and against callers
-/// there who aren't served elsewhere.
+/// Guards against requests to targets of an evacuated failure domain, and against callers
+/// in it whose requests aren't forwarded to another one.
 #[tokio::test]
-async fn an_evacuated_domain_gets_nothing_until_it_is_taken_back() {
+async fn an_evacuated_domain_gets_no_requests_until_the_evacuation_ends() {
     let fleet = Fleet::start(&SPECS).await;
-    for (revision, orders) in [(2, EVACUATED), (3, ""), (4, EVACUATED), (5, "")] {
-        fleet.publish_with(&SPECS, revision, orders);
-        let ids = look_up(&fleet, &format!("r{revision}")).await;
-        let near = ran(&fleet, 0, &ids) + ran(&fleet, 1, &ids);
-        match orders.is_empty() {
-            true => assert!(near > 0, "nothing goes back after revision {revision}"),
+    for (revision, lines) in [
+        (2, EVACUATE_BAYANZURKH),
+        (3, ""),
+        (4, EVACUATE_BAYANZURKH),
+        (5, ""),
+    ] {
+        fleet.publish_with_lines(&SPECS, revision, lines);
+        let ids = send_lookups(&fleet, &format!("r{revision}")).await;
+        let near = count_runs(&fleet, 0, &ids) + count_runs(&fleet, 1, &ids);
+        match lines.is_empty() {
+            true => assert!(
+                near > 0,
+                "no request goes to the domain again at revision {revision}"
+            ),
             false => assert_eq!(near, 0, "at revision {revision}"),
         }
-        assert_eq!(near + ran(&fleet, 2, &ids), ids.len());
+        assert_eq!(near + count_runs(&fleet, 2, &ids), ids.len());
     }
 }
 
-/// Guards against work from a node that hasn't heard of the evacuation.
+/// Guards against requests from a node that hasn't received the evacuation yet, which a
+/// target in the evacuated domain runs.
 #[tokio::test]
-async fn what_a_node_behind_sends_to_an_evacuated_target_is_refused() {
+async fn requests_of_a_stale_node_to_an_evacuated_target_are_refused() {
     let fleet = Fleet::start(&SPECS).await;
-    let view = fleet.view_with(&SPECS, 2, EVACUATED);
+    let view = fleet.view_with_lines(&SPECS, 2, EVACUATE_BAYANZURKH);
     for member in &fleet.members[1..] {
         member.shared.set_view(view.clone());
     }
@@ -79,16 +89,17 @@
         assert_eq!(res.expect("an answer").status(), StatusCode::OK);
         ids.push(id);
     }
-    assert_eq!(ran(&fleet, 1, &ids), 0);
+    assert_eq!(count_runs(&fleet, 1, &ids), 0);
 }
 
-/// Guards against requests that wait for a slot of an evacuated target to their end.
+/// Guards against requests that stay queued for a slot of an evacuated target until their
+/// deadline.
 #[tokio::test]
-async fn what_waits_is_moved_on_at_once_and_what_runs_ends() {
+async fn an_evacuation_refuses_queued_requests_at_once_and_finishes_running_ones() {
     let fleet = Fleet::start(&SPECS).await;
-    // Only the first member's own target is there to choose.
-    fleet.publish(&SPECS, 2, &[NEAR.id, FAR.id]);
-    fleet.members[0].target.set_slow(AT_WORK).await;
+    // Only the target of the first member stays eligible.
+    fleet.publish_list(&SPECS, 2, &[NEAR.id, FAR.id]);
+    fleet.members[0].target.set_slow(SERVICE_TIME).await;
     let ingress = fleet.members[0].addrs.ingress;
     let send = |id: &str| {
         let req = client::get("/desk/lodge", id);
@@ -100,27 +111,33 @@
         fleet.members[0].target.ledger().runs.len() == SLOTS as usize
     })
     .await;
-    let waiting = send("waits");
+    let queued = send("waits");
     wait::until("one more in flight", || {
         shared.in_flight().count() > u64::from(SLOTS)
     })
     .await;
-    fleet.publish_with(&SPECS, 3, EVACUATED);
-    let res = waiting.await.expect("a task").expect("an answer");
-    let told = std::str::from_utf8(res.body()).expect("text");
-    assert!(told.contains("\"reason\":\"evacuated\""), "{told}");
+    fleet.publish_with_lines(&SPECS, 3, EVACUATE_BAYANZURKH);
+    let res = queued
+        .await
+        .expect("the task doesn't panic")
+        .expect("an answer");
+    let body = std::str::from_utf8(res.body()).expect("valid UTF-8");
+    assert!(body.contains("\"reason\":\"evacuated\""), "{body}");
     assert_eq!(fleet.runs_of("waits"), 0);
     for call in running {
-        let res = call.await.expect("a task").expect("an answer");
+        let res = call
+            .await
+            .expect("the task doesn't panic")
+            .expect("an answer");
         assert_eq!(res.status(), StatusCode::OK);
     }
 }
 
-/// Guards against work for anybody when operators have evacuated all failure domains.
+/// Guards against requests that run although operators have evacuated all failure domains.
 #[tokio::test]
-async fn nothing_runs_if_all_domains_are_evacuated() {
+async fn no_request_runs_if_all_domains_are_evacuated() {
     let fleet = Fleet::start(&SPECS).await;
-    fleet.publish_with(&SPECS, 2, "evacuated: [bayanzurkh, khan-uul]\n");
+    fleet.publish_with_lines(&SPECS, 2, "evacuated: [bayanzurkh, khan-uul]\n");
     for (n, member) in fleet.members.iter().enumerate() {
         let req = client::get("/desk/lodge", &format!("r-{n}"));
         let res = client::call(member.addrs.ingress, req).await;
@@ -132,23 +149,26 @@
     assert_eq!(runs.sum::<usize>(), 0);
 }
 
-/// Guards against a later try at a target whose failure domain was evacuated meanwhile,
-/// beside a node that hasn't heard of it.
+/// Guards against a retry at a target whose failure domain was evacuated after the first
+/// attempt, and whose node hasn't received the evacuation yet.
 #[tokio::test]
-async fn a_later_try_does_not_go_to_a_domain_that_was_evacuated_meanwhile() {
+async fn a_retry_does_not_go_to_a_domain_evacuated_after_the_first_attempt() {
     let specs = [DESK, FAR];
     let fleet = Fleet::start(&specs).await;
     let [first, far] = &fleet.members[..] else {
-        panic!("two members");
+        panic!("the fleet has two members");
     };
-    first.target.set_slow(AT_WORK).await;
+    first.target.set_slow(SERVICE_TIME).await;
     let req = client::get("/desk/policy", "r-1");
-    let answer = tokio::spawn(client::call(first.addrs.ingress, req));
+    let call = tokio::spawn(client::call(first.addrs.ingress, req));
     wait::until("the run", || first.runs_of("r-1").len() == 1).await;
-    let view = fleet.view_with(&specs, 2, "evacuated: [khan-uul]\n");
+    let view = fleet.view_with_lines(&specs, 2, "evacuated: [khan-uul]\n");
     first.shared.set_view(view);
     first.target.crash().await;
-    let res = answer.await.expect("a task").expect("an answer");
+    let res = call
+        .await
+        .expect("the task doesn't panic")
+        .expect("an answer");
     assert_ne!(res.status(), StatusCode::OK);
     assert!(far.runs_of("r-1").is_empty());
 }
--- a/crates/node/tests/requests/fleet.rs
+++ b/crates/node/tests/requests/fleet.rs
@@ -1,5 +1,5 @@
-//! Some nodes with their targets, without a control side: the test puts the
-//! views in force.
+//! A fleet of nodes with their targets but without a control side: the test puts views in
+//! force.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,16 +31,16 @@
 use sassafrasspool_standin::target::Run;
 use tokio_util::sync::CancellationToken;
 
-/// The catalogue of all these tests.
+/// The catalogue of all tests of requests.
 const CATALOGUE: &str = include_str!("catalogue.yaml");
 
 /// Slots of each target.
 pub(crate) const SLOTS: u32 = 4;
 
-/// More than any test writes in a second.
+/// Log rate limit, above the bytes that any test writes per second.
 const LOG_BYTES_PER_S: u64 = 1_000_000;
 
-/// A node with the target beside it.
+/// A node and its target.
 #[derive(Debug)]
 pub(crate) struct Member {
     pub(crate) id: &'static str,
@@ -50,22 +50,22 @@
     pub(crate) addrs: TrafficAddrs,
     pub(crate) cancel: CancellationToken,
     pub(crate) traffic: Option<RunningTraffic>,
-    /// The log of the node.
+    /// The request log of the node.
     pub(crate) written: Written,
 }
 
-/// What a member is started with.
+/// The settings of a member.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Spec {
     pub(crate) id: &'static str,
     pub(crate) service: &'static str,
     pub(crate) region: &'static str,
     pub(crate) domain: &'static str,
-    /// Slots that the node believes its target to have.
+    /// Slots of the target according to the settings of its node.
     pub(crate) slots: u32,
 }
 
-/// A desk in one failure domain, which other specs vary.
+/// A member of the workshop desk, which other specs change.
 pub(crate) const DESK: Spec = Spec {
     id: "wd-1",
     service: "workshop-desk",
@@ -74,7 +74,7 @@
     slots: SLOTS,
 };
 
-/// The desk that adjusters use, in another failure domain.
+/// A member of the adjuster desk, in another failure domain.
 pub(crate) const ADJUSTER: Spec = Spec {
     id: "ad-1",
     service: "adjuster-desk",
@@ -84,23 +84,23 @@
 };
 
 impl Member {
-    async fn start(spec: Spec, cfg: TargetSettings, other: Option<SocketAddr>) -> Member {
+    async fn start(spec: Spec, cfg: TargetSettings, shared_target: Option<SocketAddr>) -> Member {
         let target = Target::start(cfg, CancellationToken::new())
             .await
-            .expect("a target");
-        let settings = settings(spec, other.unwrap_or_else(|| target.addr()));
+            .expect("the target starts");
+        let settings = settings(spec, shared_target.unwrap_or_else(|| target.addr()));
         let written = Written::default();
         let log = LogSink::start(LOG_BYTES_PER_S, written.clone());
         let shared = Arc::new(Shared::speaking(
             Dialect::OWN,
-            log.expect("a thread"),
+            log.expect("the log thread starts"),
             settings.instance.clone(),
             Incarnation::from_start_millis(1),
         ));
         shared.advance(Phase::Ready);
         let cancel = CancellationToken::new();
         let traffic = Traffic::start(&settings, Arc::clone(&shared), cancel.clone());
-        let traffic = traffic.expect("a node");
+        let traffic = traffic.expect("the node starts");
         Member {
             id: spec.id,
             service: spec.service,
@@ -113,19 +113,19 @@
         }
     }
 
-    /// What the target ran under this request id.
+    /// Runs of this request id on the target.
     pub(crate) fn runs_of(&self, id: &str) -> Vec<Run> {
         let runs = self.target.ledger().runs;
         runs.into_iter().filter(|run| run.id == id).collect()
     }
 
     fn instance(&self, spec: &Spec) -> Instance {
-        let control = "127.0.0.1:9".parse().expect("an address");
+        let control = "127.0.0.1:9".parse().expect("a valid address");
         Instance {
-            id: name(self.id),
-            service: name(self.service),
-            region: name(spec.region),
-            domain: name(spec.domain),
+            id: parse_name(self.id),
+            service: parse_name(self.service),
+            region: parse_name(spec.region),
+            domain: parse_name(spec.domain),
             traffic: self.addrs.traffic,
             control,
             slots: spec.slots,
@@ -137,8 +137,8 @@
     }
 }
 
-fn name<T: TryFrom<Arc<str>, Error: std::fmt::Debug>>(text: &str) -> T {
-    T::try_from(Arc::from(text)).expect("a name")
+fn parse_name<T: TryFrom<Arc<str>, Error: std::fmt::Debug>>(text: &str) -> T {
+    T::try_from(Arc::from(text)).expect("a valid name")
 }
 
 fn settings(spec: Spec, target: SocketAddr) -> Settings {
@@ -149,23 +149,23 @@
         domain,
         slots,
     } = spec;
-    let any = "127.0.0.1:0";
+    let any_port = "127.0.0.1:0";
     let text = format!(
         "
 instance: {id}
 service: {service}
 region: {region}
 domain: {domain}
-listen: {{ingress: {any}, egress: {any}, traffic: {any}, control: {any}, admin: {any}}}
+listen: {{ingress: {any_port}, egress: {any_port}, traffic: {any_port}, control: {any_port}, admin: {any_port}}}
 target: {{addr: {target}, slots: {slots}, ready_path: /healthz}}
 platform: {{addr: 127.0.0.1:6000}}
 repeat: {{lease_ms: 500}}
 "
     );
-    Settings::parse(&text).expect("settings")
+    Settings::parse(&text).expect("valid settings")
 }
 
-/// All members, each of which knows the others.
+/// All members, each of which lists the others.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     pub(crate) members: Vec<Member>,
@@ -174,101 +174,111 @@
 impl Fleet {
     /// Starts one member for each spec.
     pub(crate) async fn start(specs: &[Spec]) -> Fleet {
-        let slots = NonZeroU32::new(SLOTS).expect("slots");
+        let slots = NonZeroU32::new(SLOTS).expect("at least one slot");
         let cfg = TargetSettings {
             slots,
             ..TargetSettings::default()
         };
-        Fleet::start_with(specs, cfg).await
+        Fleet::start_with_settings(specs, cfg).await
     }
 
-    /// Starts one member for each spec, all in front of another target.
-    pub(crate) async fn start_before(specs: &[Spec], target: SocketAddr) -> Fleet {
+    /// Starts one member for each spec, all with the target at this address.
+    pub(crate) async fn start_with_shared_target(specs: &[Spec], target: SocketAddr) -> Fleet {
         Fleet::start_all(specs, TargetSettings::default(), Some(target)).await
     }
 
-    /// Starts one member for each spec, with targets of these settings.
-    pub(crate) async fn start_with(specs: &[Spec], cfg: TargetSettings) -> Fleet {
+    /// Starts one member for each spec, with a target of these settings.
+    pub(crate) async fn start_with_settings(specs: &[Spec], cfg: TargetSettings) -> Fleet {
         Fleet::start_all(specs, cfg, None).await
     }
 
-    async fn start_all(specs: &[Spec], cfg: TargetSettings, other: Option<SocketAddr>) -> Fleet {
+    async fn start_all(
+        specs: &[Spec],
+        cfg: TargetSettings,
+        shared_target: Option<SocketAddr>,
+    ) -> Fleet {
         let mut members = Vec::new();
         for &spec in specs {
-            members.push(Member::start(spec, cfg.clone(), other).await);
+            members.push(Member::start(spec, cfg.clone(), shared_target).await);
         }
         let fleet = Fleet { members };
-        fleet.publish(specs, 1, &[]);
+        fleet.publish_list(specs, 1, &[]);
         fleet
     }
 
-    /// Puts a list in force everywhere in which the members named leave.
-    pub(crate) fn publish(&self, specs: &[Spec], revision: u64, leaving: &[&str]) {
-        let view = self.view(specs, revision, leaving);
+    /// Puts a list in force on every member in which the instances in `leaving` are leaving.
+    pub(crate) fn publish_list(&self, specs: &[Spec], revision: u64, leaving: &[&str]) {
+        let view = self.view_of_list(specs, revision, leaving);
         for member in &self.members {
             member.shared.set_view(view.clone());
         }
     }
 
-    /// Puts a catalogue in force everywhere that has these lines as well.
-    pub(crate) fn publish_with(&self, specs: &[Spec], revision: u64, lines: &str) {
-        let view = self.view_with(specs, revision, lines);
+    /// Puts the catalogue with these additional lines in force on every member.
+    pub(crate) fn publish_with_lines(&self, specs: &[Spec], revision: u64, lines: &str) {
+        let view = self.view_with_lines(specs, revision, lines);
         for member in &self.members {
             member.shared.set_view(view.clone());
         }
     }
 
-    /// Puts a catalogue in force everywhere whose route for lookups at the desk has these
-    /// fields as well.
-    pub(crate) fn publish_lookups(&self, specs: &[Spec], revision: u64, fields: &str) {
-        let view = self.view_of_lookups(specs, revision, fields);
+    /// Puts the catalogue in force on every member with these additional fields in the route
+    /// of lookups at the workshop desk.
+    pub(crate) fn publish_with_lookup_fields(&self, specs: &[Spec], revision: u64, fields: &str) {
+        let view = self.view_with_lookup_fields(specs, revision, fields);
         for member in &self.members {
             member.shared.set_view(view.clone());
         }
     }
 
-    /// The view by that catalogue.
-    pub(crate) fn view_of_lookups(&self, specs: &[Spec], revision: u64, fields: &str) -> View {
-        let at = "{path: /desk, ";
-        let text = CATALOGUE.replace(at, &format!("{at}{fields}"));
+    /// The view of the catalogue with these additional fields in the route of lookups at
+    /// the workshop desk.
+    pub(crate) fn view_with_lookup_fields(
+        &self,
+        specs: &[Spec],
+        revision: u64,
+        fields: &str,
+    ) -> View {
+        let anchor = "{path: /desk, ";
+        let text = CATALOGUE.replace(anchor, &format!("{anchor}{fields}"));
         let members = self.members.iter().zip(specs);
         let instances = members.map(|(member, spec)| member.instance(spec));
-        bound(&text, revision, instances.collect())
+        build_view(&text, revision, instances.collect())
     }
 
-    /// Puts a list in force everywhere with these starts of targets, each of which is cold
-    /// for so long, under a catalogue in which the desk has these fields as well.
-    pub(crate) fn publish_targets<const N: usize>(
+    /// Puts a list in force on every member with these generations of targets and their cold
+    /// periods, and the catalogue with these additional fields in the workshop desk.
+    pub(crate) fn publish_generations<const N: usize>(
         &self,
         specs: &[Spec; N],
         revision: u64,
         fields: &str,
-        targets: [(Option<TargetLife>, Duration); N],
+        generations: [(Option<TargetLife>, Duration); N],
     ) {
-        let at = "    class: standard\n";
-        let text = CATALOGUE.replace(at, &format!("{at}{fields}"));
-        let members = self.members.iter().zip(specs).zip(targets);
+        let anchor = "    class: standard\n";
+        let text = CATALOGUE.replace(anchor, &format!("{anchor}{fields}"));
+        let members = self.members.iter().zip(specs).zip(generations);
         let instances = members.map(|((member, spec), (target, cold_for))| Instance {
             target,
             cold_for,
             ..member.instance(spec)
         });
-        let view = bound(&text, revision, instances.collect());
+        let view = build_view(&text, revision, instances.collect());
         for member in &self.members {
             member.shared.set_view(view.clone());
         }
     }
 
-    /// The view by a catalogue that has these lines as well.
-    pub(crate) fn view_with(&self, specs: &[Spec], revision: u64, lines: &str) -> View {
+    /// The view of the catalogue with these additional lines.
+    pub(crate) fn view_with_lines(&self, specs: &[Spec], revision: u64, lines: &str) -> View {
         let text = format!("{CATALOGUE}{lines}");
         let members = self.members.iter().zip(specs);
         let instances = members.map(|(member, spec)| member.instance(spec));
-        bound(&text, revision, instances.collect())
+        build_view(&text, revision, instances.collect())
     }
 
-    /// The view by a list in which the members named leave.
-    pub(crate) fn view(&self, specs: &[Spec], revision: u64, leaving: &[&str]) -> View {
+    /// The view of a list in which the instances in `leaving` are leaving.
+    pub(crate) fn view_of_list(&self, specs: &[Spec], revision: u64, leaving: &[&str]) -> View {
         let members = self.members.iter().zip(specs);
         let instances = members.map(|(member, spec)| Instance {
             state: match leaving.contains(&member.id) {
@@ -277,15 +287,15 @@
             },
             ..member.instance(spec)
         });
-        bound(CATALOGUE, revision, instances.collect())
+        build_view(CATALOGUE, revision, instances.collect())
     }
 
-    /// Proves from now on, for as long as the test runs, that the list in force
-    /// is the newest.
-    pub(crate) fn keep_proving(&self) {
+    /// Starts a task that renews, until the test ends, the proof that the list in force is
+    /// the newest.
+    pub(crate) fn keep_renewing_list_proof(&self) {
         let nodes = self.members.iter().map(|member| Arc::clone(&member.shared));
         let nodes: Vec<Arc<Shared>> = nodes.collect();
-        let revision = Revision::new(1).expect("a revision");
+        let revision = Revision::new(1).expect("a valid revision");
         tokio::spawn(async move {
             loop {
                 for node in &nodes {
@@ -296,20 +306,20 @@
         });
     }
 
-    /// How often all targets together ran the request.
+    /// Runs of this request id on all targets.
     pub(crate) fn runs_of(&self, id: &str) -> usize {
         let runs = self.members.iter().map(|member| member.runs_of(id).len());
         runs.sum()
     }
 }
 
-/// A catalogue and a list, bound.
-fn bound(catalogue: &str, revision: u64, instances: Vec<Instance>) -> View {
-    let revision = Revision::new(revision).expect("a revision");
-    let items = catalogue::parse(catalogue).expect("a catalogue");
-    let catalogue = Catalogue::new(revision, items).expect("a catalogue");
-    let instances = InstanceList::new(revision, instances).expect("a list");
-    let snapshot = Snapshot::build(&catalogue, &instances).expect("a snapshot");
+/// Builds the view of a catalogue and a list, both of this revision.
+fn build_view(catalogue: &str, revision: u64, instances: Vec<Instance>) -> View {
+    let revision = Revision::new(revision).expect("a valid revision");
+    let items = catalogue::parse(catalogue).expect("a valid catalogue");
+    let catalogue = Catalogue::new(revision, items).expect("a valid catalogue");
+    let instances = InstanceList::new(revision, instances).expect("a valid list");
+    let snapshot = Snapshot::build(&catalogue, &instances).expect("a valid snapshot");
     View {
         snapshot: Arc::new(snapshot),
         states: Arc::new(HashMap::new()),
--- a/crates/node/tests/requests/path.rs
+++ b/crates/node/tests/requests/forwarding.rs
@@ -1,4 +1,4 @@
-//! A request that meets no trouble.
+//! Forwarding of requests without any fault.
 
 use http::StatusCode;
 use sassafrasspool_standin::target::answer_body;
@@ -9,14 +9,16 @@
 use crate::fleet::Fleet;
 
 #[tokio::test]
-async fn a_request_goes_over_two_nodes_to_its_target() {
+async fn a_request_is_forwarded_over_two_nodes_to_its_target() {
     let fleet = Fleet::start(&[DESK, ADJUSTER]).await;
     let ingress = fleet.members[0].addrs.ingress;
     for n in 0..5 {
         let id = format!("r-{n}");
         let mut req = client::get("/adjuster/files?of=7", &id);
-        req.headers_mut()
-            .insert("x-answer-bytes", "100000".parse().expect("a value"));
+        req.headers_mut().insert(
+            "x-answer-bytes",
+            "100000".parse().expect("a valid header value"),
+        );
         let res = client::call(ingress, req).await.expect("an answer");
         assert_eq!(res.status(), StatusCode::OK);
         assert_eq!(*res.body(), answer_body(&id, 100_000));
--- a/crates/node/tests/requests/limits.rs
+++ b/crates/node/tests/requests/limits.rs
@@ -1,4 +1,4 @@
-//! Targets and nodes at their limits.
+//! Connection and slot limits of targets.
 
 use std::time::Duration;
 
@@ -13,20 +13,23 @@
 use crate::fleet::SLOTS;
 use crate::wait;
 
-/// Guards against requests that wait, or run twice, at a target without free connections.
+/// Guards against requests that hang or run twice at a target without free connections.
 #[tokio::test]
-async fn a_target_at_its_connection_limit_fails_fast() {
+async fn requests_to_a_target_at_its_connection_limit_fail_fast() {
     let cfg = TargetSettings {
-        connections: 2.try_into().expect("a number"),
+        connections: 2.try_into().expect("a valid number"),
         ..TargetSettings::default()
     };
-    let fleet = Fleet::start_with(&[DESK, ADJUSTER], cfg).await;
+    let fleet = Fleet::start_with_settings(&[DESK, ADJUSTER], cfg).await;
     let adjuster = &fleet.members[1];
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..2 {
-        held.push(TcpStream::connect(adjuster.target.addr()).await);
+        connections.push(TcpStream::connect(adjuster.target.addr()).await);
     }
-    wait::until("held", || adjuster.target.stats().connections == 2).await;
+    wait::until("the held connections", || {
+        adjuster.target.stats().connections == 2
+    })
+    .await;
     let ingress = fleet.members[0].addrs.ingress;
     for n in 0..4 {
         let id = format!("r-{n}");
@@ -36,8 +39,11 @@
         assert_ne!(client::header(&res, "x-sassafrasspool-outcome"), "");
         assert_eq!(fleet.runs_of(&id), 0);
     }
-    drop(held);
-    wait::until("let go", || adjuster.target.stats().connections == 0).await;
+    drop(connections);
+    wait::until("the closed connections", || {
+        adjuster.target.stats().connections == 0
+    })
+    .await;
     let req = client::get("/adjuster/approve", "after");
     let res = client::call(ingress, req).await.expect("an answer");
     assert_eq!(res.status(), StatusCode::OK);
@@ -45,7 +51,7 @@
 
 /// Guards against a target that gets more requests than it has slots.
 #[tokio::test]
-async fn a_target_never_gets_more_than_its_slots() {
+async fn a_target_never_gets_more_requests_than_its_slots() {
     let fleet = Fleet::start(&[DESK, ADJUSTER]).await;
     let adjuster = &fleet.members[1];
     adjuster.target.set_slow(Duration::from_millis(20)).await;
@@ -57,7 +63,10 @@
         calls.push((id, tokio::spawn(call)));
     }
     for (id, call) in calls {
-        let res = call.await.expect("a task").expect("an answer");
+        let res = call
+            .await
+            .expect("the task doesn't panic")
+            .expect("an answer");
         match res.status() {
             StatusCode::OK => assert_eq!(adjuster.runs_of(&id).len(), 1),
             _ => {
--- a/crates/node/tests/requests/lost.rs
+++ b/crates/node/tests/requests/target_crash.rs
@@ -1,4 +1,4 @@
-//! Targets that fail with requests on them.
+//! Crashes of targets with requests in flight.
 
 use std::time::Duration;
 
@@ -19,41 +19,43 @@
     ..DESK
 };
 
-/// Long enough that the crash comes in the middle of the run.
-const LONG: Duration = Duration::from_secs(10);
+/// Long enough that the crash happens during the run.
+const SERVICE_TIME: Duration = Duration::from_secs(10);
 
-/// Crashes the first member's target with a request on it; returns what its
-/// caller hears.
-async fn crash_under(fleet: &Fleet, path: &str) -> Response<Bytes> {
+/// Crashes the first member's target while it runs a request; returns the answer to the
+/// caller.
+async fn crash_during_request(fleet: &Fleet, path: &str) -> Response<Bytes> {
     let first = &fleet.members[0];
-    first.target.set_slow(LONG).await;
+    first.target.set_slow(SERVICE_TIME).await;
     let req = client::get(path, "r-1");
-    let answer = tokio::spawn(client::call(first.addrs.ingress, req));
+    let call = tokio::spawn(client::call(first.addrs.ingress, req));
     wait::until("the run", || first.runs_of("r-1").len() == 1).await;
     first.target.crash().await;
-    answer.await.expect("a task").expect("an answer")
+    call.await
+        .expect("the task doesn't panic")
+        .expect("an answer")
 }
 
 /// Guards against a second run of an approval that a crashed target may have run.
 #[tokio::test]
-async fn a_crash_after_hand_over_is_unknown_and_not_retried() {
+async fn a_request_in_a_crash_is_unknown_and_not_retried() {
     let fleet = Fleet::start(&[DESK, SECOND]).await;
-    let res = crash_under(&fleet, "/desk/lodge").await;
+    let res = crash_during_request(&fleet, "/desk/lodge").await;
     assert_eq!(res.status(), StatusCode::BAD_GATEWAY);
     assert_eq!(client::header(&res, "x-sassafrasspool-outcome"), "unknown");
     assert!(fleet.members[1].runs_of("r-1").is_empty());
 }
 
-/// Guards against an idempotent request that fails with its target.
+/// Guards against an idempotent request that fails because its target crashes.
 #[tokio::test]
-async fn a_crash_under_an_idempotent_request_is_retried_elsewhere() {
+async fn an_idempotent_request_in_a_crash_is_retried_elsewhere() {
     let fleet = Fleet::start(&[DESK, SECOND]).await;
-    let res = crash_under(&fleet, "/desk/policy").await;
+    let res = crash_during_request(&fleet, "/desk/policy").await;
     assert_eq!(res.status(), StatusCode::OK);
     assert_eq!(fleet.members[1].runs_of("r-1").len(), 1);
 }
 
-/// Guards against a claim that fails at a closed port, though it never left.
+/// Guards against a claim that fails at a closed port although it was never sent.
 #[tokio::test]
 async fn a_request_that_was_never_sent_is_retried_elsewhere() {
     let fleet = Fleet::start(&[DESK, SECOND]).await;
@@ -65,30 +67,34 @@
     assert_eq!(fleet.runs_of("r-1"), 1);
 }
 
-/// Guards against a refusal of the second try that speaks for the first.
+/// Guards against a refusal of the second attempt that is returned as the outcome of both.
 #[tokio::test]
-async fn a_refusal_after_a_loss_does_not_say_that_nothing_ran() {
+async fn a_refused_retry_after_a_crash_has_an_unknown_outcome() {
     let fleet = Fleet::start(&[DESK, SECOND]).await;
     fleet.members[1].shared.advance(Phase::Draining);
-    let res = crash_under(&fleet, "/desk/policy").await;
+    let res = crash_during_request(&fleet, "/desk/policy").await;
     assert_eq!(client::header(&res, "x-sassafrasspool-outcome"), "unknown");
 }
 
-/// Guards against a late retry at a target that leaves, by an old list.
+/// Guards against a retry that is routed by the list of the first attempt to a target that
+/// is leaving by now.
 #[tokio::test]
-async fn a_later_try_does_not_go_to_a_target_that_has_left_the_list_meanwhile() {
+async fn a_retry_does_not_go_to_a_target_that_began_to_leave_after_the_first_attempt() {
     let specs = [DESK, SECOND];
     let fleet = Fleet::start(&specs).await;
     let [first, second] = &fleet.members[..] else {
-        panic!("two members");
+        panic!("the fleet has two members");
     };
-    first.target.set_slow(LONG).await;
+    first.target.set_slow(SERVICE_TIME).await;
     let req = client::get("/desk/policy", "r-1");
-    let answer = tokio::spawn(client::call(first.addrs.ingress, req));
+    let call = tokio::spawn(client::call(first.addrs.ingress, req));
     wait::until("the run", || first.runs_of("r-1").len() == 1).await;
-    fleet.publish(&specs, 2, &[second.id]);
+    fleet.publish_list(&specs, 2, &[second.id]);
     first.target.crash().await;
-    let res = answer.await.expect("a task").expect("an answer");
+    let res = call
+        .await
+        .expect("the task doesn't panic")
+        .expect("an answer");
     assert_ne!(res.status(), StatusCode::OK);
     assert!(second.runs_of("r-1").is_empty());
 }
--- a/crates/node/tests/requests/wait.rs
+++ b/crates/node/tests/requests/wait.rs
@@ -1,19 +1,19 @@
-//! Waiting for conditions.
+//! Waits for conditions.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// The longest that a condition may take, far above what any needs.
-const BOUND: Duration = Duration::from_secs(20);
+/// How long a condition may take, far above what any condition needs.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How often a condition is looked at.
-const STEP: Duration = Duration::from_millis(2);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Waits until `condition` holds.
+/// Waits until `condition` returns true; panics with `what` after [`TIMEOUT`].
 pub(crate) async fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < BOUND, "{what} never happened");
-        tokio::time::sleep(STEP).await;
+        assert!(start.elapsed() < TIMEOUT, "not within 20 s: {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
