--- a/crates/node/src/control/source_monitor.rs
+++ b/crates/node/src/control/source_monitor.rs
@@ -3,8 +3,8 @@
 use sassafrasspool_core::SourceResult;
 use sassafrasspool_core::Stream;
 
-use crate::reach::AvailabilityChange;
-use crate::reach::Reach;
+use crate::dependency_monitor::AvailabilityChange;
+use crate::dependency_monitor::Reach;
 
 /// Whether the platform answers reads. Each stream is monitored separately,
 /// because one can fail while the other is answered.
--- a/crates/node/src/control/tests.rs
+++ b/crates/node/src/control/tests.rs
@@ -32,7 +32,7 @@
 use super::SourceMonitor;
 use crate::AuditTrail;
 use crate::Shared;
-use crate::reach::AvailabilityChange;
+use crate::dependency_monitor::AvailabilityChange;
 
 /// Dissemination that returns prepared actions.
 #[derive(Debug)]
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -7,13 +7,13 @@
 mod admin;
 mod audit;
 mod control;
+mod dependency_monitor;
 mod dialect;
 mod lifecycle;
 pub mod log;
 mod metrics;
 mod node;
 pub mod program;
-mod reach;
 pub mod settings;
 mod shared;
 #[cfg(test)]
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -21,24 +21,24 @@
 //! [`target`]: self::target
 //! [`hub`]: self::hub
 
-mod answer;
-mod bodies;
+mod answer_body;
+mod body_memory;
 mod bounds;
 mod content;
 mod counters;
+mod failed_attempt;
+mod failure_response;
 mod head;
 mod hub;
 mod inbound;
-mod keyed;
+mod keyed_attempt;
 mod listener;
-mod missed;
 mod outbound;
 mod parents;
 mod payload;
 mod peer;
-mod refusal;
-mod stages;
-mod stall;
+mod stage_latencies;
+mod stall_detector;
 mod stored_answer;
 mod target;
 mod worker;
--- a/crates/node/src/traffic/answer.rs
+++ b/crates/node/src/traffic/answer_body.rs
@@ -12,7 +12,7 @@
 
 use super::BoxError;
 use super::listener::serve::AnswerInProgress;
-use super::stall::Stall;
+use super::stall_detector::Stall;
 use super::target::TargetBody;
 use crate::InFlightGuard;
 
--- a/crates/node/src/traffic/refusal.rs
+++ b/crates/node/src/traffic/failure_response.rs
@@ -18,7 +18,7 @@
 use sassafrasspool_wire::header as names;
 use serde::Serialize;
 
-use super::answer::Answer;
+use super::answer_body::Answer;
 use crate::Dialect;
 
 /// Retry delay in refusals that have none of their own.
--- a/crates/node/src/traffic/hub.rs
+++ b/crates/node/src/traffic/hub.rs
@@ -20,15 +20,15 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::bodies::Bodies;
+use super::body_memory::Bodies;
 use super::counters::Counters;
 use super::inbound::body_intake::Arrivals;
 use super::outbound::kind_timeouts::KindTimeouts;
 use super::parents::Parents;
-use super::stages::Stages;
+use super::stage_latencies::Stages;
 use super::target::Pool;
 use super::target::crash_watch::CrashWatch;
-use super::target::lives::OwnLife;
+use super::target::local_generations::OwnLife;
 use crate::Settings;
 use crate::Shared;
 
--- a/crates/node/src/traffic/inbound/access_log.rs
+++ b/crates/node/src/traffic/inbound/access_log.rs
@@ -19,8 +19,8 @@
 use crate::log::micros;
 use crate::log::unix_ms;
 use crate::log::with_outcome;
-use crate::traffic::answer::Answer;
-use crate::traffic::missed::Missed;
+use crate::traffic::answer_body::Answer;
+use crate::traffic::failed_attempt::Missed;
 use crate::traffic::worker::Worker;
 
 /// What the log line contains besides the id and the outcome of the request.
--- a/crates/node/src/traffic/inbound/body_intake.rs
+++ b/crates/node/src/traffic/inbound/body_intake.rs
@@ -10,8 +10,8 @@
 use tokio::sync::Semaphore;
 use tokio::sync::SemaphorePermit;
 
+use crate::traffic::failed_attempt::Missed;
 use crate::traffic::hub::Hub;
-use crate::traffic::missed::Missed;
 use crate::traffic::payload::Payload;
 
 /// Slots of the target for each long body that may be received at once. More bodies
--- a/crates/node/src/traffic/inbound/exchange.rs
+++ b/crates/node/src/traffic/inbound/exchange.rs
@@ -20,10 +20,10 @@
 use sassafrasspool_core::Step;
 use sassafrasspool_wire::header::REQUEST_ID;
 
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::Answer;
+use crate::traffic::failed_attempt::Missed;
 use crate::traffic::head;
 use crate::traffic::hub::Hub;
-use crate::traffic::missed::Missed;
 use crate::traffic::parents;
 use crate::traffic::payload::Payload;
 use crate::traffic::stored_answer::AnswerRecorder;
--- a/crates/node/src/traffic/inbound/forward.rs
+++ b/crates/node/src/traffic/inbound/forward.rs
@@ -27,14 +27,14 @@
 use sassafrasspool_wire::header as names;
 
 use crate::Routes;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::Answer;
+use crate::traffic::failed_attempt::Missed;
 use crate::traffic::head;
 use crate::traffic::inbound::access_log::Facts;
 use crate::traffic::inbound::access_log::InboundLogEntry;
 use crate::traffic::inbound::inbound_request::InboundRequest;
 use crate::traffic::inbound::unsent_key::UnsentKey;
-use crate::traffic::keyed::Keyed;
-use crate::traffic::missed::Missed;
+use crate::traffic::keyed_attempt::Keyed;
 use crate::traffic::payload::Payload;
 use crate::traffic::stored_answer;
 use crate::traffic::worker::Worker;
--- a/crates/node/src/traffic/inbound/inbound_request.rs
+++ b/crates/node/src/traffic/inbound/inbound_request.rs
@@ -23,7 +23,8 @@
 use sassafrasspool_wire::header::REQUEST_TIMEOUT_MS;
 
 use crate::Dialect;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::Answer;
+use crate::traffic::failed_attempt::Missed;
 use crate::traffic::head;
 use crate::traffic::hub::Hub;
 use crate::traffic::inbound::admission;
@@ -32,7 +33,6 @@
 use crate::traffic::inbound::exchange::release_key;
 use crate::traffic::inbound::forward::Call;
 use crate::traffic::inbound::unsent_key::UnsentKey;
-use crate::traffic::missed::Missed;
 use crate::traffic::parents::Parent;
 use crate::traffic::payload::Payload;
 use crate::traffic::target;
--- a/crates/node/src/traffic/inbound/peer_side.rs
+++ b/crates/node/src/traffic/inbound/peer_side.rs
@@ -19,13 +19,13 @@
 
 use crate::Dialect;
 use crate::Routes;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::Answer;
 use crate::traffic::bounds::MAX_HOPS;
+use crate::traffic::failure_response;
 use crate::traffic::head;
 use crate::traffic::inbound::forward;
 use crate::traffic::inbound::forward::Call;
 use crate::traffic::payload::Payload;
-use crate::traffic::refusal;
 use crate::traffic::worker::Worker;
 
 /// The dialect between nodes: all headers, and retry delays with fractions of a second.
@@ -40,7 +40,7 @@
     let result = run(worker, req).await;
     worker.hub.peers.count(&result);
     let res = result.unwrap_or_else(|failure| {
-        let mut res = refusal::respond(&failure, &BETWEEN_NODES);
+        let mut res = failure_response::respond(&failure, &BETWEEN_NODES);
         forward::add_load_headers(worker, res.headers_mut());
         res
     });
--- a/crates/node/src/traffic/listener/serve/pipelining/pipeline.rs
+++ b/crates/node/src/traffic/listener/serve/pipelining/pipeline.rs
@@ -14,7 +14,7 @@
 
 use super::request_head;
 use super::request_head::NextRequest;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::Answer;
 use crate::traffic::outbound::caller_side;
 use crate::traffic::outbound::caller_side::CallerPort;
 use crate::traffic::payload::Payload;
--- a/crates/node/src/traffic/listener/serve/service.rs
+++ b/crates/node/src/traffic/listener/serve/service.rs
@@ -13,7 +13,7 @@
 use hyper::service::Service;
 
 use super::pipelining::Pipeline;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::Answer;
 use crate::traffic::inbound::peer_side;
 use crate::traffic::outbound::caller_side;
 use crate::traffic::outbound::caller_side::CallerPort;
--- a/crates/node/src/traffic/outbound/access_log.rs
+++ b/crates/node/src/traffic/outbound/access_log.rs
@@ -26,7 +26,7 @@
 use crate::log::micros;
 use crate::log::unix_ms;
 use crate::log::with_outcome;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::Answer;
 use crate::traffic::outbound::first_hop::FirstHop;
 use crate::traffic::worker::Worker;
 
--- a/crates/node/src/traffic/outbound/attempt.rs
+++ b/crates/node/src/traffic/outbound/attempt.rs
@@ -31,14 +31,14 @@
 use sassafrasspool_wire::header as names;
 
 use crate::Routes;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::Answer;
+use crate::traffic::failed_attempt::Missed;
+use crate::traffic::failure_response;
 use crate::traffic::head;
 use crate::traffic::inbound::forward;
 use crate::traffic::inbound::forward::Call;
-use crate::traffic::missed::Missed;
 use crate::traffic::payload::Payload;
 use crate::traffic::peer::SendError;
-use crate::traffic::refusal;
 use crate::traffic::worker::Worker;
 
 /// One attempt of a request at one endpoint.
@@ -139,7 +139,7 @@
             return Err(Missed::unsent(refusal, req));
         }
         let res = self.exchange_with_peer(picked, req).await?;
-        match refusal::failure_of(&res) {
+        match failure_response::failure_of(&res) {
             Some(failure) => Err(failure.into()),
             None => Ok(clean_peer_response(res.map(Answer::from_peer))),
         }
@@ -160,7 +160,7 @@
             .insert(names::ROOM, HeaderValue::from_static("1"));
         let answered = self.exchange_with_peer(picked, probe).await;
         let failure = match answered {
-            Ok(res) => refusal::failure_of(&res),
+            Ok(res) => failure_response::failure_of(&res),
             Err(failed) => Some(failed.failure),
         };
         match failure {
--- a/crates/node/src/traffic/outbound/caller_side.rs
+++ b/crates/node/src/traffic/outbound/caller_side.rs
@@ -15,14 +15,14 @@
 
 use crate::Dialect;
 use crate::Routes;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::Answer;
 use crate::traffic::content;
+use crate::traffic::failure_response;
 use crate::traffic::head;
-use crate::traffic::keyed;
+use crate::traffic::keyed_attempt;
 use crate::traffic::outbound::access_log;
 use crate::traffic::outbound::first_hop::FirstHop;
 use crate::traffic::payload::Payload;
-use crate::traffic::refusal;
 use crate::traffic::worker::Worker;
 
 /// The listener that a caller connected to.
@@ -41,11 +41,11 @@
     req: Request<Payload>,
 ) -> Response<Answer> {
     let guard = worker.hub.shared.in_flight().enter();
-    let may_follow_another = keyed::may_follow_another(req.headers());
+    let may_follow_another = keyed_attempt::may_follow_another(req.headers());
     let read_status = req.body().taken();
     let mut result = run(worker, port, req).await;
     if may_follow_another {
-        result = result.map_err(keyed::unknown);
+        result = result.map_err(keyed_attempt::unknown);
     }
     match port {
         CallerPort::Ingress => worker.hub.ingress.count(&result),
@@ -53,7 +53,7 @@
     }
     let dialect = worker.hub.shared.dialect();
     let is_node_response = result.is_err();
-    let res = result.unwrap_or_else(|failure| refusal::respond(&failure, dialect));
+    let res = result.unwrap_or_else(|failure| failure_response::respond(&failure, dialect));
     let mut res = strip_internal(res, dialect);
     if is_node_response && read_status.is_some_and(|status| !status.is_whole()) {
         announce_close(res.headers_mut());
--- a/crates/node/src/traffic/outbound/first_hop.rs
+++ b/crates/node/src/traffic/outbound/first_hop.rs
@@ -25,12 +25,12 @@
 use sassafrasspool_wire::header as names;
 
 use crate::Routes;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::Answer;
 use crate::traffic::bounds::MAX_HOPS;
 use crate::traffic::counters::count_retry;
+use crate::traffic::failed_attempt::Missed;
 use crate::traffic::head;
-use crate::traffic::keyed::Keyed;
-use crate::traffic::missed::Missed;
+use crate::traffic::keyed_attempt::Keyed;
 use crate::traffic::outbound::access_log::RequestContext;
 use crate::traffic::outbound::access_log::RequestLogger;
 use crate::traffic::outbound::attempt::Attempt;
--- a/crates/node/src/traffic/payload.rs
+++ b/crates/node/src/traffic/payload.rs
@@ -16,8 +16,8 @@
 use hyper::body::Incoming;
 
 use super::BoxError;
-use super::bodies::Bodies;
-use super::bodies::MemoryReservation;
+use super::body_memory::Bodies;
+use super::body_memory::MemoryReservation;
 use super::bounds::MAX_BODY_BYTES;
 use super::bounds::UPLOAD_WINDOW;
 
--- a/crates/node/src/traffic/peer/connection.rs
+++ b/crates/node/src/traffic/peer/connection.rs
@@ -20,8 +20,8 @@
 use tokio::net::TcpStream;
 
 use super::stall_timer::StallTimer;
+use crate::dependency_monitor::Reach;
 use crate::metrics::traffic;
-use crate::reach::Reach;
 use crate::traffic::bounds::CONNECT_TIMEOUT;
 use crate::traffic::bounds::CONNECTION_WINDOW_BYTES;
 use crate::traffic::bounds::MAX_HEAD_BYTES;
--- a/crates/node/src/traffic/stored_answer.rs
+++ b/crates/node/src/traffic/stored_answer.rs
@@ -11,7 +11,7 @@
 use sassafrasspool_core::StoredAnswer;
 use sassafrasspool_core::Tick;
 
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::Answer;
 
 /// Copies an answer while it is forwarded, and stores it for repeats of its request.
 #[derive(Debug)]
--- a/crates/node/src/traffic/target.rs
+++ b/crates/node/src/traffic/target.rs
@@ -4,7 +4,7 @@
 mod connection;
 pub(super) mod crash_watch;
 mod exchange;
-pub(super) mod lives;
+pub(super) mod local_generations;
 mod pool;
 
 pub(super) use self::body::TargetBody;
--- a/crates/node/src/traffic/target/pool.rs
+++ b/crates/node/src/traffic/target/pool.rs
@@ -25,8 +25,8 @@
 use tokio::net::TcpStream;
 
 use super::connection::Connection;
+use crate::dependency_monitor::Reach;
 use crate::metrics::traffic;
-use crate::reach::Reach;
 use crate::traffic::bounds::CONNECT_TIMEOUT;
 use crate::traffic::bounds::MAX_HEAD_BYTES;
 use crate::traffic::bounds::MAX_IDLE;
