--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,6 +1,6 @@
 //! The admin endpoint: HTTP on loopback for operators.
 
-pub(crate) use self::server::Admin;
+pub(crate) use self::server::AdminServer;
 
 mod answers;
 mod explain;
--- a/crates/node/src/admin/answers.rs
+++ b/crates/node/src/admin/answers.rs
@@ -19,11 +19,11 @@
 use sassafrasspool_wire::admin::Status;
 use sassafrasspool_wire::admin::Versions;
 
-use super::Admin;
+use super::AdminServer;
 use crate::View;
 
 /// A summary of the node's state.
-pub(super) fn status(admin: &Admin, spread: &SpreadStatus) -> Status {
+pub(super) fn status(admin: &AdminServer, spread: &SpreadStatus) -> Status {
     let settings = &admin.settings;
     let shared = &admin.outside.shared;
     let uptime = shared.clock().now().since(Tick::ZERO);
@@ -46,7 +46,7 @@
     }
 }
 
-fn evacuations(admin: &Admin) -> Vec<EvacuationInfo> {
+fn evacuations(admin: &AdminServer) -> Vec<EvacuationInfo> {
     let view = admin.outside.shared.view();
     let found = view.iter().flat_map(|view| view.snapshot.evacuations());
     let info = |it: &Evacuation| EvacuationInfo {
@@ -57,7 +57,7 @@
 }
 
 /// The requests in quarantine.
-pub(super) fn quarantine(admin: &Admin) -> QuarantineInfo {
+pub(super) fn quarantine(admin: &AdminServer) -> QuarantineInfo {
     let shared = &admin.outside.shared;
     let held = shared.quarantine().list(shared.clock().now());
     let held = held.into_iter().map(|(content, left)| QuarantinedInfo {
@@ -71,7 +71,7 @@
 }
 
 /// The versions in force and the newest advertised versions.
-pub(super) fn versions(admin: &Admin, spread: &SpreadStatus) -> Versions {
+pub(super) fn versions(admin: &AdminServer, spread: &SpreadStatus) -> Versions {
     Versions {
         instance: admin.settings.instance.clone(),
         held: versions_in_force(admin),
@@ -145,7 +145,7 @@
 }
 
 /// The versions that requests are routed by now.
-fn versions_in_force(admin: &Admin) -> Held {
+fn versions_in_force(admin: &AdminServer) -> Held {
     let view = admin.outside.shared.view();
     view.map(|view| held_versions(&view)).unwrap_or_default()
 }
--- a/crates/node/src/admin/server.rs
+++ b/crates/node/src/admin/server.rs
@@ -33,8 +33,8 @@
 use super::explain;
 use crate::Settings;
 use crate::View;
+use crate::control::ControlContext;
 use crate::control::ControlEvent;
-use crate::control::Outside;
 use crate::metrics;
 use crate::metrics::Report;
 
@@ -46,9 +46,9 @@
 
 /// The server of the admin endpoint.
 #[derive(Debug)]
-pub(crate) struct Admin {
+pub(crate) struct AdminServer {
     pub(super) settings: Arc<Settings>,
-    pub(super) outside: Outside,
+    pub(super) outside: ControlContext,
 }
 
 /// The query of the audit trail: records numbered above `after`.
@@ -79,9 +79,9 @@
     reason: String,
 }
 
-impl Admin {
-    pub(crate) fn new(settings: Arc<Settings>, outside: Outside) -> Admin {
-        Admin { settings, outside }
+impl AdminServer {
+    pub(crate) fn new(settings: Arc<Settings>, outside: ControlContext) -> AdminServer {
+        AdminServer { settings, outside }
     }
 
     /// Serves all routes until `cancel` is cancelled.
@@ -135,18 +135,18 @@
     }
 }
 
-async fn status(State(admin): State<Arc<Admin>>) -> Result<Json<Status>, ErrorResponse> {
+async fn status(State(admin): State<Arc<AdminServer>>) -> Result<Json<Status>, ErrorResponse> {
     let spread = admin.outside.control.status().await?;
     Ok(Json(answers::status(&admin, &spread)))
 }
 
-async fn versions(State(admin): State<Arc<Admin>>) -> Result<Json<Versions>, ErrorResponse> {
+async fn versions(State(admin): State<Arc<AdminServer>>) -> Result<Json<Versions>, ErrorResponse> {
     let spread = admin.outside.control.status().await?;
     Ok(Json(answers::versions(&admin, &spread)))
 }
 
 async fn explain_route(
-    State(admin): State<Arc<Admin>>,
+    State(admin): State<Arc<AdminServer>>,
     Query(query): Query<ExplainQuery>,
 ) -> Result<Response, ErrorResponse> {
     let service = query.service.as_deref().map(ServiceName::new).transpose();
@@ -160,11 +160,11 @@
     Ok(Json(answer).into_response())
 }
 
-async fn audit(State(admin): State<Arc<Admin>>, Query(query): Query<AuditQuery>) -> Response {
+async fn audit(State(admin): State<Arc<AdminServer>>, Query(query): Query<AuditQuery>) -> Response {
     Json(admin.outside.audit.page(query.after)).into_response()
 }
 
-async fn metrics_page(State(admin): State<Arc<Admin>>) -> Result<Response, ErrorResponse> {
+async fn metrics_page(State(admin): State<Arc<AdminServer>>) -> Result<Response, ErrorResponse> {
     let spread = admin.outside.control.status().await?;
     let report = Report {
         shared: &admin.outside.shared,
@@ -176,17 +176,17 @@
     Ok((headers, metrics::render()).into_response())
 }
 
-async fn snapshot(State(admin): State<Arc<Admin>>) -> Result<Response, ErrorResponse> {
+async fn snapshot(State(admin): State<Arc<AdminServer>>) -> Result<Response, ErrorResponse> {
     let view = admin.view()?;
     Ok(Json(answers::snapshot(&view)).into_response())
 }
 
-async fn quarantine(State(admin): State<Arc<Admin>>) -> Json<QuarantineInfo> {
+async fn quarantine(State(admin): State<Arc<AdminServer>>) -> Json<QuarantineInfo> {
     Json(answers::quarantine(&admin))
 }
 
 async fn release(
-    State(admin): State<Arc<Admin>>,
+    State(admin): State<Arc<AdminServer>>,
     Query(query): Query<ReleaseQuery>,
 ) -> Result<Json<ReleaseAnswer>, ErrorResponse> {
     let content = Content::parse(&query.content).map_err(|err| ErrorResponse {
@@ -207,7 +207,7 @@
     }))
 }
 
-async fn drain(State(admin): State<Arc<Admin>>) -> Json<DrainAnswer> {
+async fn drain(State(admin): State<Arc<AdminServer>>) -> Json<DrainAnswer> {
     let shared = &admin.outside.shared;
     admin.outside.control.send(ControlEvent::Drain).await;
     let mut phase = shared.watch_phase();
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -5,12 +5,12 @@
 //! separate tasks: calls to peers, reads of the platform and probes of the
 //! target. Their results return to the control task as events.
 
-pub(crate) use self::context::Outside;
+pub(crate) use self::context::ControlContext;
 pub(crate) use self::counts::ControlCounts;
 pub(crate) use self::drain_cause::DrainCause;
 pub(crate) use self::driver::ControlDriver;
 pub(crate) use self::event::ControlEvent;
-pub use self::fault_injector::Gate;
+pub use self::fault_injector::FaultInjector;
 pub(crate) use self::handle::ControlHandle;
 pub(crate) use self::peer_message_handler::PeerMessageHandler;
 pub(crate) use self::source_monitor::SourceMonitor;
--- a/crates/node/src/control/context.rs
+++ b/crates/node/src/control/context.rs
@@ -17,7 +17,7 @@
 use super::ControlEvent;
 use super::ControlHandle;
 use super::SourceMonitor;
-use super::fault_injector::Gate;
+use super::fault_injector::FaultInjector;
 use crate::AuditTrail;
 use crate::Shared;
 use crate::metrics::names;
@@ -25,7 +25,7 @@
 /// The control task's access to peers, the platform, the traffic side and the
 /// audit trail.
 #[derive(Debug, Clone)]
-pub(crate) struct Outside {
+pub(crate) struct ControlContext {
     /// State shared with the traffic side.
     pub(crate) shared: Arc<Shared>,
     /// The audit trail, to which state changes are written.
@@ -45,10 +45,10 @@
     /// Cancels the background tasks.
     pub(crate) cancel: CancellationToken,
     /// Simulated faults of the control side.
-    pub(crate) fault_injector: Gate,
+    pub(crate) fault_injector: FaultInjector,
 }
 
-impl Outside {
+impl ControlContext {
     /// Starts a call to a peer; its reply or failure is sent to the control task
     /// as an event.
     pub(crate) fn start_call(&self, call: Call) {
--- a/crates/node/src/control/driver.rs
+++ b/crates/node/src/control/driver.rs
@@ -13,9 +13,9 @@
 use sassafrasspool_core::Tick;
 use sassafrasspool_wire::platform::SourceAsk;
 
+use super::ControlContext;
 use super::ControlEvent;
 use super::DrainCause;
-use super::Outside;
 use super::view_publisher::ViewPublisher;
 use crate::metrics::names;
 
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub(crate) struct ControlDriver {
     dissemination: Box<dyn Disseminate>,
-    context: Outside,
+    context: ControlContext,
     views: ViewPublisher,
     calls_in_flight: usize,
     joined: bool,
@@ -35,7 +35,10 @@
 
 impl ControlDriver {
     /// A driver of dissemination that has handled no event yet.
-    pub(crate) fn new(dissemination: Box<dyn Disseminate>, context: Outside) -> ControlDriver {
+    pub(crate) fn new(
+        dissemination: Box<dyn Disseminate>,
+        context: ControlContext,
+    ) -> ControlDriver {
         ControlDriver {
             dissemination,
             context,
@@ -50,7 +53,7 @@
     }
 
     /// The context that actions are carried out on.
-    pub(super) fn context(&self) -> &Outside {
+    pub(super) fn context(&self) -> &ControlContext {
         &self.context
     }
 
@@ -259,7 +262,7 @@
             counter!(names::CONFLICTS, "stream" => stream.as_str()).increment(1);
         }
         AuditEvent::OlderIgnored { stream, .. } => {
-            counter!(names::OLDER, "stream" => stream.as_str()).increment(1);
+            counter!(names::OLDER_IGNORED, "stream" => stream.as_str()).increment(1);
         }
         AuditEvent::BodyRefused { stream, .. } => {
             counter!(names::BODIES_REFUSED, "stream" => stream.as_str()).increment(1);
--- a/crates/node/src/control/fault_injector.rs
+++ b/crates/node/src/control/fault_injector.rs
@@ -14,7 +14,7 @@
 /// side, so that tests can run many nodes in one process. By default no fault
 /// is injected.
 #[derive(Debug, Clone, Default)]
-pub struct Gate {
+pub struct FaultInjector {
     inner: Arc<Inner>,
 }
 
@@ -25,7 +25,7 @@
     paused: watch::Sender<bool>,
 }
 
-impl Gate {
+impl FaultInjector {
     /// Partitions the node from the peers with these control addresses; the
     /// set replaces the previous one. Calls to these peers get no answer.
     pub fn part(&self, peers: HashSet<SocketAddr>) {
--- a/crates/node/src/control/probe/tests.rs
+++ b/crates/node/src/control/probe/tests.rs
@@ -50,7 +50,7 @@
 fn shared() -> Arc<Shared> {
     let dialect = Dialect {
         cold_left_ms: Some(HeaderName::from_static(COLD_HEADER)),
-        ..Dialect::OWN
+        ..Dialect::NATIVE
     };
     let incarnation = Incarnation::from_start_millis(1);
     let shared = Shared::speaking(dialect, LogSink::silent(), name("wd-1"), incarnation);
--- a/crates/node/src/control/source_monitor.rs
+++ b/crates/node/src/control/source_monitor.rs
@@ -4,22 +4,22 @@
 use sassafrasspool_core::Stream;
 
 use crate::dependency_monitor::AvailabilityChange;
-use crate::dependency_monitor::Reach;
+use crate::dependency_monitor::DependencyMonitor;
 
 /// Whether the platform answers reads. Each stream is monitored separately,
 /// because one can fail while the other is answered.
 #[derive(Debug)]
 pub(crate) struct SourceMonitor {
-    catalogue: Reach,
-    instances: Reach,
+    catalogue: DependencyMonitor,
+    instances: DependencyMonitor,
 }
 
 impl SourceMonitor {
     /// A monitor that assumes that the platform answers.
     pub(crate) const fn new() -> SourceMonitor {
         SourceMonitor {
-            catalogue: Reach::new("platform"),
-            instances: Reach::new("platform"),
+            catalogue: DependencyMonitor::new("platform"),
+            instances: DependencyMonitor::new("platform"),
         }
     }
 
--- a/crates/node/src/control/tests.rs
+++ b/crates/node/src/control/tests.rs
@@ -22,13 +22,13 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
+use super::ControlContext;
 use super::ControlCounts;
 use super::ControlDriver;
 use super::ControlEvent;
 use super::ControlHandle;
 use super::DrainCause;
-use super::Gate;
-use super::Outside;
+use super::FaultInjector;
 use super::SourceMonitor;
 use crate::AuditTrail;
 use crate::Shared;
@@ -71,7 +71,7 @@
     let counts = ControlCounts::default();
     let unused_addr = "127.0.0.1:1".parse().expect("valid address");
     let (tx, _) = mpsc::channel(1);
-    let context = Outside {
+    let context = ControlContext {
         shared: Arc::new(Shared::new(me(), Incarnation::from_start_millis(1))),
         audit: Arc::new(AuditTrail::new(me())),
         pool: Arc::new(PeerPool::new(PeerLimits::default(), counts.bytes(), 1)),
@@ -81,7 +81,7 @@
         tasks: TaskTracker::new(),
         cancel: CancellationToken::new(),
         source_monitor: Arc::new(SourceMonitor::new()),
-        fault_injector: Gate::default(),
+        fault_injector: FaultInjector::default(),
     };
     ControlDriver::new(Box::new(PreparedActions(actions)), context)
 }
--- a/crates/node/src/dependency_monitor.rs
+++ b/crates/node/src/dependency_monitor.rs
@@ -17,7 +17,7 @@
 /// many seconds mean long waits between them; the dependency may have been back
 /// long before.
 #[derive(Debug)]
-pub(crate) struct Reach {
+pub(crate) struct DependencyMonitor {
     name: &'static str,
     lost: AtomicBool,
     outage: Mutex<Option<Outage>>,
@@ -42,10 +42,10 @@
     },
 }
 
-impl Reach {
+impl DependencyMonitor {
     /// A dependency that is assumed to answer; `name` is its name in the log.
-    pub(crate) const fn new(name: &'static str) -> Reach {
-        Reach {
+    pub(crate) const fn new(name: &'static str) -> DependencyMonitor {
+        DependencyMonitor {
             name,
             lost: AtomicBool::new(false),
             outage: Mutex::new(None),
--- a/crates/node/src/dependency_monitor/tests.rs
+++ b/crates/node/src/dependency_monitor/tests.rs
@@ -1,13 +1,13 @@
 //! Changes of a dependency's availability.
 
 use super::AvailabilityChange;
-use super::Reach;
+use super::DependencyMonitor;
 
 /// Guards against an outage that isn't logged, and against one that fills the log with a line
 /// for each failure.
 #[test]
 fn outage_is_reported_once_at_its_start_and_once_at_its_end() {
-    let reach = Reach::new("platform");
+    let reach = DependencyMonitor::new("platform");
     let missed = || reach.missed("catalogue", "connection refused");
     let found = || reach.found("catalogue");
     let changes = [found(), missed(), missed(), missed(), found(), found()];
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -7,7 +7,7 @@
 /// The header names and conventions that a node uses with its callers and its
 /// target, as far as deployments differ in them.
 ///
-/// [`Dialect::OWN`] is that of this project; an adapter to another platform
+/// [`Dialect::NATIVE`] is that of this project; an adapter to another platform
 /// provides its own. The protocol between nodes is the same in all deployments.
 #[derive(Debug, Clone)]
 pub struct Dialect {
@@ -40,7 +40,7 @@
 
 impl Dialect {
     /// The header names and conventions of this project.
-    pub const OWN: Dialect = Dialect {
+    pub const NATIVE: Dialect = Dialect {
         target_life: None,
         answering_life: None,
         cold_left_ms: None,
@@ -73,6 +73,6 @@
 
 impl Default for Dialect {
     fn default() -> Dialect {
-        Dialect::OWN
+        Dialect::NATIVE
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -21,7 +21,7 @@
 mod traffic;
 
 pub use crate::audit::AuditTrail;
-pub use crate::control::Gate;
+pub use crate::control::FaultInjector;
 pub use crate::control::StopReport;
 pub use crate::dialect::Dialect;
 pub use crate::node::Adapter;
@@ -33,7 +33,7 @@
 pub use crate::shared::ContactAge;
 pub use crate::shared::InFlight;
 pub use crate::shared::InFlightGuard;
-pub use crate::shared::Newest;
+pub use crate::shared::NewestRevision;
 pub use crate::shared::Routes;
 pub use crate::shared::Shared;
 pub use crate::shared::View;
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -18,7 +18,7 @@
 mod tests;
 
 pub(crate) use self::budget::Rank;
-pub(crate) use self::request::Told;
+pub(crate) use self::request::LoggedOutcome;
 pub(crate) use self::request::micros;
 pub(crate) use self::request::unix_ms;
 pub(crate) use self::request::with_outcome;
--- a/crates/node/src/log/request.rs
+++ b/crates/node/src/log/request.rs
@@ -10,28 +10,28 @@
 
 /// The outcome of a request, as values of the log's fields.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Told {
+pub(crate) struct LoggedOutcome {
     pub(crate) outcome: &'static str,
     pub(crate) step: Option<&'static str>,
     pub(crate) reason: Option<&'static str>,
 }
 
-impl Told {
+impl LoggedOutcome {
     /// A request that was answered.
-    pub(crate) const ANSWERED: Told = Told {
+    pub(crate) const ANSWERED: LoggedOutcome = LoggedOutcome {
         outcome: "answered",
         step: None,
         reason: None,
     };
 }
 
-impl From<&Failure> for Told {
-    fn from(failure: &Failure) -> Told {
+impl From<&Failure> for LoggedOutcome {
+    fn from(failure: &Failure) -> LoggedOutcome {
         let (step, reason) = match failure {
             Failure::Refused(refusal) => (refusal.step().as_str(), refusal.reason().as_str()),
             Failure::Lost(loss) => (loss.step().as_str(), loss.cause().as_str()),
         };
-        Told {
+        LoggedOutcome {
             outcome: failure.outcome().as_str(),
             step: Some(step),
             reason: Some(reason),
@@ -40,7 +40,7 @@
 }
 
 /// The line with the fields of its outcome set.
-pub(crate) fn with_outcome(mut line: RequestLine<'_>, logged: Told) -> RequestLine<'_> {
+pub(crate) fn with_outcome(mut line: RequestLine<'_>, logged: LoggedOutcome) -> RequestLine<'_> {
     line.outcome = logged.outcome.into();
     line.step = logged.step.map(Cow::from);
     line.reason = logged.reason.map(Cow::from);
--- a/crates/node/src/metrics/names.rs
+++ b/crates/node/src/metrics/names.rs
@@ -14,7 +14,7 @@
 pub(crate) const BODIES_REFUSED: &str = "sassafrasspool_bodies_refused_total";
 /// Ignored versions that were offered as the newest and are older than the held one,
 /// by `stream`.
-pub(crate) const OLDER: &str = "sassafrasspool_older_versions_ignored_total";
+pub(crate) const OLDER_IGNORED: &str = "sassafrasspool_older_versions_ignored_total";
 /// The revision in force, by `stream`.
 pub(crate) const REVISION: &str = "sassafrasspool_revision";
 /// Messages to and from peers, by `kind` and `direction`.
@@ -56,7 +56,7 @@
     describe_counter!(REFUSED, "Versions refused whole");
     describe_counter!(CONFLICTS, "Revisions that came with two contents");
     describe_counter!(BODIES_REFUSED, "Bodies damaged or not as announced");
-    describe_counter!(OLDER, "Older versions offered as the newest");
+    describe_counter!(OLDER_IGNORED, "Older versions offered as the newest");
     describe_counter!(TARGET_CRASHES, "Crashes of the own target");
     describe_counter!(QUARANTINED, "Requests that came into quarantine");
     describe_gauge!(REVISION, "Revision in force");
--- a/crates/node/src/metrics/traffic.rs
+++ b/crates/node/src/metrics/traffic.rs
@@ -7,7 +7,7 @@
 /// Requests that ended, by `port` and `result`.
 pub(crate) const REQUESTS: &str = "sassafrasspool_requests_total";
 /// Requests that were refused or lost, by `port`, `step` and `reason`.
-pub(crate) const MISSED: &str = "sassafrasspool_requests_missed_total";
+pub(crate) const REQUESTS_MISSED: &str = "sassafrasspool_requests_missed_total";
 /// Attempts that were followed by a retry, by `reason`.
 pub(crate) const RETRIES: &str = "sassafrasspool_retries_total";
 /// Connections opened to other nodes.
@@ -17,22 +17,26 @@
 
 /// Seconds from a request's arrival at its caller's node to the head of its
 /// response, by `class`.
-pub(crate) const WHOLE: &str = "sassafrasspool_request_seconds";
+pub(crate) const REQUEST_SECONDS: &str = "sassafrasspool_request_seconds";
 /// Seconds that a request waited for a slot of its target, by `class`.
-pub(crate) const QUEUE: &str = "sassafrasspool_queue_seconds";
+pub(crate) const QUEUE_SECONDS: &str = "sassafrasspool_queue_seconds";
 /// Seconds from the hand-over to a target to the head of its response, by `class`.
-pub(crate) const TARGET: &str = "sassafrasspool_target_seconds";
+pub(crate) const TARGET_SECONDS: &str = "sassafrasspool_target_seconds";
 
 /// Registers the help texts of the metrics with the recorder.
 pub(super) fn describe() {
     describe_counter!(REQUESTS, "Requests that ended");
-    describe_counter!(MISSED, "Requests that got no answer of a target");
+    describe_counter!(REQUESTS_MISSED, "Requests that got no answer of a target");
     describe_counter!(RETRIES, "Attempts after which a request was tried again");
     describe_counter!(PEER_CONNECTIONS, "Connections opened to other nodes");
-    describe_histogram!(WHOLE, Unit::Seconds, "From arrival to the answer's head");
-    describe_histogram!(QUEUE, Unit::Seconds, "Waiting for a slot");
     describe_histogram!(
-        TARGET,
+        REQUEST_SECONDS,
+        Unit::Seconds,
+        "From arrival to the answer's head"
+    );
+    describe_histogram!(QUEUE_SECONDS, Unit::Seconds, "Waiting for a slot");
+    describe_histogram!(
+        TARGET_SECONDS,
         Unit::Seconds,
         "From the hand-over to the answer's head"
     );
--- a/crates/node/src/node/adapter.rs
+++ b/crates/node/src/node/adapter.rs
@@ -32,7 +32,7 @@
 impl Default for Adapter {
     fn default() -> Adapter {
         Adapter {
-            dialect: Dialect::OWN,
+            dialect: Dialect::NATIVE,
             source: |settings, bytes| Arc::new(PlatformClient::new(settings.platform.addr, bytes)),
             log: LogSink::silent(),
         }
--- a/crates/node/src/node/running.rs
+++ b/crates/node/src/node/running.rs
@@ -16,9 +16,9 @@
 use super::dissemination;
 use crate::Settings;
 use crate::Shared;
+use crate::control::ControlContext;
 use crate::control::ControlEvent;
-use crate::control::Gate;
-use crate::control::Outside;
+use crate::control::FaultInjector;
 use crate::control::StopReport;
 
 /// A running node; clones are handles to the same node.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 pub struct RunningNode {
     settings: Arc<Settings>,
-    context: Outside,
+    context: ControlContext,
     addrs: NodeAddrs,
     ended: watch::Receiver<Option<StopReport>>,
 }
@@ -36,7 +36,7 @@
 impl RunningNode {
     pub(super) fn new(
         settings: Arc<Settings>,
-        context: Outside,
+        context: ControlContext,
         addrs: NodeAddrs,
         ended: watch::Receiver<Option<StopReport>>,
     ) -> RunningNode {
@@ -75,7 +75,7 @@
     }
 
     /// Simulates faults of its control side, for tests and benchmarks.
-    pub fn gate(&self) -> &Gate {
+    pub fn gate(&self) -> &FaultInjector {
         &self.context.fault_injector
     }
 
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -28,13 +28,13 @@
 use crate::Settings;
 use crate::Shared;
 use crate::Traffic;
-use crate::admin::Admin;
+use crate::admin::AdminServer;
+use crate::control::ControlContext;
 use crate::control::ControlCounts;
 use crate::control::ControlDriver;
 use crate::control::ControlHandle;
 use crate::control::ControlTask;
-use crate::control::Gate;
-use crate::control::Outside;
+use crate::control::FaultInjector;
 use crate::control::PeerMessageHandler;
 use crate::control::SourceMonitor;
 use crate::control::StopReport;
@@ -117,7 +117,7 @@
 /// isn't running yet.
 struct PreparedNode {
     settings: Arc<Settings>,
-    context: Outside,
+    context: ControlContext,
     control: ControlTask,
     peers: TcpListener,
     admin: TcpListener,
@@ -221,11 +221,11 @@
             .tasks
             .spawn(server.serve(self.peers, context.cancel.clone()));
         if let Some(metrics) = self.metrics {
-            let admin = Admin::new(Arc::clone(&self.settings), context.clone());
+            let admin = AdminServer::new(Arc::clone(&self.settings), context.clone());
             let cancel = context.cancel.clone();
             context.tasks.spawn(admin.serve_metrics(metrics, cancel));
         }
-        let admin = Admin::new(self.settings, context.clone());
+        let admin = AdminServer::new(self.settings, context.clone());
         context
             .tasks
             .spawn(admin.serve(self.admin, context.cancel.clone()));
@@ -250,11 +250,11 @@
     shared: Arc<Shared>,
     control: ControlHandle,
     cancel: CancellationToken,
-) -> Outside {
+) -> ControlContext {
     let counts = ControlCounts::default();
     let pool = PeerPool::new(settings.control.limits, counts.bytes(), rand::random());
     let platform = (adapter.source)(settings, counts.bytes());
-    Outside {
+    ControlContext {
         shared,
         audit: Arc::new(AuditTrail::new(settings.instance.clone())),
         pool: Arc::new(pool),
@@ -264,6 +264,6 @@
         tasks: TaskTracker::new(),
         cancel,
         source_monitor: Arc::new(SourceMonitor::new()),
-        fault_injector: Gate::default(),
+        fault_injector: FaultInjector::default(),
     }
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -28,7 +28,7 @@
 pub use self::in_flight::InFlight;
 pub use self::in_flight::InFlightGuard;
 pub(crate) use self::local_cold_tracker::LocalColdTracker;
-pub use self::newest_revision::Newest;
+pub use self::newest_revision::NewestRevision;
 pub(crate) use self::quarantine::Quarantine;
 pub use self::routing::Routes;
 pub use self::view::View;
@@ -65,9 +65,9 @@
     stopping: AtomicBool,
     in_flight: InFlight,
     contact: ContactAge,
-    advertised_catalogue: Newest,
-    catalogue_in_force: Newest,
-    list_proof: Newest,
+    advertised_catalogue: NewestRevision,
+    catalogue_in_force: NewestRevision,
+    list_proof: NewestRevision,
     quarantine: Quarantine,
     cold_tracker: LocalColdTracker,
     /// Whether the local target's failure domain is evacuated.
@@ -77,7 +77,7 @@
 impl Shared {
     /// The state of a starting node, which has no view yet and doesn't log requests.
     pub fn new(me: InstanceId, incarnation: Incarnation) -> Shared {
-        Shared::speaking(Dialect::OWN, LogSink::silent(), me, incarnation)
+        Shared::speaking(Dialect::NATIVE, LogSink::silent(), me, incarnation)
     }
 
     /// The same with a log, for a node that uses the dialect of another platform.
@@ -100,9 +100,9 @@
             stopping: AtomicBool::new(false),
             in_flight: InFlight::new(),
             contact: ContactAge::new(),
-            advertised_catalogue: Newest::default(),
-            catalogue_in_force: Newest::default(),
-            list_proof: Newest::default(),
+            advertised_catalogue: NewestRevision::default(),
+            catalogue_in_force: NewestRevision::default(),
+            list_proof: NewestRevision::default(),
             quarantine: Quarantine::default(),
             cold_tracker: LocalColdTracker::default(),
             evacuated: watch::Sender::new(false),
@@ -213,7 +213,7 @@
 
     /// The revision of the newest instance list that was proved to be the platform's
     /// newest, and the time of the latest such proof.
-    pub fn proved_list(&self) -> &Newest {
+    pub fn proved_list(&self) -> &NewestRevision {
         &self.list_proof
     }
 
@@ -272,12 +272,12 @@
     }
 
     /// The newest catalogue revision advertised to this node, held or not.
-    pub fn heard(&self) -> &Newest {
+    pub fn heard(&self) -> &NewestRevision {
         &self.advertised_catalogue
     }
 
     /// The revision of the catalogue in force.
-    pub fn in_force(&self) -> &Newest {
+    pub fn in_force(&self) -> &NewestRevision {
         &self.catalogue_in_force
     }
 
--- a/crates/node/src/shared/newest_revision.rs
+++ b/crates/node/src/shared/newest_revision.rs
@@ -13,13 +13,13 @@
 /// The two values are stored separately, so a reader may see one of them from a
 /// later update than the other. That is acceptable because only log lines use them.
 #[derive(Debug, Default)]
-pub struct Newest {
+pub struct NewestRevision {
     /// 0 before the first revision.
     revision: AtomicU64,
     at_us: AtomicU64,
 }
 
-impl Newest {
+impl NewestRevision {
     /// Records a revision at `at`. One that isn't newer is ignored, so that a revision
     /// keeps its first time.
     pub fn note(&self, at: Tick, revision: Revision) {
--- a/crates/node/src/traffic/answer_body.rs
+++ b/crates/node/src/traffic/answer_body.rs
@@ -12,7 +12,7 @@
 
 use super::BoxError;
 use super::listener::serve::AnswerInProgress;
-use super::stall_detector::Stall;
+use super::stall_detector::StallDetector;
 use super::target::TargetBody;
 use crate::InFlightGuard;
 
@@ -22,9 +22,9 @@
 /// connection closes before the announced length, over HTTP/2 the stream is reset. A cut
 /// answer therefore never looks complete.
 #[derive(Debug)]
-pub(super) struct Answer {
+pub(super) struct AnswerBody {
     source: Source,
-    stall: Stall,
+    stall: StallDetector,
     _in_flight: Option<InFlightGuard>,
     /// Marks the answer as in progress in the connection's pipeline until it ends.
     _pipeline_guard: Option<AnswerInProgress>,
@@ -37,40 +37,40 @@
     Target(TargetBody),
 }
 
-impl Answer {
+impl AnswerBody {
     /// A text from this node.
-    pub(super) fn text(text: impl Into<Bytes>) -> Answer {
-        Answer::new(Source::Text(Some(text.into())))
+    pub(super) fn text(text: impl Into<Bytes>) -> AnswerBody {
+        AnswerBody::new(Source::Text(Some(text.into())))
     }
 
     /// The body of another node's answer.
-    pub(super) fn from_peer(body: Incoming) -> Answer {
-        Answer::new(Source::Peer(body))
+    pub(super) fn from_peer(body: Incoming) -> AnswerBody {
+        AnswerBody::new(Source::Peer(body))
     }
 
     /// The body of the local target's answer.
-    pub(super) fn target(body: TargetBody) -> Answer {
-        Answer::new(Source::Target(body))
+    pub(super) fn target(body: TargetBody) -> AnswerBody {
+        AnswerBody::new(Source::Target(body))
     }
 
-    fn new(source: Source) -> Answer {
-        Answer {
+    fn new(source: Source) -> AnswerBody {
+        AnswerBody {
             source,
-            stall: Stall::new(),
+            stall: StallDetector::new(),
             _in_flight: None,
             _pipeline_guard: None,
         }
     }
 
     /// The same body, with the guard that counts its request as in flight until it ends.
-    pub(super) fn held(mut self, guard: InFlightGuard) -> Answer {
+    pub(super) fn held(mut self, guard: InFlightGuard) -> AnswerBody {
         self._in_flight = Some(guard);
         self
     }
 
     /// The same body, with the guard that records the end of the answer in the pipeline of
     /// its connection.
-    pub(super) fn with_pipeline_guard(mut self, guard: Option<AnswerInProgress>) -> Answer {
+    pub(super) fn with_pipeline_guard(mut self, guard: Option<AnswerInProgress>) -> AnswerBody {
         self._pipeline_guard = guard;
         self
     }
@@ -87,7 +87,7 @@
     }
 }
 
-impl Body for Answer {
+impl Body for AnswerBody {
     type Data = Bytes;
     type Error = BoxError;
 
--- a/crates/node/src/traffic/body_memory.rs
+++ b/crates/node/src/traffic/body_memory.rs
@@ -5,7 +5,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::sync::Semaphore;
 
-use super::bounds::MAX_HELD_BYTES;
+use super::bounds::MAX_BUFFERED_BYTES;
 use super::bounds::MAX_REPLAY_BYTES;
 
 #[cfg(test)]
@@ -16,7 +16,7 @@
 
 /// The memory that buffered request bodies may take on one node.
 #[derive(Debug)]
-pub(super) struct Bodies(Arc<Semaphore>);
+pub(super) struct BodyMemory(Arc<Semaphore>);
 
 /// The memory reserved for one body, released when the last clone is dropped.
 #[derive(Debug, Clone)]
@@ -24,11 +24,11 @@
     #[expect(dead_code, reason = "held for its drop")] Arc<OwnedSemaphorePermit>,
 );
 
-impl Bodies {
-    /// Memory of [`MAX_HELD_BYTES`], all of it free.
-    pub(super) fn new() -> Bodies {
-        let units = usize::try_from(MAX_HELD_BYTES / UNIT_BYTES);
-        Bodies(Arc::new(Semaphore::new(units.unwrap_or(0))))
+impl BodyMemory {
+    /// Memory of [`MAX_BUFFERED_BYTES`], all of it free.
+    pub(super) fn new() -> BodyMemory {
+        let units = usize::try_from(MAX_BUFFERED_BYTES / UNIT_BYTES);
+        BodyMemory(Arc::new(Semaphore::new(units.unwrap_or(0))))
     }
 
     /// Reserves memory for a body of that size. Returns `None` if the body is too large or
--- a/crates/node/src/traffic/body_memory/tests.rs
+++ b/crates/node/src/traffic/body_memory/tests.rs
@@ -1,13 +1,13 @@
-use super::Bodies;
-use super::MAX_HELD_BYTES;
+use super::BodyMemory;
+use super::MAX_BUFFERED_BYTES;
 use super::MAX_REPLAY_BYTES;
 
 /// Guards against uploads that exhaust the memory of a node.
 #[test]
 fn buffered_bodies_are_bounded_each_and_in_total() {
-    let bodies = Bodies::new();
+    let bodies = BodyMemory::new();
     assert!(bodies.reserve(MAX_REPLAY_BYTES + 1).is_none(), "too large");
-    let max_bodies = MAX_HELD_BYTES / MAX_REPLAY_BYTES;
+    let max_bodies = MAX_BUFFERED_BYTES / MAX_REPLAY_BYTES;
     let reserved: Vec<_> = (0..max_bodies)
         .map(|_| bodies.reserve(MAX_REPLAY_BYTES))
         .collect();
@@ -16,7 +16,9 @@
     let clone = reserved[0].clone();
     drop(reserved);
     assert!(
-        bodies.reserve(MAX_HELD_BYTES - MAX_REPLAY_BYTES).is_none(),
+        bodies
+            .reserve(MAX_BUFFERED_BYTES - MAX_REPLAY_BYTES)
+            .is_none(),
         "too large"
     );
     let again: Vec<_> = (0..max_bodies)
--- a/crates/node/src/traffic/bounds.rs
+++ b/crates/node/src/traffic/bounds.rs
@@ -11,7 +11,7 @@
 
 /// The most memory for all buffered bodies of a node, in bytes: a tenth of the memory of
 /// the smallest instances. Bodies beyond it are streamed.
-pub(super) const MAX_HELD_BYTES: u64 = 16 * 1024 * 1024;
+pub(super) const MAX_BUFFERED_BYTES: u64 = 16 * 1024 * 1024;
 
 /// The largest head of a request or an answer, in bytes.
 pub(super) const MAX_HEAD_BYTES: usize = 32 * 1024;
@@ -30,7 +30,7 @@
 /// How long an idle connection to the target is kept. Targets commonly close idle
 /// connections after five seconds, and a request sent at that moment has an unknown
 /// outcome.
-pub(super) const MAX_IDLE: Duration = Duration::from_secs(4);
+pub(super) const MAX_TARGET_IDLE_TIME: Duration = Duration::from_secs(4);
 
 /// How long the transfer of a body may make no progress before it is aborted.
 pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(30);
@@ -44,7 +44,7 @@
 /// A body that is sent at once uses the network link of a target that may have no capacity.
 /// This delays lookups, and delays answers to probes for so long that connections are
 /// dropped. With a round trip of 1 ms the window allows 8 MB a second.
-pub(super) const UPLOAD_WINDOW: u32 = 8 * 1024;
+pub(super) const UPLOAD_WINDOW_BYTES: u32 = 8 * 1024;
 
 /// Flow control window of one connection between nodes, in bytes.
 pub(super) const CONNECTION_WINDOW_BYTES: u32 = 4 * 1024 * 1024;
--- a/crates/node/src/traffic/counters.rs
+++ b/crates/node/src/traffic/counters.rs
@@ -45,7 +45,7 @@
             ("step", failure_step(failure)),
             ("reason", failure_reason(failure)),
         ];
-        counter!(traffic::MISSED, &labels).increment(1);
+        counter!(traffic::REQUESTS_MISSED, &labels).increment(1);
     }
 }
 
--- a/crates/node/src/traffic/failed_attempt.rs
+++ b/crates/node/src/traffic/failed_attempt.rs
@@ -12,38 +12,38 @@
 /// A request with a streamed body can only be sent again if it is returned here. One with
 /// a buffered body can be sent again in any case.
 #[derive(Debug)]
-pub(super) struct Missed {
+pub(super) struct FailedAttempt {
     pub(super) failure: Failure,
     pub(super) unsent: Option<Box<Request<Payload>>>,
 }
 
-impl Missed {
+impl FailedAttempt {
     /// The failure of a request that was refused and is returned complete.
-    pub(super) fn unsent(refusal: Refusal, req: Request<Payload>) -> Missed {
-        Missed {
+    pub(super) fn unsent(refusal: Refusal, req: Request<Payload>) -> FailedAttempt {
+        FailedAttempt {
             failure: refusal.into(),
             unsent: Some(Box::new(req)),
         }
     }
 }
 
-impl From<Failure> for Missed {
-    fn from(failure: Failure) -> Missed {
-        Missed {
+impl From<Failure> for FailedAttempt {
+    fn from(failure: Failure) -> FailedAttempt {
+        FailedAttempt {
             failure,
             unsent: None,
         }
     }
 }
 
-impl From<Refusal> for Missed {
-    fn from(refusal: Refusal) -> Missed {
+impl From<Refusal> for FailedAttempt {
+    fn from(refusal: Refusal) -> FailedAttempt {
         Failure::from(refusal).into()
     }
 }
 
-impl From<Loss> for Missed {
-    fn from(loss: Loss) -> Missed {
+impl From<Loss> for FailedAttempt {
+    fn from(loss: Loss) -> FailedAttempt {
         Failure::from(loss).into()
     }
 }
--- a/crates/node/src/traffic/failure_response.rs
+++ b/crates/node/src/traffic/failure_response.rs
@@ -18,7 +18,7 @@
 use sassafrasspool_wire::header as names;
 use serde::Serialize;
 
-use super::answer_body::Answer;
+use super::answer_body::AnswerBody;
 use crate::Dialect;
 
 /// Retry delay in refusals that have none of their own.
@@ -33,14 +33,14 @@
 }
 
 /// The response to a request that has no answer of its target.
-pub(super) fn respond(failure: &Failure, dialect: &Dialect) -> Response<Answer> {
+pub(super) fn respond(failure: &Failure, dialect: &Dialect) -> Response<AnswerBody> {
     match failure {
         Failure::Refused(refusal) => respond_refused(refusal, dialect),
         Failure::Lost(loss) => respond_lost(loss),
     }
 }
 
-fn respond_refused(refusal: &Refusal, dialect: &Dialect) -> Response<Answer> {
+fn respond_refused(refusal: &Refusal, dialect: &Dialect) -> Response<AnswerBody> {
     let body = FailureBody {
         outcome: refusal.outcome().as_str(),
         step: refusal.step().as_str(),
@@ -52,7 +52,7 @@
     res
 }
 
-fn respond_lost(loss: &Loss) -> Response<Answer> {
+fn respond_lost(loss: &Loss) -> Response<AnswerBody> {
     let body = FailureBody {
         outcome: loss.outcome().as_str(),
         step: loss.step().as_str(),
@@ -77,11 +77,11 @@
     }
 }
 
-fn failure_response(body: &FailureBody, status: StatusCode) -> Response<Answer> {
+fn failure_response(body: &FailureBody, status: StatusCode) -> Response<AnswerBody> {
     // The serialisation of three short strings can't fail. With an empty body the
     // outcome would still be in its header.
     let text = serde_json::to_string(body).unwrap_or_default();
-    let mut res = Response::new(Answer::text(text));
+    let mut res = Response::new(AnswerBody::text(text));
     *res.status_mut() = status;
     let headers = res.headers_mut();
     let json = HeaderValue::from_static("application/json");
--- a/crates/node/src/traffic/hub.rs
+++ b/crates/node/src/traffic/hub.rs
@@ -20,15 +20,15 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::body_memory::Bodies;
+use super::body_memory::BodyMemory;
 use super::counters::Counters;
-use super::inbound::body_intake::Arrivals;
+use super::inbound::body_intake::UploadLimiter;
 use super::outbound::kind_timeouts::KindTimeouts;
 use super::parents::Parents;
-use super::stage_latencies::Stages;
+use super::stage_latencies::StageLatencies;
 use super::target::Pool;
 use super::target::crash_watch::CrashWatch;
-use super::target::local_generations::OwnLife;
+use super::target::local_generations::LocalGenerations;
 use crate::Settings;
 use crate::Shared;
 
@@ -41,16 +41,16 @@
     /// The region of the local target.
     pub(super) region: RegionName,
     pub(super) pool: Arc<Pool>,
-    pub(super) own_life: OwnLife,
+    pub(super) own_life: LocalGenerations,
     pub(super) admission: Admission,
     /// The load that the local target tolerates while it is cold.
     pub(super) cold_tolerance: ColdTolerance,
-    pub(super) bodies: Bodies,
-    pub(super) arrivals: Arrivals,
+    pub(super) bodies: BodyMemory,
+    pub(super) arrivals: UploadLimiter,
     pub(super) crash_watch: CrashWatch,
     pub(super) parents: Parents,
     pub(super) kind_timeouts: KindTimeouts,
-    pub(super) stages: Stages,
+    pub(super) stages: StageLatencies,
     pub(super) ingress: Counters,
     pub(super) egress: Counters,
     pub(super) peers: Counters,
@@ -95,15 +95,15 @@
             service: cfg.service.clone(),
             region: cfg.region.clone(),
             pool: Pool::new(cfg.target.addr, limit),
-            own_life: OwnLife::default(),
+            own_life: LocalGenerations::default(),
             admission,
             cold_tolerance: cfg.target.cold,
-            bodies: Bodies::new(),
-            arrivals: Arrivals::new(cfg.target.slots),
+            bodies: BodyMemory::new(),
+            arrivals: UploadLimiter::new(cfg.target.slots),
             crash_watch: CrashWatch::default(),
             parents: Parents::default(),
             kind_timeouts: KindTimeouts::default(),
-            stages: Stages::new(),
+            stages: StageLatencies::new(),
             ingress: Counters::new("ingress"),
             egress: Counters::new("egress"),
             peers: Counters::new("peers"),
--- a/crates/node/src/traffic/inbound/access_log.rs
+++ b/crates/node/src/traffic/inbound/access_log.rs
@@ -14,13 +14,13 @@
 use sassafrasspool_wire::log::BESIDE;
 use sassafrasspool_wire::log::RequestLine;
 
+use crate::log::LoggedOutcome;
 use crate::log::Rank;
-use crate::log::Told;
 use crate::log::micros;
 use crate::log::unix_ms;
 use crate::log::with_outcome;
-use crate::traffic::answer_body::Answer;
-use crate::traffic::failed_attempt::Missed;
+use crate::traffic::answer_body::AnswerBody;
+use crate::traffic::failed_attempt::FailedAttempt;
 use crate::traffic::worker::Worker;
 
 /// What the log line contains besides the id and the outcome of the request.
@@ -67,9 +67,12 @@
     }
 
     /// Writes the line with the outcome of the request.
-    pub(in crate::traffic) fn finish(mut self, result: &Result<Response<Answer>, Missed>) {
+    pub(in crate::traffic) fn finish(
+        mut self,
+        result: &Result<Response<AnswerBody>, FailedAttempt>,
+    ) {
         let (rank, outcome) = match result {
-            Ok(_) => (Rank::Success, Told::ANSWERED),
+            Ok(_) => (Rank::Success, LoggedOutcome::ANSWERED),
             Err(missed) => (Rank::Failure, (&missed.failure).into()),
         };
         let status = result.as_ref().ok().map(|res| res.status().as_u16());
@@ -77,7 +80,7 @@
         self.id = None;
     }
 
-    fn write(&self, rank: Rank, outcome: Told, status: Option<u16>) {
+    fn write(&self, rank: Rank, outcome: LoggedOutcome, status: Option<u16>) {
         let Some(id) = &self.id else { return };
         let hub = &self.worker.hub;
         let shared = &hub.shared;
--- a/crates/node/src/traffic/inbound/body_intake.rs
+++ b/crates/node/src/traffic/inbound/body_intake.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Semaphore;
 use tokio::sync::SemaphorePermit;
 
-use crate::traffic::failed_attempt::Missed;
+use crate::traffic::failed_attempt::FailedAttempt;
 use crate::traffic::hub::Hub;
 use crate::traffic::payload::Payload;
 
@@ -24,13 +24,13 @@
 
 /// Bounds the long bodies for the local target that are received at once.
 #[derive(Debug)]
-pub(in crate::traffic) struct Arrivals(Semaphore);
+pub(in crate::traffic) struct UploadLimiter(Semaphore);
 
-impl Arrivals {
+impl UploadLimiter {
     /// The bound for a target with `slots` slots by the settings; no body is received yet.
-    pub(in crate::traffic) fn new(slots: u32) -> Arrivals {
+    pub(in crate::traffic) fn new(slots: u32) -> UploadLimiter {
         let max_bodies = (slots / SLOTS_PER_BODY).max(1);
-        Arrivals(Semaphore::new(usize::try_from(max_bodies).unwrap_or(1)))
+        UploadLimiter(Semaphore::new(usize::try_from(max_bodies).unwrap_or(1)))
     }
 
     /// Permits the receipt of one more long body until the returned permit is dropped.
@@ -58,20 +58,20 @@
     hub: &Hub,
     ask: &AdmissionRequest<'_>,
     req: Request<Payload>,
-) -> Result<Request<Payload>, Missed> {
+) -> Result<Request<Payload>, FailedAttempt> {
     if req.body().streamed_bytes().is_none() {
         return Ok(req);
     }
     let clock = hub.shared.clock();
     if let Some(refusal) = hub.admission.predict_refusal(clock.now(), ask) {
-        return Err(Missed::unsent(refusal, req));
+        return Err(FailedAttempt::unsent(refusal, req));
     }
     // A body that fits into the upload window arrives with the head of the request.
     let _permit = match req.body().is_short() {
         true => None,
         false => match hub.arrivals.try_acquire() {
             Ok(permit) => Some(permit),
-            Err(refusal) => return Err(Missed::unsent(refusal, req)),
+            Err(refusal) => return Err(FailedAttempt::unsent(refusal, req)),
         },
     };
     let until = clock.instant(ask.deadline.tick());
--- a/crates/node/src/traffic/inbound/exchange.rs
+++ b/crates/node/src/traffic/inbound/exchange.rs
@@ -20,8 +20,8 @@
 use sassafrasspool_core::Step;
 use sassafrasspool_wire::header::REQUEST_ID;
 
-use crate::traffic::answer_body::Answer;
-use crate::traffic::failed_attempt::Missed;
+use crate::traffic::answer_body::AnswerBody;
+use crate::traffic::failed_attempt::FailedAttempt;
 use crate::traffic::head;
 use crate::traffic::hub::Hub;
 use crate::traffic::parents;
@@ -64,7 +64,7 @@
         self,
         conn: Connection,
         req: Request<Payload>,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         if self.running.is_none() {
             return self.exchange(conn, req).await;
         }
@@ -86,7 +86,7 @@
         self,
         conn: Connection,
         req: Request<Payload>,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let max = u64::try_from(self.hub.max_stored).unwrap_or(u64::MAX);
         let res = self.exchange(conn, req).await?;
         let size = res.body().size_hint().upper();
@@ -96,7 +96,10 @@
         }
         let (head, body) = res.into_parts();
         match body.collect().await {
-            Ok(body) => Ok(Response::from_parts(head, Answer::text(body.to_bytes()))),
+            Ok(body) => Ok(Response::from_parts(
+                head,
+                AnswerBody::text(body.to_bytes()),
+            )),
             Err(_) => Err(Loss::new(Step::Forward, LossCause::AnswerCut).into()),
         }
     }
@@ -105,7 +108,7 @@
         self,
         conn: Connection,
         req: Request<Payload>,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let clock = *self.hub.shared.clock();
         let until = clock.instant(self.deadline.tick());
         let id = req.headers().get(REQUEST_ID).cloned();
@@ -121,7 +124,7 @@
                 tracing::debug!(%err, "not handed over");
                 let refusal = self.stage.refuse_unsent(clock.now(), proof);
                 let failure = release_key(self.running, refusal).into();
-                Err(Missed { failure, unsent })
+                Err(FailedAttempt { failure, unsent })
             }
             Ok(Err(target::ExchangeFailure::Sent(err))) => {
                 tracing::debug!(%err, "lost");
@@ -145,7 +148,7 @@
         self,
         res: Response<TargetBody>,
         id: Option<&HeaderValue>,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let dialect = self.hub.shared.dialect();
         let echoed = res.headers().get(REQUEST_ID);
         let declined = dialect.declines(&res);
@@ -189,7 +192,7 @@
         }
     }
 
-    fn into_answer(self, res: Response<TargetBody>) -> Response<Answer> {
+    fn into_answer(self, res: Response<TargetBody>) -> Response<AnswerBody> {
         let clock = *self.hub.shared.clock();
         let stage = self.stage.begin_answer();
         let mut watched = self.watched;
@@ -203,10 +206,10 @@
         let recorder = self
             .running
             .map(|running| Box::new(AnswerRecorder::new(running, &res, self.hub.max_stored)));
-        res.map(|body| Answer::target(body.with_recorder(recorder)))
+        res.map(|body| AnswerBody::target(body.with_recorder(recorder)))
     }
 
-    fn lose(self, cause: LossCause) -> Missed {
+    fn lose(self, cause: LossCause) -> FailedAttempt {
         let now = self.hub.shared.clock().now();
         if let Some(running) = self.running {
             running.mark_unknown(now);
--- a/crates/node/src/traffic/inbound/forward.rs
+++ b/crates/node/src/traffic/inbound/forward.rs
@@ -27,21 +27,21 @@
 use sassafrasspool_wire::header as names;
 
 use crate::Routes;
-use crate::traffic::answer_body::Answer;
-use crate::traffic::failed_attempt::Missed;
+use crate::traffic::answer_body::AnswerBody;
+use crate::traffic::failed_attempt::FailedAttempt;
 use crate::traffic::head;
 use crate::traffic::inbound::access_log::Facts;
 use crate::traffic::inbound::access_log::InboundLogEntry;
 use crate::traffic::inbound::inbound_request::InboundRequest;
 use crate::traffic::inbound::unsent_key::UnsentKey;
-use crate::traffic::keyed_attempt::Keyed;
+use crate::traffic::keyed_attempt::KeyedAttempt;
 use crate::traffic::payload::Payload;
 use crate::traffic::stored_answer;
 use crate::traffic::worker::Worker;
 
 /// What is known of a request besides its head and body.
 #[derive(Debug, Clone)]
-pub(in crate::traffic) struct Call<'a> {
+pub(in crate::traffic) struct CallContext<'a> {
     /// The routes in force for it.
     pub(in crate::traffic) routes: &'a Routes,
     /// The deadline, at which the request is abandoned.
@@ -66,7 +66,7 @@
     pub(in crate::traffic) origin: Option<HeaderValue>,
 }
 
-impl Call<'_> {
+impl CallContext<'_> {
     /// The admission request for it.
     pub(in crate::traffic) fn admission_request<'a>(
         &'a self,
@@ -90,13 +90,13 @@
 pub(in crate::traffic) async fn run(
     worker: &Worker,
     req: Request<Payload>,
-    call: Call<'_>,
-) -> Result<Response<Answer>, Missed> {
+    call: CallContext<'_>,
+) -> Result<Response<AnswerBody>, FailedAttempt> {
     let hub = &worker.hub;
     let checked = hub.check_quarantine(Step::Admission, call.content.as_ref());
     let service = match checked.and_then(|()| local_service(worker, &call)) {
         Ok(service) => service,
-        Err(refusal) => return Err(Missed::unsent(refusal, req)),
+        Err(refusal) => return Err(FailedAttempt::unsent(refusal, req)),
     };
     let has_key = req.headers().contains_key(names::IDEMPOTENCY_KEY);
     let has_homes = call.routes.view.snapshot.has_homes();
@@ -106,7 +106,7 @@
     };
     // The sending node may have routed by an earlier catalogue version.
     if route.is_some_and(|route| !route.homes.allows(&hub.region)) {
-        return Err(Missed::unsent(refuse(Reason::OutsideHomes), req));
+        return Err(FailedAttempt::unsent(refuse(Reason::OutsideHomes), req));
     }
     let listed = call.routes.own().map(|(endpoint, _)| &endpoint.instance);
     let slots = listed.map(|instance| instance.slots);
@@ -117,7 +117,7 @@
     let class = call.class.unwrap_or(by_route);
     let running = match decide_run(worker, route, &req) {
         RunDecision::Run(running) => running,
-        RunDecision::Answer(stored) => return Ok(stored_answer::to_response(&stored)),
+        RunDecision::AnswerBody(stored) => return Ok(stored_answer::to_response(&stored)),
         RunDecision::Refuse(refusal) => return Err(refusal.into()),
     };
     let facts = Facts {
@@ -150,7 +150,10 @@
 /// # Errors
 ///
 /// Returns the refusal that the request itself would receive.
-pub(in crate::traffic) fn check_capacity(worker: &Worker, call: &Call<'_>) -> Result<(), Refusal> {
+pub(in crate::traffic) fn check_capacity(
+    worker: &Worker,
+    call: &CallContext<'_>,
+) -> Result<(), Refusal> {
     let content = call.content.as_ref();
     worker.hub.check_quarantine(Step::Admission, content)?;
     let service = local_service(worker, call)?;
@@ -165,7 +168,11 @@
 }
 
 /// The admission limit of the local target, if it is cold.
-fn cold_limit(worker: &Worker, service: &BoundService, call: &Call<'_>) -> Option<ColdLimit> {
+fn cold_limit(
+    worker: &Worker,
+    service: &BoundService,
+    call: &CallContext<'_>,
+) -> Option<ColdLimit> {
     let shared = &worker.hub.shared;
     let start = service.entry.cold_start.as_ref();
     let generation = call.life.as_ref().and_then(|name| name.to_str().ok());
@@ -175,7 +182,7 @@
 }
 
 /// The service of the local target, if the local endpoint accepts work.
-fn local_service<'a>(worker: &Worker, call: &Call<'a>) -> Result<&'a BoundService, Refusal> {
+fn local_service<'a>(worker: &Worker, call: &CallContext<'a>) -> Result<&'a BoundService, Refusal> {
     if let Some(reason) = refusal_reason(worker) {
         return Err(refuse(reason));
     }
@@ -189,7 +196,7 @@
 #[derive(Debug)]
 enum RunDecision {
     Run(Option<RunPermit>),
-    Answer(Arc<StoredAnswer>),
+    AnswerBody(Arc<StoredAnswer>),
     Refuse(Refusal),
 }
 
@@ -198,7 +205,7 @@
     if route.is_some_and(|route| route.idempotent) {
         return RunDecision::Run(None);
     }
-    let keyed = match Keyed::of(&hub.service, req) {
+    let keyed = match KeyedAttempt::of(&hub.service, req) {
         Ok(Some(keyed)) => keyed,
         Ok(None) => return RunDecision::Run(None),
         Err(refusal) => return RunDecision::Refuse(refusal),
@@ -206,7 +213,7 @@
     let now = hub.shared.clock().now();
     match hub.repeat.begin_attempt(now, keyed.key, keyed.attempt) {
         AttemptDecision::Run(running) => RunDecision::Run(Some(running)),
-        AttemptDecision::Answer(stored) => RunDecision::Answer(stored),
+        AttemptDecision::Answer(stored) => RunDecision::AnswerBody(stored),
         AttemptDecision::Refuse(refusal) => RunDecision::Refuse(refusal),
     }
 }
@@ -229,7 +236,7 @@
 fn local_route<'a>(
     req: &Request<Payload>,
     service: &BoundService,
-    call: &Call<'a>,
+    call: &CallContext<'a>,
 ) -> Option<&'a Route> {
     let host = head::host(req);
     let bound = call
--- a/crates/node/src/traffic/inbound/inbound_request.rs
+++ b/crates/node/src/traffic/inbound/inbound_request.rs
@@ -23,15 +23,15 @@
 use sassafrasspool_wire::header::REQUEST_TIMEOUT_MS;
 
 use crate::Dialect;
-use crate::traffic::answer_body::Answer;
-use crate::traffic::failed_attempt::Missed;
+use crate::traffic::answer_body::AnswerBody;
+use crate::traffic::failed_attempt::FailedAttempt;
 use crate::traffic::head;
 use crate::traffic::hub::Hub;
 use crate::traffic::inbound::admission;
 use crate::traffic::inbound::body_intake;
 use crate::traffic::inbound::exchange::SentRequest;
 use crate::traffic::inbound::exchange::release_key;
-use crate::traffic::inbound::forward::Call;
+use crate::traffic::inbound::forward::CallContext;
 use crate::traffic::inbound::unsent_key::UnsentKey;
 use crate::traffic::parents::Parent;
 use crate::traffic::payload::Payload;
@@ -45,7 +45,7 @@
 pub(in crate::traffic) struct InboundRequest<'a> {
     pub(in crate::traffic) worker: &'a Worker,
     pub(in crate::traffic) req: Request<Payload>,
-    pub(in crate::traffic) call: Call<'a>,
+    pub(in crate::traffic) call: CallContext<'a>,
     pub(in crate::traffic) key: UnsentKey,
 }
 
@@ -66,7 +66,7 @@
         limits: &Limits,
         slots: Option<u32>,
         cold: Option<ColdLimit>,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let hub = &self.worker.hub;
         let stage = Stage::received(class, self.call.deadline);
         let mut ask = self.call.admission_request(class, limits);
@@ -84,20 +84,23 @@
         hub.stages.queue.took(class, waited);
         let permit: Permit = match admitted {
             Ok(permit) => permit,
-            Err(refusal) => return Err(Missed::unsent(refusal, self.req)),
+            Err(refusal) => return Err(FailedAttempt::unsent(refusal, self.req)),
         };
         let stage = stage.admit(permit);
         if hub.has_departed() {
             // The target departed while the request was queued.
             let now = hub.shared.clock().now();
             let refusal = stage.refuse(now, Step::Admission, Reason::Draining);
-            return Err(Missed::unsent(refusal, self.req));
+            return Err(FailedAttempt::unsent(refusal, self.req));
         }
         if let Some(left) = hub.quarantined_for(self.call.content.as_ref()) {
             // The request was quarantined while it was queued.
             let now = hub.shared.clock().now();
             let refusal = stage.refuse(now, Step::Admission, Reason::Quarantined);
-            return Err(Missed::unsent(refusal.with_retry_after(left), self.req));
+            return Err(FailedAttempt::unsent(
+                refusal.with_retry_after(left),
+                self.req,
+            ));
         }
         match target::acquire(&hub.pool, self.worker.index).await {
             Ok(conn) => self.hand_over(stage, conn).await,
@@ -105,7 +108,7 @@
                 tracing::debug!(%err, "not handed over");
                 let now = hub.shared.clock().now();
                 let refusal = stage.refuse(now, Step::Connect, Reason::Connect);
-                Err(Missed::unsent(refusal, self.req))
+                Err(FailedAttempt::unsent(refusal, self.req))
             }
         }
     }
@@ -114,7 +117,7 @@
         self,
         stage: Stage<Admitted>,
         conn: Connection,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let InboundRequest {
             worker,
             req,
@@ -130,7 +133,7 @@
         let now = hub.shared.clock().now();
         let running = match key.into_running(now) {
             Ok(running) => running,
-            Err(refusal) => return Err(Missed::unsent(refusal, req)),
+            Err(refusal) => return Err(FailedAttempt::unsent(refusal, req)),
         };
         let generation = named_generation(hub, now, &call);
         match stage.hand_over(now) {
@@ -151,7 +154,7 @@
                 };
                 sent.run(conn, req).await
             }
-            Err(refusal) => Err(Missed::unsent(release_key(running, refusal), req)),
+            Err(refusal) => Err(FailedAttempt::unsent(release_key(running, refusal), req)),
         }
     }
 }
@@ -161,7 +164,7 @@
 /// It differs from the requested one only where the target certainly serves the
 /// requested service: while a node stops, the address of its target may already belong
 /// to another target.
-fn named_generation(hub: &Hub, now: Tick, call: &Call<'_>) -> Option<HeaderValue> {
+fn named_generation(hub: &Hub, now: Tick, call: &CallContext<'_>) -> Option<HeaderValue> {
     let requested = call.life.as_ref()?;
     match call.for_own_service && !hub.is_leaving() {
         true => Some(hub.own_life.resolve(now, requested)),
@@ -178,7 +181,7 @@
     mut req: Request<Payload>,
     left: Duration,
     generation: Option<&HeaderValue>,
-    call: &Call<'_>,
+    call: &CallContext<'_>,
     dialect: &Dialect,
 ) -> Request<Payload> {
     head::strip_own(req.headers_mut());
--- a/crates/node/src/traffic/inbound/peer_side.rs
+++ b/crates/node/src/traffic/inbound/peer_side.rs
@@ -19,23 +19,26 @@
 
 use crate::Dialect;
 use crate::Routes;
-use crate::traffic::answer_body::Answer;
+use crate::traffic::answer_body::AnswerBody;
 use crate::traffic::bounds::MAX_HOPS;
 use crate::traffic::failure_response;
 use crate::traffic::head;
 use crate::traffic::inbound::forward;
-use crate::traffic::inbound::forward::Call;
+use crate::traffic::inbound::forward::CallContext;
 use crate::traffic::payload::Payload;
 use crate::traffic::worker::Worker;
 
 /// The dialect between nodes: all headers, and retry delays with fractions of a second.
 const BETWEEN_NODES: Dialect = Dialect {
     fractional_retry: true,
-    ..Dialect::OWN
+    ..Dialect::NATIVE
 };
 
 /// Serves a request from another node.
-pub(in crate::traffic) async fn serve(worker: &Worker, req: Request<Incoming>) -> Response<Answer> {
+pub(in crate::traffic) async fn serve(
+    worker: &Worker,
+    req: Request<Incoming>,
+) -> Response<AnswerBody> {
     let guard = worker.hub.shared.in_flight().enter();
     let result = run(worker, req).await;
     worker.hub.peers.count(&result);
@@ -47,7 +50,7 @@
     res.map(|body| body.held(guard))
 }
 
-async fn run(worker: &Worker, req: Request<Incoming>) -> Result<Response<Answer>, Failure> {
+async fn run(worker: &Worker, req: Request<Incoming>) -> Result<Response<AnswerBody>, Failure> {
     // INVARIANT: On this node the request uses these routes and no others.
     let Some(routes) = worker.hub.shared.routes() else {
         return Err(refuse(Reason::NoConfiguration).into());
@@ -55,7 +58,7 @@
     let call = call_of(worker, &routes, req.headers())?;
     if req.headers().contains_key(names::ROOM) {
         forward::check_capacity(worker, &call)?;
-        return Ok(Response::new(Answer::text("")));
+        return Ok(Response::new(AnswerBody::text("")));
     }
     let (parts, body) = req.into_parts();
     let bound = routes.view.snapshot.caller_limits().body_bytes;
@@ -70,7 +73,7 @@
     worker: &Worker,
     routes: &'a Routes,
     headers: &HeaderMap,
-) -> Result<Call<'a>, Refusal> {
+) -> Result<CallContext<'a>, Refusal> {
     check_service(worker, headers)?;
     let hop = head::number(headers, &names::HOP).unwrap_or(0);
     let hop = u32::try_from(hop).unwrap_or(u32::MAX);
@@ -82,7 +85,7 @@
         return Err(refuse(Reason::DeadlinePassed));
     };
     let now = worker.hub.shared.clock().now();
-    Ok(Call {
+    Ok(CallContext {
         routes,
         deadline: Deadline::within(now, Duration::from_millis(left)),
         hop,
--- a/crates/node/src/traffic/keyed_attempt.rs
+++ b/crates/node/src/traffic/keyed_attempt.rs
@@ -15,12 +15,12 @@
 
 /// The key of a request, and which attempt this is according to the caller.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Keyed {
+pub(super) struct KeyedAttempt {
     pub(super) key: RequestKey,
     pub(super) attempt: Attempt,
 }
 
-impl Keyed {
+impl KeyedAttempt {
     /// The key of a request to `service`, if it has one. The node that looks up the
     /// owner of the key and the owner itself derive it from the same head.
     ///
@@ -28,7 +28,10 @@
     ///
     /// Refuses a key that is empty, too long or not text. Ignoring such a key could run
     /// a request twice although the caller relies on its key to prevent that.
-    pub(super) fn of<B>(service: &ServiceName, req: &Request<B>) -> Result<Option<Keyed>, Refusal> {
+    pub(super) fn of<B>(
+        service: &ServiceName,
+        req: &Request<B>,
+    ) -> Result<Option<KeyedAttempt>, Refusal> {
         let Some(value) = req.headers().get(IDEMPOTENCY_KEY) else {
             return Ok(None);
         };
@@ -37,7 +40,7 @@
         let operation = format!("{} {}", req.method(), req.uri().path());
         let key = RequestKey::new(service, &operation, text).map_err(|_| bad_key())?;
         let attempt = parse_attempt(req.headers().get(REQUEST_ATTEMPT));
-        Ok(Some(Keyed { key, attempt }))
+        Ok(Some(KeyedAttempt { key, attempt }))
     }
 }
 
--- a/crates/node/src/traffic/listener/serve/peer.rs
+++ b/crates/node/src/traffic/listener/serve/peer.rs
@@ -13,7 +13,7 @@
 use crate::traffic::bounds::CONNECTION_WINDOW_BYTES;
 use crate::traffic::bounds::MAX_HEAD_BYTES;
 use crate::traffic::bounds::MAX_STREAMS;
-use crate::traffic::bounds::UPLOAD_WINDOW;
+use crate::traffic::bounds::UPLOAD_WINDOW_BYTES;
 use crate::traffic::worker::Worker;
 
 /// Serves a connection of another node.
@@ -23,7 +23,7 @@
     let conn = http2::Builder::new(TokioExecutor::new())
         .timer(TokioTimer::new())
         .max_concurrent_streams(MAX_STREAMS)
-        .initial_stream_window_size(UPLOAD_WINDOW)
+        .initial_stream_window_size(UPLOAD_WINDOW_BYTES)
         .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
         .max_header_list_size(u32::try_from(MAX_HEAD_BYTES).unwrap_or(u32::MAX))
         .serve_connection(TokioIo::new(stream), service);
--- a/crates/node/src/traffic/listener/serve/pipelining/pipeline.rs
+++ b/crates/node/src/traffic/listener/serve/pipelining/pipeline.rs
@@ -14,7 +14,7 @@
 
 use super::request_head;
 use super::request_head::NextRequest;
-use crate::traffic::answer_body::Answer;
+use crate::traffic::answer_body::AnswerBody;
 use crate::traffic::outbound::caller_side;
 use crate::traffic::outbound::caller_side::CallerPort;
 use crate::traffic::payload::Payload;
@@ -28,7 +28,7 @@
 const MAX_BUFFERED_BYTES: usize = 32 * 1024;
 
 /// A request that was started before its turn. Dropping it aborts it.
-pub(super) type StartedRequest = AbortOnDropHandle<Response<Answer>>;
+pub(super) type StartedRequest = AbortOnDropHandle<Response<AnswerBody>>;
 
 /// The requests of one connection that were started before their turn.
 ///
--- a/crates/node/src/traffic/listener/serve/service.rs
+++ b/crates/node/src/traffic/listener/serve/service.rs
@@ -13,7 +13,7 @@
 use hyper::service::Service;
 
 use super::pipelining::Pipeline;
-use crate::traffic::answer_body::Answer;
+use crate::traffic::answer_body::AnswerBody;
 use crate::traffic::inbound::peer_side;
 use crate::traffic::outbound::caller_side;
 use crate::traffic::outbound::caller_side::CallerPort;
@@ -53,11 +53,11 @@
 }
 
 impl Service<Request<Incoming>> for RequestService {
-    type Response = Response<Answer>;
+    type Response = Response<AnswerBody>;
     type Error = Infallible;
     /// Boxed because it is large, and HTTP/2 moves it by value into its own task and out of
     /// it.
-    type Future = Pin<Box<dyn Future<Output = Result<Response<Answer>, Infallible>> + Send>>;
+    type Future = Pin<Box<dyn Future<Output = Result<Response<AnswerBody>, Infallible>> + Send>>;
 
     fn call(&self, req: Request<Incoming>) -> Self::Future {
         let worker = Arc::clone(&self.worker);
@@ -76,7 +76,7 @@
     port: CallerPort,
     pipeline: Pipeline,
     req: Request<Incoming>,
-) -> Response<Answer> {
+) -> Response<AnswerBody> {
     // Over HTTP/2, requests don't wait for one another.
     let taken = (req.version() != Version::HTTP_2).then(|| pipeline.take_next());
     let (started, answer_guard) =
--- a/crates/node/src/traffic/outbound/access_log.rs
+++ b/crates/node/src/traffic/outbound/access_log.rs
@@ -21,12 +21,12 @@
 
 use crate::Routes;
 use crate::Shared;
+use crate::log::LoggedOutcome;
 use crate::log::Rank;
-use crate::log::Told;
 use crate::log::micros;
 use crate::log::unix_ms;
 use crate::log::with_outcome;
-use crate::traffic::answer_body::Answer;
+use crate::traffic::answer_body::AnswerBody;
 use crate::traffic::outbound::first_hop::FirstHop;
 use crate::traffic::worker::Worker;
 
@@ -103,7 +103,7 @@
     }
 
     /// Logs the end of the request.
-    pub(in crate::traffic) fn log_end(mut self, ended: &Result<Response<Answer>, Failure>) {
+    pub(in crate::traffic) fn log_end(mut self, ended: &Result<Response<AnswerBody>, Failure>) {
         if let Some(mut line) = self.line(ENDED, self.started_at) {
             let is_success = ended
                 .as_ref()
@@ -113,7 +113,9 @@
                 false => Rank::Failure,
             };
             line.status = ended.as_ref().ok().map(|res| res.status().as_u16());
-            let outcome = ended.as_ref().map_or_else(Told::from, |_| Told::ANSWERED);
+            let outcome = ended
+                .as_ref()
+                .map_or_else(LoggedOutcome::from, |_| LoggedOutcome::ANSWERED);
             let log = self.first.context().worker.hub.shared.log();
             log.write(rank, &with_outcome(line, outcome));
         }
--- a/crates/node/src/traffic/outbound/attempt.rs
+++ b/crates/node/src/traffic/outbound/attempt.rs
@@ -31,12 +31,12 @@
 use sassafrasspool_wire::header as names;
 
 use crate::Routes;
-use crate::traffic::answer_body::Answer;
-use crate::traffic::failed_attempt::Missed;
+use crate::traffic::answer_body::AnswerBody;
+use crate::traffic::failed_attempt::FailedAttempt;
 use crate::traffic::failure_response;
 use crate::traffic::head;
 use crate::traffic::inbound::forward;
-use crate::traffic::inbound::forward::Call;
+use crate::traffic::inbound::forward::CallContext;
 use crate::traffic::payload::Payload;
 use crate::traffic::peer::SendError;
 use crate::traffic::worker::Worker;
@@ -71,7 +71,7 @@
         &self,
         picked: Picked,
         req: Request<Payload>,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let result = if self.instance.id == *self.worker.hub.shared.me() {
             forward::run(self.worker, req, self.call_context()).await
         } else {
@@ -90,8 +90,8 @@
         result
     }
 
-    fn call_context(&self) -> Call<'_> {
-        Call {
+    fn call_context(&self) -> CallContext<'_> {
+        CallContext {
             routes: self.routes,
             deadline: self.deadline,
             hop: self.hop,
@@ -132,16 +132,16 @@
         &self,
         picked: &Picked,
         req: Request<Payload>,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         if !req.body().is_short()
             && let Err(refusal) = self.check_capacity(picked, &req).await
         {
-            return Err(Missed::unsent(refusal, req));
+            return Err(FailedAttempt::unsent(refusal, req));
         }
         let res = self.exchange_with_peer(picked, req).await?;
         match failure_response::failure_of(&res) {
             Some(failure) => Err(failure.into()),
-            None => Ok(clean_peer_response(res.map(Answer::from_peer))),
+            None => Ok(clean_peer_response(res.map(AnswerBody::from_peer))),
         }
     }
 
@@ -176,7 +176,7 @@
         &self,
         picked: &Picked,
         req: Request<Payload>,
-    ) -> Result<Response<Incoming>, Missed> {
+    ) -> Result<Response<Incoming>, FailedAttempt> {
         let clock = self.worker.hub.shared.clock();
         let left = self
             .deadline
@@ -195,7 +195,7 @@
             Ok(Err(SendError::NotSent(err, req))) => {
                 tracing::debug!(%err, "not sent to the peer");
                 let refusal = Refusal::not_run(Step::Forward, Reason::Connect);
-                return Err(Missed::unsent(refusal, *req));
+                return Err(FailedAttempt::unsent(refusal, *req));
             }
             Ok(Err(SendError::Sent(err))) => {
                 tracing::debug!(%err, "lost");
@@ -263,7 +263,7 @@
     }
 }
 
-fn clean_peer_response(mut res: Response<Answer>) -> Response<Answer> {
+fn clean_peer_response(mut res: Response<AnswerBody>) -> Response<AnswerBody> {
     head::strip_connection(res.headers_mut());
     *res.version_mut() = Version::HTTP_11;
     res
--- a/crates/node/src/traffic/outbound/caller_side.rs
+++ b/crates/node/src/traffic/outbound/caller_side.rs
@@ -15,7 +15,7 @@
 
 use crate::Dialect;
 use crate::Routes;
-use crate::traffic::answer_body::Answer;
+use crate::traffic::answer_body::AnswerBody;
 use crate::traffic::content;
 use crate::traffic::failure_response;
 use crate::traffic::head;
@@ -39,7 +39,7 @@
     worker: &Worker,
     port: CallerPort,
     req: Request<Payload>,
-) -> Response<Answer> {
+) -> Response<AnswerBody> {
     let guard = worker.hub.shared.in_flight().enter();
     let may_follow_another = keyed_attempt::may_follow_another(req.headers());
     let read_status = req.body().taken();
@@ -71,7 +71,7 @@
 }
 
 /// Removes the headers that only nodes use, except the outcome if the dialect passes it on.
-fn strip_internal(mut res: Response<Answer>, dialect: &Dialect) -> Response<Answer> {
+fn strip_internal(mut res: Response<AnswerBody>, dialect: &Dialect) -> Response<AnswerBody> {
     let outcome = res.headers_mut().remove(names::OUTCOME);
     head::strip_own(res.headers_mut());
     if let Some(outcome) = outcome.filter(|_| dialect.tells_outcome) {
@@ -94,7 +94,7 @@
     worker: &Worker,
     port: CallerPort,
     req: Request<Payload>,
-) -> Result<Response<Answer>, Failure> {
+) -> Result<Response<AnswerBody>, Failure> {
     let id = access_log::logged_request_id(worker, &req);
     let unrouted = |routes: Option<&Routes>, refusal: Refusal| {
         access_log::log_unrouted(worker, id.as_ref(), routes, refusal);
--- a/crates/node/src/traffic/outbound/first_hop.rs
+++ b/crates/node/src/traffic/outbound/first_hop.rs
@@ -25,12 +25,12 @@
 use sassafrasspool_wire::header as names;
 
 use crate::Routes;
-use crate::traffic::answer_body::Answer;
+use crate::traffic::answer_body::AnswerBody;
 use crate::traffic::bounds::MAX_HOPS;
 use crate::traffic::counters::count_retry;
-use crate::traffic::failed_attempt::Missed;
+use crate::traffic::failed_attempt::FailedAttempt;
 use crate::traffic::head;
-use crate::traffic::keyed_attempt::Keyed;
+use crate::traffic::keyed_attempt::KeyedAttempt;
 use crate::traffic::outbound::access_log::RequestContext;
 use crate::traffic::outbound::access_log::RequestLogger;
 use crate::traffic::outbound::attempt::Attempt;
@@ -52,7 +52,7 @@
     service_key: ServiceKey,
     service: &'a BoundService,
     budget: &'a RetryBudget,
-    keyed: Option<Keyed>,
+    keyed: Option<KeyedAttempt>,
     arrived: Tick,
     deadline: Deadline,
     /// Soft deadline: the moment until which the answer is worth most to the caller.
@@ -84,7 +84,7 @@
         let budget = routes.picker.budget(service_key);
         let keyed = match route.route.idempotent {
             true => None,
-            false => Keyed::of(&service.entry.name, req)?,
+            false => KeyedAttempt::of(&service.entry.name, req)?,
         };
         let caller_timeout = head::number(req.headers(), &names::REQUEST_TIMEOUT_MS);
         let caller_timeout = caller_timeout.map(Duration::from_millis);
@@ -140,7 +140,7 @@
     pub(in crate::traffic) async fn run(
         &self,
         req: Request<Payload>,
-    ) -> Result<Response<Answer>, Failure> {
+    ) -> Result<Response<AnswerBody>, Failure> {
         let mut logger = RequestLogger::new(self, &req);
         let ended = self.run_attempts(req, &mut logger).await;
         let took = now(self.worker).since(self.arrived);
@@ -154,7 +154,7 @@
         &self,
         mut req: Request<Payload>,
         logger: &mut RequestLogger<'_>,
-    ) -> Result<Response<Answer>, Failure> {
+    ) -> Result<Response<AnswerBody>, Failure> {
         let mut retry = self.retry_state();
         let mut avoid = Vec::new();
         let mut last: Option<Failure> = None;
@@ -252,7 +252,7 @@
         picked: Picked,
         req: Request<Payload>,
         last_resort: bool,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let snapshot = &self.routes.view.snapshot;
         let Some(endpoint) = snapshot.endpoint(picked.endpoint()) else {
             // The picker was built from this snapshot.
--- a/crates/node/src/traffic/payload.rs
+++ b/crates/node/src/traffic/payload.rs
@@ -16,10 +16,10 @@
 use hyper::body::Incoming;
 
 use super::BoxError;
-use super::body_memory::Bodies;
+use super::body_memory::BodyMemory;
 use super::body_memory::MemoryReservation;
 use super::bounds::MAX_BODY_BYTES;
-use super::bounds::UPLOAD_WINDOW;
+use super::bounds::UPLOAD_WINDOW_BYTES;
 
 /// The body of a request.
 #[derive(Debug)]
@@ -82,7 +82,7 @@
     /// Whether the body is known to be so short that it arrives with its head.
     pub(super) fn is_short(&self) -> bool {
         let upper = self.size_hint().upper();
-        upper.is_some_and(|bytes| bytes <= u64::from(UPLOAD_WINDOW))
+        upper.is_some_and(|bytes| bytes <= u64::from(UPLOAD_WINDOW_BYTES))
     }
 
     /// Size in bytes of a body that is not buffered; `None` if the size is unknown or the
@@ -99,7 +99,7 @@
     /// # Errors
     ///
     /// Fails if the sender aborts the body.
-    pub(super) async fn hold(self, bodies: &Bodies) -> Result<Payload, hyper::Error> {
+    pub(super) async fn hold(self, bodies: &BodyMemory) -> Result<Payload, hyper::Error> {
         let memory = self
             .streamed_bytes()
             .and_then(|bytes| bodies.reserve(bytes));
--- a/crates/node/src/traffic/peer/connection.rs
+++ b/crates/node/src/traffic/peer/connection.rs
@@ -20,7 +20,7 @@
 use tokio::net::TcpStream;
 
 use super::stall_timer::StallTimer;
-use crate::dependency_monitor::Reach;
+use crate::dependency_monitor::DependencyMonitor;
 use crate::metrics::traffic;
 use crate::traffic::bounds::CONNECT_TIMEOUT;
 use crate::traffic::bounds::CONNECTION_WINDOW_BYTES;
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub(in crate::traffic) struct PeerConnection {
     addr: SocketAddr,
-    reach: Reach,
+    reach: DependencyMonitor,
     sender: Mutex<Option<Sender>>,
     /// Time of the last failed attempt to connect. Locked while connecting, so that
     /// concurrent requests open a single connection.
@@ -57,7 +57,7 @@
     pub(super) fn new(addr: SocketAddr) -> PeerConnection {
         PeerConnection {
             addr,
-            reach: Reach::new("peer"),
+            reach: DependencyMonitor::new("peer"),
             sender: Mutex::new(None),
             last_connect_failure: tokio::sync::Mutex::new(None),
         }
--- a/crates/node/src/traffic/stage_latencies.rs
+++ b/crates/node/src/traffic/stage_latencies.rs
@@ -15,7 +15,7 @@
 
 /// The stages that are timed.
 #[derive(Debug)]
-pub(super) struct Stages {
+pub(super) struct StageLatencies {
     /// From a request's arrival at its first node to the head of its answer.
     pub(super) whole: StageHistograms,
     /// The wait for a slot of the target.
@@ -24,12 +24,12 @@
     pub(super) target: StageHistograms,
 }
 
-impl Stages {
-    pub(super) fn new() -> Stages {
-        Stages {
-            whole: StageHistograms::new(traffic::WHOLE),
-            queue: StageHistograms::new(traffic::QUEUE),
-            target: StageHistograms::new(traffic::TARGET),
+impl StageLatencies {
+    pub(super) fn new() -> StageLatencies {
+        StageLatencies {
+            whole: StageHistograms::new(traffic::REQUEST_SECONDS),
+            queue: StageHistograms::new(traffic::QUEUE_SECONDS),
+            target: StageHistograms::new(traffic::TARGET_SECONDS),
         }
     }
 }
--- a/crates/node/src/traffic/stall_detector.rs
+++ b/crates/node/src/traffic/stall_detector.rs
@@ -17,12 +17,12 @@
 /// otherwise occupy a slot and block a caller for ever. The timer is only created
 /// for bodies that have to wait.
 #[derive(Debug)]
-pub(super) struct Stall(Option<Pin<Box<Sleep>>>);
+pub(super) struct StallDetector(Option<Pin<Box<Sleep>>>);
 
-impl Stall {
+impl StallDetector {
     /// A detector without a timer; the first poll creates the timer.
-    pub(super) fn new() -> Stall {
-        Stall(None)
+    pub(super) fn new() -> StallDetector {
+        StallDetector(None)
     }
 
     /// Restarts the timeout after data was received.
--- a/crates/node/src/traffic/stored_answer.rs
+++ b/crates/node/src/traffic/stored_answer.rs
@@ -11,7 +11,7 @@
 use sassafrasspool_core::StoredAnswer;
 use sassafrasspool_core::Tick;
 
-use crate::traffic::answer_body::Answer;
+use crate::traffic::answer_body::AnswerBody;
 
 /// Copies an answer while it is forwarded, and stores it for repeats of its request.
 #[derive(Debug)]
@@ -69,8 +69,8 @@
 }
 
 /// The response with a stored answer.
-pub(super) fn to_response(stored: &StoredAnswer) -> Response<Answer> {
-    let mut res = Response::new(Answer::text(stored.body.clone()));
+pub(super) fn to_response(stored: &StoredAnswer) -> Response<AnswerBody> {
+    let mut res = Response::new(AnswerBody::text(stored.body.clone()));
     *res.status_mut() = StatusCode::from_u16(stored.status).unwrap_or_default();
     let headers = stored.headers.iter();
     let parsed = headers.filter_map(|(name, value)| {
--- a/crates/node/src/traffic/target/local_generations.rs
+++ b/crates/node/src/traffic/target/local_generations.rs
@@ -14,12 +14,12 @@
 
 /// The generations of the local target as of the last requests.
 #[derive(Debug, Default)]
-pub(in crate::traffic) struct OwnLife {
+pub(in crate::traffic) struct LocalGenerations {
     listed: Mutex<Option<TargetGeneration>>,
     succession: Mutex<GenerationTracker<HeaderValue>>,
 }
 
-impl OwnLife {
+impl LocalGenerations {
     /// Stores the generation that is listed now, and returns whether it replaces
     /// an earlier one.
     pub(in crate::traffic) fn follow(&self, listed: &TargetGeneration) -> bool {
--- a/crates/node/src/traffic/target/local_generations/tests.rs
+++ b/crates/node/src/traffic/target/local_generations/tests.rs
@@ -1,7 +1,7 @@
 use sassafrasspool_core::TargetGeneration;
 use sassafrasspool_core::TargetId;
 
-use super::OwnLife;
+use super::LocalGenerations;
 
 fn generation(id: &str, listed_at: u64, born: Option<u64>) -> TargetGeneration {
     TargetGeneration {
@@ -14,7 +14,7 @@
 /// Guards against requests that are sent on connections to a process that has ended.
 #[test]
 fn a_restart_is_reported_once() {
-    let own = OwnLife::default();
+    let own = LocalGenerations::default();
     assert!(!own.follow(&generation("t-1", 5, Some(100))), "the first");
     assert!(
         !own.follow(&generation("t-1", 9, Some(100))),
--- a/crates/node/src/traffic/target/pool.rs
+++ b/crates/node/src/traffic/target/pool.rs
@@ -25,11 +25,11 @@
 use tokio::net::TcpStream;
 
 use super::connection::Connection;
-use crate::dependency_monitor::Reach;
+use crate::dependency_monitor::DependencyMonitor;
 use crate::metrics::traffic;
 use crate::traffic::bounds::CONNECT_TIMEOUT;
 use crate::traffic::bounds::MAX_HEAD_BYTES;
-use crate::traffic::bounds::MAX_IDLE;
+use crate::traffic::bounds::MAX_TARGET_IDLE_TIME;
 
 /// The traffic thread on which a connection was opened; using it there is cheapest.
 pub(in crate::traffic) type WorkerIndex = usize;
@@ -49,7 +49,7 @@
     limit: AtomicU32,
     /// Connections opened since the pool was created.
     opened_total: AtomicU64,
-    reach: Reach,
+    reach: DependencyMonitor,
     state: Mutex<State>,
 }
 
@@ -66,7 +66,7 @@
             addr,
             limit: AtomicU32::new(limit),
             opened_total: AtomicU64::new(0),
-            reach: Reach::new("target"),
+            reach: DependencyMonitor::new("target"),
             state: Mutex::default(),
         })
     }
@@ -212,7 +212,7 @@
 }
 
 fn is_expired(idle: &Connection, now: Instant) -> bool {
-    now.duration_since(idle.last_used) > MAX_IDLE
+    now.duration_since(idle.last_used) > MAX_TARGET_IDLE_TIME
 }
 
 /// Counts one connection as open until it is dropped.
--- a/crates/node/tests/requests/fleet.rs
+++ b/crates/node/tests/requests/fleet.rs
@@ -92,7 +92,7 @@
         let written = Written::default();
         let log = LogSink::start(LOG_BYTES_PER_S, written.clone());
         let shared = Arc::new(Shared::speaking(
-            Dialect::OWN,
+            Dialect::NATIVE,
             log.expect("the log thread starts"),
             settings.instance.clone(),
             Incarnation::from_start_millis(1),
