--- a/crates/bench/src/control_fleet/member.rs
+++ b/crates/bench/src/control_fleet/member.rs
@@ -118,7 +118,9 @@
             return Ok(());
         };
         life.cancel.cancel();
-        handle.block_on(life.node.ended()).into_diagnostic()?;
+        handle
+            .block_on(life.node.wait_until_ended())
+            .into_diagnostic()?;
         Ok(())
     }
 
--- a/crates/bench/src/fault/stage.rs
+++ b/crates/bench/src/fault/stage.rs
@@ -180,7 +180,7 @@
         for &i in nodes {
             self.lose(i);
             if let Some(node) = self.member(i).node() {
-                node.gate().pause(true);
+                node.fault_injector().set_paused(true);
             }
         }
     }
@@ -190,7 +190,7 @@
         for &i in nodes {
             self.find(i);
             if let Some(node) = self.member(i).node() {
-                node.gate().pause(false);
+                node.fault_injector().set_paused(false);
             }
         }
     }
@@ -366,14 +366,15 @@
             return;
         };
         let Some(parted) = &self.parted else {
-            node.gate().part(HashSet::new());
-            node.gate().cut_platform(false);
+            node.fault_injector().partition_from(HashSet::new());
+            node.fault_injector().set_platform_cut(false);
             return;
         };
         let inside = parted.side.contains(&i);
         let others = (0..self.len()).filter(|other| parted.side.contains(other) != inside);
         let others = others.map(|other| self.member(other).instance().control);
-        node.gate().part(others.collect());
-        node.gate().cut_platform(inside && parted.from_platform);
+        node.fault_injector().partition_from(others.collect());
+        node.fault_injector()
+            .set_platform_cut(inside && parted.from_platform);
     }
 }
--- a/crates/node/src/admin/answers.rs
+++ b/crates/node/src/admin/answers.rs
@@ -25,7 +25,7 @@
 /// A summary of the node's state.
 pub(super) fn status(admin: &AdminServer, spread: &SpreadStatus) -> Status {
     let settings = &admin.settings;
-    let shared = &admin.outside.shared;
+    let shared = &admin.context.shared;
     let uptime = shared.clock().now().since(Tick::ZERO);
     Status {
         instance: settings.instance.clone(),
@@ -42,12 +42,12 @@
         peers: spread.peers as u64,
         source_age_ms: spread.source_age.map(|age| age.as_millis() as u64),
         uptime_ms: uptime.as_millis() as u64,
-        control: admin.outside.counts.stats(),
+        control: admin.context.counts.stats(),
     }
 }
 
 fn evacuations(admin: &AdminServer) -> Vec<EvacuationInfo> {
-    let view = admin.outside.shared.view();
+    let view = admin.context.shared.view();
     let found = view.iter().flat_map(|view| view.snapshot.evacuations());
     let info = |it: &Evacuation| EvacuationInfo {
         domain: it.domain.clone(),
@@ -58,7 +58,7 @@
 
 /// The requests in quarantine.
 pub(super) fn quarantine(admin: &AdminServer) -> QuarantineInfo {
-    let shared = &admin.outside.shared;
+    let shared = &admin.context.shared;
     let held = shared.quarantine().list(shared.clock().now());
     let held = held.into_iter().map(|(content, left)| QuarantinedInfo {
         content: content.to_string(),
@@ -146,7 +146,7 @@
 
 /// The versions that requests are routed by now.
 fn versions_in_force(admin: &AdminServer) -> Held {
-    let view = admin.outside.shared.view();
+    let view = admin.context.shared.view();
     view.map(|view| held_versions(&view)).unwrap_or_default()
 }
 
--- a/crates/node/src/admin/server.rs
+++ b/crates/node/src/admin/server.rs
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(crate) struct AdminServer {
     pub(super) settings: Arc<Settings>,
-    pub(super) outside: ControlContext,
+    pub(super) context: ControlContext,
 }
 
 /// The query of the audit trail: records numbered above `after`.
@@ -81,7 +81,10 @@
 
 impl AdminServer {
     pub(crate) fn new(settings: Arc<Settings>, outside: ControlContext) -> AdminServer {
-        AdminServer { settings, outside }
+        AdminServer {
+            settings,
+            context: outside,
+        }
     }
 
     /// Serves all routes until `cancel` is cancelled.
@@ -128,7 +131,7 @@
     ///
     /// Fails with 503 before the first snapshot.
     fn view(&self) -> Result<Arc<View>, ErrorResponse> {
-        self.outside.shared.view().ok_or_else(|| ErrorResponse {
+        self.context.shared.view().ok_or_else(|| ErrorResponse {
             status: StatusCode::SERVICE_UNAVAILABLE,
             reason: "nothing is in force yet".to_owned(),
         })
@@ -136,12 +139,12 @@
 }
 
 async fn status(State(admin): State<Arc<AdminServer>>) -> Result<Json<Status>, ErrorResponse> {
-    let spread = admin.outside.control.status().await?;
+    let spread = admin.context.control.status().await?;
     Ok(Json(answers::status(&admin, &spread)))
 }
 
 async fn versions(State(admin): State<Arc<AdminServer>>) -> Result<Json<Versions>, ErrorResponse> {
-    let spread = admin.outside.control.status().await?;
+    let spread = admin.context.control.status().await?;
     Ok(Json(answers::versions(&admin, &spread)))
 }
 
@@ -161,15 +164,15 @@
 }
 
 async fn audit(State(admin): State<Arc<AdminServer>>, Query(query): Query<AuditQuery>) -> Response {
-    Json(admin.outside.audit.page(query.after)).into_response()
+    Json(admin.context.audit.page(query.after)).into_response()
 }
 
 async fn metrics_page(State(admin): State<Arc<AdminServer>>) -> Result<Response, ErrorResponse> {
-    let spread = admin.outside.control.status().await?;
+    let spread = admin.context.control.status().await?;
     let report = Report {
-        shared: &admin.outside.shared,
+        shared: &admin.context.shared,
         spread: &spread,
-        control: admin.outside.counts.stats(),
+        control: admin.context.counts.stats(),
     };
     report.publish();
     let headers = [(CONTENT_TYPE, METRICS_CONTENT_TYPE)];
@@ -193,8 +196,10 @@
         status: StatusCode::BAD_REQUEST,
         reason: err.to_string(),
     })?;
-    let shared = &admin.outside.shared;
-    let left = shared.quarantine().holds(shared.clock().now(), &content);
+    let shared = &admin.context.shared;
+    let left = shared
+        .quarantine()
+        .time_left(shared.clock().now(), &content);
     if !shared.quarantine().release(&content).await {
         return Err(ErrorResponse {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -208,8 +213,8 @@
 }
 
 async fn drain(State(admin): State<Arc<AdminServer>>) -> Json<DrainAnswer> {
-    let shared = &admin.outside.shared;
-    admin.outside.control.send(ControlEvent::Drain).await;
+    let shared = &admin.context.shared;
+    admin.context.control.send(ControlEvent::Drain).await;
     let mut phase = shared.watch_phase();
     // The wait ends at the latest when the node stops, which drops this handler.
     let _ = phase.wait_for(|phase| *phase >= Phase::Draining).await;
--- a/crates/node/src/control/driver.rs
+++ b/crates/node/src/control/driver.rs
@@ -162,10 +162,13 @@
         let since_start = |age| now.since(Tick::ZERO).saturating_sub(age);
         if let Some(since_start) = status.source_age.map(since_start) {
             let contact_at = Tick::ZERO + since_start;
-            self.context.shared.contact().note(contact_at);
+            self.context.shared.contact().record(contact_at);
         }
         if let Some(advertised) = status.advertised.catalogue {
-            self.context.shared.heard().note(now, advertised.revision());
+            self.context
+                .shared
+                .advertised_catalogue()
+                .record_first(now, advertised.revision());
         }
         self.record_list_proof(now, &status);
     }
@@ -186,7 +189,7 @@
             let proved_at = Tick::ZERO + since_start;
             self.context
                 .shared
-                .prove_instances(proved_at, proof.revision);
+                .record_list_proof(proved_at, proof.revision);
         }
     }
 
@@ -236,7 +239,7 @@
                 Action::Endpoint(state) => self.views.update_state(state),
                 Action::Quarantine(verdicts) => {
                     let now = self.now();
-                    self.context.shared.quarantine().judge(now, verdicts);
+                    self.context.shared.quarantine().apply_state(now, verdicts);
                 }
                 Action::Audit(event) => self.record_audit_event(&event),
                 other => tracing::debug!(?other, "unsupported action ignored"),
--- a/crates/node/src/control/fault_injector.rs
+++ b/crates/node/src/control/fault_injector.rs
@@ -28,20 +28,20 @@
 impl FaultInjector {
     /// Partitions the node from the peers with these control addresses; the
     /// set replaces the previous one. Calls to these peers get no answer.
-    pub fn part(&self, peers: HashSet<SocketAddr>) {
+    pub fn partition_from(&self, peers: HashSet<SocketAddr>) {
         let partitioned = self.inner.partitioned.write();
         *partitioned.unwrap_or_else(PoisonError::into_inner) = peers;
     }
 
     /// Disconnects the node from the platform, or reconnects it.
-    pub fn cut_platform(&self, cut: bool) {
+    pub fn set_platform_cut(&self, cut: bool) {
         self.inner.platform_cut.store(cut, Ordering::Relaxed);
     }
 
     /// Pauses or resumes the control side. While it is paused it handles no
     /// events and answers no messages; queued events are handled after it
     /// resumes.
-    pub fn pause(&self, paused: bool) {
+    pub fn set_paused(&self, paused: bool) {
         self.inner.paused.send_replace(paused);
     }
 
--- a/crates/node/src/control/probe.rs
+++ b/crates/node/src/control/probe.rs
@@ -51,11 +51,13 @@
 /// than is assumed.
 pub(super) async fn track_cold_state(shared: Arc<Shared>, addr: SocketAddr) {
     loop {
-        shared.coldness().unproved().await;
-        while shared.coldness().is_unproved(shared.clock().now()) {
+        shared.cold_tracker().wait_until_unconfirmed().await;
+        while shared.cold_tracker().is_unconfirmed(shared.clock().now()) {
             let probe = timeout(PROBE_TIMEOUT, fetch_cold_remaining(&shared, addr)).await;
             if let Ok(Some(remaining)) = probe {
-                shared.coldness().probed(shared.clock().now(), remaining);
+                shared
+                    .cold_tracker()
+                    .record_probe(shared.clock().now(), remaining);
                 tracing::info!(
                     left_ms = remaining.as_millis(),
                     "target reported its remaining cold time"
@@ -71,7 +73,7 @@
 async fn fetch_cold_remaining(shared: &Shared, addr: SocketAddr) -> Option<Duration> {
     let name = shared.dialect().cold_left_ms.as_ref()?;
     let routes = shared.routes()?;
-    let (_, service) = routes.own()?;
+    let (_, service) = routes.local_endpoint()?;
     let path = service.entry.cold_start.as_ref()?.probe_path.as_ref()?;
     let (status, headers) = fetch_head(addr, path).await?;
     match headers.get(name) {
--- a/crates/node/src/control/probe/tests.rs
+++ b/crates/node/src/control/probe/tests.rs
@@ -21,8 +21,8 @@
 use crate::View;
 use crate::log::LogSink;
 use crate::testing::instance;
+use crate::testing::locality_and_window;
 use crate::testing::name;
-use crate::testing::place;
 use crate::testing::snapshot;
 
 const CATALOGUE: &str = "
@@ -53,9 +53,9 @@
         ..Dialect::NATIVE
     };
     let incarnation = Incarnation::from_start_millis(1);
-    let shared = Shared::speaking(dialect, LogSink::silent(), name("wd-1"), incarnation);
-    let (position, repeat) = place("wd-1");
-    shared.place(position, repeat);
+    let shared = Shared::with_dialect(dialect, LogSink::silent(), name("wd-1"), incarnation);
+    let (position, repeat) = locality_and_window("wd-1");
+    shared.configure_routing(position, repeat);
     Arc::new(shared)
 }
 
@@ -99,7 +99,7 @@
     let addr = start_target(case).await;
     tokio::spawn(track_cold_state(Arc::clone(&shared), addr));
     shared.set_view(view());
-    let remaining = || shared.coldness().left(shared.clock().now());
+    let remaining = || shared.cold_tracker().cold_left(shared.clock().now());
     assert!(remaining() > Duration::from_secs(50));
     let Some(remaining_ms) = case.remaining_ms else {
         tokio::time::sleep(Duration::from_millis(200)).await;
--- a/crates/node/src/control/source_monitor.rs
+++ b/crates/node/src/control/source_monitor.rs
@@ -36,9 +36,9 @@
         match result {
             SourceResult::Failed { reason } => {
                 tracing::debug!(%stream, reason, "a read of the platform failed");
-                monitor.missed(stream, reason)
+                monitor.record_failure(stream, reason)
             }
-            _ => monitor.found(stream),
+            _ => monitor.record_success(stream),
         }
     }
 }
--- a/crates/node/src/control/task.rs
+++ b/crates/node/src/control/task.rs
@@ -40,7 +40,7 @@
 pub struct StopReport {
     /// Requests in flight that were cut by the drain timeout or a second
     /// signal; zero after a clean stop.
-    pub cut: u64,
+    pub requests_cut: u64,
 }
 
 /// The control task with the traffic side that it stops.
@@ -148,7 +148,7 @@
         }
         self.event_loop.driver.context().shared.set_stopping();
         let limit = RunLimit {
-            deadline: Some(self.event_loop.driver.now() + self.settings.drain.callers),
+            deadline: Some(self.event_loop.driver.now() + self.settings.drain.caller_grace),
             ..RunLimit::NONE
         };
         self.event_loop.run(limit, |_| false).await
@@ -166,7 +166,7 @@
             return self.abort().await;
         }
         let limit = RunLimit {
-            deadline: Some(self.event_loop.driver.now() + self.settings.drain.bound),
+            deadline: Some(self.event_loop.driver.now() + self.settings.drain.in_flight_timeout),
             poll_interval: DRAIN_POLL_INTERVAL,
         };
         let idle = |d: &ControlDriver| d.now() >= earliest_end && d.in_flight() == 0;
@@ -180,7 +180,7 @@
         }
         self.announce_end(draining).await;
         StopReport {
-            cut: self.event_loop.driver.requests_cut().unwrap_or_default(),
+            requests_cut: self.event_loop.driver.requests_cut().unwrap_or_default(),
         }
     }
 
@@ -196,7 +196,7 @@
             return;
         };
         context.spawn(async move {
-            let cut = traffic.stopped_within(timeout).await;
+            let cut = traffic.wait_stopped_or_abort(timeout).await;
             control.send(ControlEvent::TrafficStopped { cut }).await;
         });
     }
@@ -221,8 +221,8 @@
         let cut = self.event_loop.driver.in_flight();
         self.stop_traffic.cancel();
         if let Some(traffic) = self.traffic.take() {
-            traffic.stopped_within(Duration::ZERO).await;
+            traffic.wait_stopped_or_abort(Duration::ZERO).await;
         }
-        StopReport { cut }
+        StopReport { requests_cut: cut }
     }
 }
--- a/crates/node/src/dependency_monitor.rs
+++ b/crates/node/src/dependency_monitor.rs
@@ -53,7 +53,7 @@
     }
 
     /// Records that `peer` answered.
-    pub(crate) fn found(&self, peer: impl fmt::Display) -> Option<AvailabilityChange> {
+    pub(crate) fn record_success(&self, peer: impl fmt::Display) -> Option<AvailabilityChange> {
         // In the usual case nothing is written to memory shared with other threads.
         if !self.lost.load(Ordering::Relaxed) || !self.lost.swap(false, Ordering::Relaxed) {
             return None;
@@ -66,7 +66,7 @@
     }
 
     /// Records that `peer` didn't answer, and why.
-    pub(crate) fn missed(
+    pub(crate) fn record_failure(
         &self,
         peer: impl fmt::Display,
         reason: impl fmt::Display,
--- a/crates/node/src/dependency_monitor/tests.rs
+++ b/crates/node/src/dependency_monitor/tests.rs
@@ -8,8 +8,8 @@
 #[test]
 fn outage_is_reported_once_at_its_start_and_once_at_its_end() {
     let reach = DependencyMonitor::new("platform");
-    let missed = || reach.missed("catalogue", "connection refused");
-    let found = || reach.found("catalogue");
+    let missed = || reach.record_failure("catalogue", "connection refused");
+    let found = || reach.record_success("catalogue");
     let changes = [found(), missed(), missed(), missed(), found(), found()];
     let [lost, regained] = [
         AvailabilityChange::Lost,
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -13,10 +13,10 @@
 pub struct Dialect {
     /// To the target: the generation that the request is meant for. Another
     /// generation answers 421 and doesn't run it.
-    pub target_life: Option<HeaderName>,
+    pub target_generation: Option<HeaderName>,
     /// From the target: its generation, on an answer that declines a request for
     /// another generation.
-    pub answering_life: Option<HeaderName>,
+    pub answering_generation: Option<HeaderName>,
     /// From the target, on the answer to a health probe: how many milliseconds it will
     /// still be cold.
     pub cold_left_ms: Option<HeaderName>,
@@ -29,38 +29,38 @@
     pub signature: Option<HeaderName>,
     /// Whether targets return the request's id in their answers, so that an
     /// answer to another request is detected.
-    pub echoes_id: bool,
+    pub echoes_request_id: bool,
     /// The path that returns whether the node accepts callers.
     pub ready_path: &'static str,
     /// Whether answers to callers carry the outcome in this project's headers.
-    pub tells_outcome: bool,
+    pub sends_outcome_headers: bool,
     /// Whether `Retry-After` is sent to callers as a decimal fraction.
-    pub fractional_retry: bool,
+    pub fractional_retry_after: bool,
 }
 
 impl Dialect {
     /// The header names and conventions of this project.
     pub const NATIVE: Dialect = Dialect {
-        target_life: None,
-        answering_life: None,
+        target_generation: None,
+        answering_generation: None,
         cold_left_ms: None,
         origin: None,
         not_run: None,
         signature: None,
-        echoes_id: false,
+        echoes_request_id: false,
         ready_path: "/ready",
-        tells_outcome: true,
-        fractional_retry: false,
+        sends_outcome_headers: true,
+        fractional_retry_after: false,
     };
 
     /// Whether an answer proves that the target did not run the request.
-    pub(crate) fn declines<B>(&self, res: &Response<B>) -> bool {
+    pub(crate) fn proves_not_run<B>(&self, res: &Response<B>) -> bool {
         let other_generation = res.status() == StatusCode::MISDIRECTED_REQUEST;
         let marked_not_run = self
             .not_run
             .as_ref()
             .is_some_and(|name| res.headers().contains_key(name));
-        marked_not_run || (other_generation && self.target_life.is_some())
+        marked_not_run || (other_generation && self.target_generation.is_some())
     }
 
     /// Whether a success lacks the signature header, which only the target sets.
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -36,7 +36,7 @@
         // The traffic side gets the phase before any peer does: a draining
         // endpoint refuses new requests at once, also those of peers that still
         // hold its former phase.
-        self.shared.advance(phase);
+        self.shared.advance_phase(phase);
         LocalEndpoint {
             shared: self.shared,
             _phase: next,
--- a/crates/node/src/node/adapter.rs
+++ b/crates/node/src/node/adapter.rs
@@ -24,7 +24,7 @@
     /// Header names and conventions of callers and targets.
     pub dialect: Dialect,
     /// Makes the source that reads the platform.
-    pub source: MakeSource,
+    pub make_source: MakeSource,
     /// The log of decisions about requests; set by [`crate::program`].
     pub log: LogSink,
 }
@@ -33,7 +33,9 @@
     fn default() -> Adapter {
         Adapter {
             dialect: Dialect::NATIVE,
-            source: |settings, bytes| Arc::new(PlatformClient::new(settings.platform.addr, bytes)),
+            make_source: |settings, bytes| {
+                Arc::new(PlatformClient::new(settings.platform.addr, bytes))
+            },
             log: LogSink::silent(),
         }
     }
--- a/crates/node/src/node/readiness.rs
+++ b/crates/node/src/node/readiness.rs
@@ -21,7 +21,7 @@
 }
 
 async fn ready(State(shared): State<Arc<Shared>>) -> StatusCode {
-    match shared.takes_callers() {
+    match shared.accepts_callers() {
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
     }
--- a/crates/node/src/node/running.rs
+++ b/crates/node/src/node/running.rs
@@ -75,7 +75,7 @@
     }
 
     /// Simulates faults of its control side, for tests and benchmarks.
-    pub fn gate(&self) -> &FaultInjector {
+    pub fn fault_injector(&self) -> &FaultInjector {
         &self.context.fault_injector
     }
 
@@ -116,7 +116,7 @@
                 _ = draining => {}
                 () = self.context.cancel.cancelled() => return,
             }
-            self.context.shared.in_flight().idle().await;
+            self.context.shared.in_flight().wait_until_idle().await;
         }
     }
 
@@ -128,7 +128,7 @@
     /// Fails if the node's thread ended without a report.
     pub async fn stop(&self) -> Result<StopReport> {
         self.context.control.send(ControlEvent::Stop).await;
-        self.ended().await
+        self.wait_until_ended().await
     }
 
     /// Waits until the node has stopped, for any reason.
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// Fails if the node's thread ended without a report.
-    pub async fn ended(&self) -> Result<StopReport> {
+    pub async fn wait_until_ended(&self) -> Result<StopReport> {
         let mut ended = self.ended.clone();
         let report = ended.wait_for(Option::is_some).await;
         let report = report.ok().and_then(|report| *report);
--- a/crates/node/src/node/start.rs
+++ b/crates/node/src/node/start.rs
@@ -144,7 +144,7 @@
         let metrics_port = settings.listen.metrics.map(listeners::listen).transpose()?;
         let ready = settings.listen.ready.map(listeners::listen).transpose()?;
         let me = settings.instance.clone();
-        let shared = Arc::new(Shared::speaking(
+        let shared = Arc::new(Shared::with_dialect(
             adapter.dialect.clone(),
             adapter.log.clone(),
             me,
@@ -253,7 +253,7 @@
 ) -> ControlContext {
     let counts = ControlCounts::default();
     let pool = PeerPool::new(settings.control.limits, counts.bytes(), rand::random());
-    let platform = (adapter.source)(settings, counts.bytes());
+    let platform = (adapter.make_source)(settings, counts.bytes());
     ControlContext {
         shared,
         audit: Arc::new(AuditTrail::new(settings.instance.clone())),
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -103,7 +103,7 @@
     loop {
         tokio::select! {
             () = signals.stop.recv() => break,
-            ended = node.ended() => return ended.map(|report| report.cut),
+            ended = node.wait_until_ended() => return ended.map(|report| report.requests_cut),
             _ = signals.reload.recv() => {
                 tracing::info!("SIGHUP received: reading the settings file");
                 reload(node, &mut file).await;
@@ -122,8 +122,8 @@
             stopping.await?
         }
     };
-    tracing::info!(cut = report.cut, "stopped");
-    Ok(report.cut)
+    tracing::info!(cut = report.requests_cut, "stopped");
+    Ok(report.requests_cut)
 }
 
 /// Applies the settings file if it has changed; invalid settings change nothing.
--- a/crates/node/src/settings/drain.rs
+++ b/crates/node/src/settings/drain.rs
@@ -28,19 +28,19 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DrainSettings {
     /// The time in which requests in flight may finish before they are cut.
-    pub bound: Duration,
+    pub in_flight_timeout: Duration,
     /// How long the node still serves after a request to stop, while it reports
     /// that it isn't ready. Zero refuses callers at once; a longer time suits a
     /// deployment whose callers take a while to switch to other nodes.
-    pub callers: Duration,
+    pub caller_grace: Duration,
 }
 
 impl Default for DrainSettings {
     /// Requests in flight get 30 seconds; callers are refused at once.
     fn default() -> DrainSettings {
         DrainSettings {
-            bound: Duration::from_secs(30),
-            callers: Duration::ZERO,
+            in_flight_timeout: Duration::from_secs(30),
+            caller_grace: Duration::ZERO,
         }
     }
 }
@@ -52,18 +52,18 @@
             &mut table,
             "callers_ms",
             CALLERS_MS,
-            default.callers,
+            default.caller_grace,
             faults,
         );
         let grace = table.optional_text("grace_s", faults, parse_grace);
         let given = grace.flatten().zip(callers);
         let given = given.map(|(grace, callers)| bound_within(grace, callers));
-        let default_bound = given.unwrap_or(default.bound);
+        let default_bound = given.unwrap_or(default.in_flight_timeout);
         let bound = millis_or(&mut table, "bound_ms", BOUND_MS, default_bound, faults);
         table.finish(faults);
         Some(DrainSettings {
-            bound: bound?,
-            callers: callers?,
+            in_flight_timeout: bound?,
+            caller_grace: callers?,
         })
     }
 }
--- a/crates/node/src/settings/target.rs
+++ b/crates/node/src/settings/target.rs
@@ -46,7 +46,7 @@
     /// The interval between two probes of that path while the target is starting.
     pub probe_interval: Duration,
     /// The load that the target tolerates while it is cold.
-    pub cold: ColdTolerance,
+    pub cold_tolerance: ColdTolerance,
 }
 
 impl TargetSettings {
@@ -71,7 +71,7 @@
             connections: u32::try_from(connections?).ok()?,
             ready_path,
             probe_interval: probe_interval?,
-            cold,
+            cold_tolerance: cold,
         })
     }
 }
--- a/crates/node/src/settings/tests.rs
+++ b/crates/node/src/settings/tests.rs
@@ -22,7 +22,7 @@
     assert_eq!(settings.traffic_threads, 2);
     assert_eq!(settings.log.format, LogFormat::Text);
     assert_eq!(settings.log.level, LogLevel::Info);
-    assert_eq!(settings.drain.bound, Duration::from_secs(30));
+    assert_eq!(settings.drain.in_flight_timeout, Duration::from_secs(30));
     assert!(settings.seeds.is_empty());
 }
 
@@ -44,7 +44,7 @@
 fn requests_are_cut_within_the_grace_period(#[case] case: GraceCase) {
     let text = format!("{COMPLETE}drain: {}\n", case.drain);
     let settings = Settings::parse(&text).expect("valid settings");
-    let bound = settings.drain.bound.as_millis();
+    let bound = settings.drain.in_flight_timeout.as_millis();
     assert_eq!(u64::try_from(bound), Ok(case.bound_ms), "{case:?}");
 }
 
@@ -63,7 +63,10 @@
 fn cold_tolerance_is_read(#[case] case: ColdCase) {
     let text = COMPLETE.replace("target: {", &format!("target: {{{}, ", case.fields));
     assert_ne!(text, COMPLETE);
-    let cold = Settings::parse(&text).expect("valid settings").target.cold;
+    let cold = Settings::parse(&text)
+        .expect("valid settings")
+        .target
+        .cold_tolerance;
     assert_eq!(
         (cold.max_rate_percent, cold.slack_requests),
         (case.over_percent, case.slack)
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -77,11 +77,11 @@
 impl Shared {
     /// The state of a starting node, which has no view yet and doesn't log requests.
     pub fn new(me: InstanceId, incarnation: Incarnation) -> Shared {
-        Shared::speaking(Dialect::NATIVE, LogSink::silent(), me, incarnation)
+        Shared::with_dialect(Dialect::NATIVE, LogSink::silent(), me, incarnation)
     }
 
     /// The same with a log, for a node that uses the dialect of another platform.
-    pub fn speaking(
+    pub fn with_dialect(
         dialect: Dialect,
         log: LogSink,
         me: InstanceId,
@@ -163,7 +163,7 @@
         }
         let revision = view.snapshot.catalogue().revision();
         self.view.store(Some(view));
-        self.catalogue_in_force.note(now, revision);
+        self.catalogue_in_force.record_first(now, revision);
     }
 
     fn update_evacuated(&self, routes: &Routes) {
@@ -193,27 +193,27 @@
     }
 
     /// The tracker of the local target's cold time.
-    pub(crate) fn coldness(&self) -> &LocalColdTracker {
+    pub(crate) fn cold_tracker(&self) -> &LocalColdTracker {
         &self.cold_tracker
     }
 
     /// Sets the node's locality and its deduplication window of keyed requests.
     ///
     /// Routes are built only after this was called, so it precedes the first view.
-    pub fn place(&self, locality: Locality, dedup: DedupWindow) {
+    pub fn configure_routing(&self, locality: Locality, dedup: DedupWindow) {
         self.routing.configure(locality, dedup);
     }
 
     /// Records a proof that the instance list of `revision` was the platform's
     /// newest at `at`. Without a recent proof this node runs no request with a key.
-    pub fn prove_instances(&self, at: Tick, revision: Revision) {
+    pub fn record_list_proof(&self, at: Tick, revision: Revision) {
         self.list_proof.record_latest(at, revision);
         self.routing.record_list_proof(at, revision);
     }
 
     /// The revision of the newest instance list that was proved to be the platform's
     /// newest, and the time of the latest such proof.
-    pub fn proved_list(&self) -> &NewestRevision {
+    pub fn list_proof(&self) -> &NewestRevision {
         &self.list_proof
     }
 
@@ -234,7 +234,7 @@
     }
 
     /// Whether the node accepts requests of callers.
-    pub fn takes_callers(&self) -> bool {
+    pub fn accepts_callers(&self) -> bool {
         self.phase() == Phase::Ready && !self.is_stopping()
     }
 
@@ -254,7 +254,7 @@
     }
 
     /// Advances to `phase`; returns whether that changed the phase.
-    pub fn advance(&self, phase: Phase) -> bool {
+    pub fn advance_phase(&self, phase: Phase) -> bool {
         // INVARIANT: A phase that isn't later than the current one is ignored, so
         // that a late probe can't make a draining endpoint ready again.
         self.phase.send_if_modified(|current| {
@@ -272,12 +272,12 @@
     }
 
     /// The newest catalogue revision advertised to this node, held or not.
-    pub fn heard(&self) -> &NewestRevision {
+    pub fn advertised_catalogue(&self) -> &NewestRevision {
         &self.advertised_catalogue
     }
 
     /// The revision of the catalogue in force.
-    pub fn in_force(&self) -> &NewestRevision {
+    pub fn catalogue_in_force(&self) -> &NewestRevision {
         &self.catalogue_in_force
     }
 
--- a/crates/node/src/shared/contact_age.rs
+++ b/crates/node/src/shared/contact_age.rs
@@ -25,7 +25,7 @@
     }
 
     /// Records a contact with the platform at `at`; an older one is ignored.
-    pub fn note(&self, at: Tick) {
+    pub fn record(&self, at: Tick) {
         let newest = |held: u64| match held {
             NO_CONTACT => Some(at.as_micros()),
             held => (at.as_micros() > held).then_some(at.as_micros()),
--- a/crates/node/src/shared/in_flight.rs
+++ b/crates/node/src/shared/in_flight.rs
@@ -43,7 +43,7 @@
     }
 
     /// Waits until no request is in flight.
-    pub async fn idle(&self) {
+    pub async fn wait_until_idle(&self) {
         loop {
             let notified = self.0.became_idle.notified();
             tokio::pin!(notified);
--- a/crates/node/src/shared/local_cold_tracker.rs
+++ b/crates/node/src/shared/local_cold_tracker.rs
@@ -25,7 +25,7 @@
 impl LocalColdTracker {
     /// Applies the instance list and the evacuations of the routes in force.
     pub(super) fn update(&self, now: Tick, routes: &Routes) {
-        let Some((endpoint, service)) = routes.own() else {
+        let Some((endpoint, service)) = routes.local_endpoint() else {
             return;
         };
         let Some(start) = &service.entry.cold_start else {
@@ -43,7 +43,7 @@
 
     /// The limit on requests to the target, if it is cold. A request meant for an unknown
     /// `generation` of the target counts as the start of a cold time.
-    pub(crate) fn limit(
+    pub(crate) fn cold_limit(
         &self,
         now: Tick,
         start: Option<&ColdStart>,
@@ -61,23 +61,23 @@
     }
 
     /// The remaining cold time of the target, as tracked.
-    pub(crate) fn left(&self, now: Tick) -> Duration {
+    pub(crate) fn cold_left(&self, now: Tick) -> Duration {
         self.lock().cold_until().since(now)
     }
 
     /// Waits until the target may be warm before the tracked end of its cold time.
-    pub(crate) async fn unproved(&self) {
+    pub(crate) async fn wait_until_unconfirmed(&self) {
         self.unconfirmed.notified().await;
     }
 
     /// Whether the target may be warm before the tracked end of its cold time.
-    pub(crate) fn is_unproved(&self, now: Tick) -> bool {
+    pub(crate) fn is_unconfirmed(&self, now: Tick) -> bool {
         let state = self.lock();
         state.is_unconfirmed() && now < state.cold_until()
     }
 
     /// Records the remaining cold time that the target reported to a probe.
-    pub(crate) fn probed(&self, now: Tick, left: Duration) {
+    pub(crate) fn record_probe(&self, now: Tick, left: Duration) {
         self.lock().record_probe(now, left);
     }
 
--- a/crates/node/src/shared/newest_revision.rs
+++ b/crates/node/src/shared/newest_revision.rs
@@ -22,7 +22,7 @@
 impl NewestRevision {
     /// Records a revision at `at`. One that isn't newer is ignored, so that a revision
     /// keeps its first time.
-    pub fn note(&self, at: Tick, revision: Revision) {
+    pub fn record_first(&self, at: Tick, revision: Revision) {
         if self.revision.load(Ordering::Relaxed) < revision.get() {
             self.set(at, revision);
         }
@@ -44,7 +44,7 @@
     }
 
     /// The recorded revision and its age at `now`, if there is one.
-    pub fn current(&self, now: Tick) -> Option<(u64, Duration)> {
+    pub fn revision_and_age(&self, now: Tick) -> Option<(u64, Duration)> {
         let revision = self.revision.load(Ordering::Relaxed);
         let at = Tick::from_micros(self.at_us.load(Ordering::Relaxed));
         (revision > 0).then(|| (revision, now.since(at)))
--- a/crates/node/src/shared/quarantine.rs
+++ b/crates/node/src/shared/quarantine.rs
@@ -44,16 +44,20 @@
     }
 
     /// How much longer no target is to run a request, if it is in quarantine at `now`.
-    pub(crate) fn holds(&self, now: Tick, content: &Content) -> Option<Duration> {
+    pub(crate) fn time_left(&self, now: Tick, content: &Content) -> Option<Duration> {
         let until = self.state.load().quarantined_until(now, content)?;
         Some(until.since(now))
     }
 
     /// Waits until a request is in quarantine; returns how much longer it is.
-    pub(crate) async fn entered(&self, clock: &Clock, content: &Content) -> Duration {
+    pub(crate) async fn wait_until_quarantined(
+        &self,
+        clock: &Clock,
+        content: &Content,
+    ) -> Duration {
         let mut updates = self.updated.subscribe();
         loop {
-            if let Some(left) = self.holds(clock.now(), content) {
+            if let Some(left) = self.time_left(clock.now(), content) {
                 return left;
             }
             // It can't fail: `self` owns the sender and outlives the wait.
@@ -72,7 +76,7 @@
 
     /// Puts another state in force, and reports the recent answers of the local target to
     /// requests that have become suspect with it.
-    pub(crate) fn judge(&self, now: Tick, state: Arc<QuarantineState>) {
+    pub(crate) fn apply_state(&self, now: Tick, state: Arc<QuarantineState>) {
         let answered: Vec<(Fingerprint, Tick)> = {
             let recent = self.recent_answers.lock();
             let recent = recent.unwrap_or_else(PoisonError::into_inner);
@@ -90,7 +94,7 @@
 
     /// Records a complete answer of the local target, and reports it if the request is
     /// suspect.
-    pub(crate) fn answered(&self, now: Tick, content: &Content) {
+    pub(crate) fn record_answer(&self, now: Tick, content: &Content) {
         {
             let recent = self.recent_answers.lock();
             let mut recent = recent.unwrap_or_else(PoisonError::into_inner);
@@ -105,7 +109,7 @@
     }
 
     /// Reports that the local target crashed while it ran these requests.
-    pub(crate) async fn crashed(&self, ran: Vec<Content>) {
+    pub(crate) async fn record_crash(&self, ran: Vec<Content>) {
         // The report is dropped if the node has ended.
         self.report(Observation::Crashed(ran)).await;
     }
--- a/crates/node/src/shared/routing.rs
+++ b/crates/node/src/shared/routing.rs
@@ -65,7 +65,7 @@
     }
 
     /// This node's own endpoint with its service, if the instance list has it.
-    pub fn own(&self) -> Option<(&Endpoint, &BoundService)> {
+    pub fn local_endpoint(&self) -> Option<(&Endpoint, &BoundService)> {
         let endpoint = self.view.snapshot.endpoint(self.local_key?)?;
         let service = self.view.snapshot.service(endpoint.service)?;
         Some((endpoint, service))
--- a/crates/node/src/shared/routing/tests.rs
+++ b/crates/node/src/shared/routing/tests.rs
@@ -16,8 +16,8 @@
 use crate::View;
 use crate::testing;
 use crate::testing::instance;
+use crate::testing::locality_and_window;
 use crate::testing::name;
-use crate::testing::place;
 
 const CATALOGUE: &str = "
 kinds: {lookup: {weight: 1}}
@@ -31,7 +31,7 @@
 
 fn configured_routing() -> Routing {
     let routing = Routing::default();
-    let (locality, dedup) = place("wd-0");
+    let (locality, dedup) = locality_and_window("wd-0");
     routing.configure(locality, dedup);
     routing
 }
--- a/crates/node/src/shared/tests.rs
+++ b/crates/node/src/shared/tests.rs
@@ -41,7 +41,11 @@
 })]
 fn phase_only_moves_forward(#[case] case: Advance) {
     let shared = shared();
-    let taken: Vec<bool> = case.steps.iter().map(|&to| shared.advance(to)).collect();
+    let taken: Vec<bool> = case
+        .steps
+        .iter()
+        .map(|&to| shared.advance_phase(to))
+        .collect();
     assert_eq!(taken, case.taken);
     assert_eq!(shared.phase(), case.end);
 }
@@ -50,8 +54,8 @@
 fn older_contact_is_ignored() {
     let shared = shared();
     assert_eq!(shared.contact().age(Tick::from_millis(5)), None);
-    shared.contact().note(Tick::from_millis(10));
-    shared.contact().note(Tick::from_millis(7));
+    shared.contact().record(Tick::from_millis(10));
+    shared.contact().record(Tick::from_millis(7));
     let age = shared.contact().age(Tick::from_millis(15));
     assert_eq!(age, Some(Duration::from_millis(5)));
 }
@@ -61,14 +65,17 @@
     let shared = shared();
     let record = |ms, revision| {
         let revision = Revision::new(revision).expect("a revision");
-        shared.prove_instances(Tick::from_millis(ms), revision);
+        shared.record_list_proof(Tick::from_millis(ms), revision);
     };
-    assert_eq!(shared.proved_list().current(Tick::from_millis(5)), None);
+    assert_eq!(
+        shared.list_proof().revision_and_age(Tick::from_millis(5)),
+        None
+    );
     record(10, 2);
     record(30, 2);
     record(20, 2);
     record(40, 1);
-    let proof = shared.proved_list().current(Tick::from_millis(50));
+    let proof = shared.list_proof().revision_and_age(Tick::from_millis(50));
     assert_eq!(proof, Some((2, Duration::from_millis(20))));
 }
 
@@ -78,7 +85,7 @@
     let first = shared.in_flight().enter();
     let last = shared.in_flight().enter();
     let counter = shared.in_flight().clone();
-    let idle = tokio::spawn(async move { counter.idle().await });
+    let idle = tokio::spawn(async move { counter.wait_until_idle().await });
     drop(first);
     tokio::task::yield_now().await;
     assert!(!idle.is_finished());
--- a/crates/node/src/testing.rs
+++ b/crates/node/src/testing.rs
@@ -21,7 +21,7 @@
 }
 
 /// The locality of a desk's node, and an empty deduplication window for it.
-pub(crate) fn place(id: &str) -> (Locality, DedupWindow) {
+pub(crate) fn locality_and_window(id: &str) -> (Locality, DedupWindow) {
     let locality = Locality {
         instance: name(id),
         domain: name("bayanzurkh"),
@@ -32,7 +32,7 @@
     (locality, dedup.expect("a window"))
 }
 
-/// A live desk in the failure domain of [`place`].
+/// A live desk in the failure domain of [`locality_and_window`].
 pub(crate) fn instance(id: &str) -> Instance {
     let addr = "127.0.0.1:9".parse().expect("an address");
     Instance {
--- a/crates/node/src/traffic/answer_body.rs
+++ b/crates/node/src/traffic/answer_body.rs
@@ -39,7 +39,7 @@
 
 impl AnswerBody {
     /// A text from this node.
-    pub(super) fn text(text: impl Into<Bytes>) -> AnswerBody {
+    pub(super) fn from_text(text: impl Into<Bytes>) -> AnswerBody {
         AnswerBody::new(Source::Text(Some(text.into())))
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// The body of the local target's answer.
-    pub(super) fn target(body: TargetBody) -> AnswerBody {
+    pub(super) fn from_target(body: TargetBody) -> AnswerBody {
         AnswerBody::new(Source::Target(body))
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// The same body, with the guard that counts its request as in flight until it ends.
-    pub(super) fn held(mut self, guard: InFlightGuard) -> AnswerBody {
+    pub(super) fn with_in_flight_guard(mut self, guard: InFlightGuard) -> AnswerBody {
         self._in_flight = Some(guard);
         self
     }
@@ -97,10 +97,13 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         match self.poll_source(cx) {
             Poll::Ready(frame) => {
-                self.stall.moved();
+                self.stall.record_progress();
                 Poll::Ready(frame)
             }
-            Poll::Pending => self.stall.poll(cx).map(|stalled| Some(Err(stalled))),
+            Poll::Pending => self
+                .stall
+                .poll_stalled(cx)
+                .map(|stalled| Some(Err(stalled))),
         }
     }
 
--- a/crates/node/src/traffic/failure_response.rs
+++ b/crates/node/src/traffic/failure_response.rs
@@ -33,7 +33,7 @@
 }
 
 /// The response to a request that has no answer of its target.
-pub(super) fn respond(failure: &Failure, dialect: &Dialect) -> Response<AnswerBody> {
+pub(super) fn to_response(failure: &Failure, dialect: &Dialect) -> Response<AnswerBody> {
     match failure {
         Failure::Refused(refusal) => respond_refused(refusal, dialect),
         Failure::Lost(loss) => respond_lost(loss),
@@ -48,7 +48,7 @@
     };
     let mut res = failure_response(&body, refused_status(refusal));
     let after = refusal.retry_after().unwrap_or(DEFAULT_RETRY_AFTER);
-    set_retry_after(res.headers_mut(), after, dialect.fractional_retry);
+    set_retry_after(res.headers_mut(), after, dialect.fractional_retry_after);
     res
 }
 
@@ -81,7 +81,7 @@
     // The serialisation of three short strings can't fail. With an empty body the
     // outcome would still be in its header.
     let text = serde_json::to_string(body).unwrap_or_default();
-    let mut res = Response::new(AnswerBody::text(text));
+    let mut res = Response::new(AnswerBody::from_text(text));
     *res.status_mut() = status;
     let headers = res.headers_mut();
     let json = HeaderValue::from_static("application/json");
@@ -109,7 +109,7 @@
 
 /// The failure that another node sent in place of an answer of its target; `None` if the
 /// answer is the target's.
-pub(super) fn failure_of<B>(res: &Response<B>) -> Option<Failure> {
+pub(super) fn parse_failure<B>(res: &Response<B>) -> Option<Failure> {
     let headers = res.headers();
     let outcome = names::outcome(headers)?;
     let reason = text(headers, &names::REASON).and_then(Reason::from_name);
--- a/crates/node/src/traffic/head.rs
+++ b/crates/node/src/traffic/head.rs
@@ -24,7 +24,7 @@
 /// Otherwise a caller or a target could forge an outcome, a deadline or a hop count: work
 /// for which a target reports `not-run` although it was done would run twice. Only this
 /// project uses the prefix, so no header of callers or targets is lost.
-pub(super) fn strip_own(headers: &mut HeaderMap) {
+pub(super) fn strip_internal_headers(headers: &mut HeaderMap) {
     while let Some(name) = find_internal(headers) {
         headers.remove(name);
     }
@@ -36,7 +36,7 @@
 }
 
 /// Removes the hop-by-hop headers.
-pub(super) fn strip_connection(headers: &mut HeaderMap) {
+pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     strip_named_by_connection(headers);
     for name in &HOP_BY_HOP {
         headers.remove(name);
@@ -74,7 +74,7 @@
 }
 
 /// Parses the value of a numeric header.
-pub(super) fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+pub(super) fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
--- a/crates/node/src/traffic/hub.rs
+++ b/crates/node/src/traffic/hub.rs
@@ -41,12 +41,12 @@
     /// The region of the local target.
     pub(super) region: RegionName,
     pub(super) pool: Arc<Pool>,
-    pub(super) own_life: LocalGenerations,
+    pub(super) local_generations: LocalGenerations,
     pub(super) admission: Admission,
     /// The load that the local target tolerates while it is cold.
     pub(super) cold_tolerance: ColdTolerance,
-    pub(super) bodies: BodyMemory,
-    pub(super) arrivals: UploadLimiter,
+    pub(super) body_memory: BodyMemory,
+    pub(super) uploads: UploadLimiter,
     pub(super) crash_watch: CrashWatch,
     pub(super) parents: Parents,
     pub(super) kind_timeouts: KindTimeouts,
@@ -55,15 +55,15 @@
     pub(super) egress: Counters,
     pub(super) peers: Counters,
     /// The requests with a key that the local target has run.
-    pub(super) repeat: DedupWindow,
+    pub(super) dedup_window: DedupWindow,
     /// The most bytes of an answer that are stored for repeated requests.
-    pub(super) max_stored: usize,
+    pub(super) max_stored_answer_bytes: usize,
     /// Cancelled when the node's stop is requested.
     pub(super) cancel: CancellationToken,
     /// Cancelled when connections are to close, each as soon as it is idle.
     pub(super) closing: CancellationToken,
     /// Cancelled when connections are to be aborted.
-    pub(super) cut: CancellationToken,
+    pub(super) abort: CancellationToken,
     /// The tasks that serve connections.
     pub(super) connections: TaskTracker,
 }
@@ -86,7 +86,7 @@
             region: cfg.region.clone(),
         };
         let repeat = DedupWindow::new(cfg.repeat, cfg.instance.clone(), cfg.service.clone())?;
-        shared.place(position, repeat.clone());
+        shared.configure_routing(position, repeat.clone());
         shared.set_service(cfg.service.clone());
         let admission = Admission::new(AdmissionSettings::default(), cfg.target.slots)?;
         let limit = cfg.target.slots.min(cfg.target.connections);
@@ -95,11 +95,11 @@
             service: cfg.service.clone(),
             region: cfg.region.clone(),
             pool: Pool::new(cfg.target.addr, limit),
-            own_life: LocalGenerations::default(),
+            local_generations: LocalGenerations::default(),
             admission,
-            cold_tolerance: cfg.target.cold,
-            bodies: BodyMemory::new(),
-            arrivals: UploadLimiter::new(cfg.target.slots),
+            cold_tolerance: cfg.target.cold_tolerance,
+            body_memory: BodyMemory::new(),
+            uploads: UploadLimiter::new(cfg.target.slots),
             crash_watch: CrashWatch::default(),
             parents: Parents::default(),
             kind_timeouts: KindTimeouts::default(),
@@ -107,11 +107,11 @@
             ingress: Counters::new("ingress"),
             egress: Counters::new("egress"),
             peers: Counters::new("peers"),
-            repeat,
-            max_stored: cfg.repeat.max_answer_bytes,
+            dedup_window: repeat,
+            max_stored_answer_bytes: cfg.repeat.max_answer_bytes,
             cancel,
             closing: CancellationToken::new(),
-            cut: CancellationToken::new(),
+            abort: CancellationToken::new(),
             connections: TaskTracker::new(),
         })
     }
@@ -122,31 +122,33 @@
     /// A target that restarts under the same name isn't detected by a refusal: a connection
     /// to the previous process would accept a request and not answer until its deadline.
     /// Requests in flight end with their connections.
-    pub(super) fn follow_target(&self, listed: &TargetGeneration) {
-        if self.own_life.follow(listed) {
+    pub(super) fn update_listed_generation(&self, listed: &TargetGeneration) {
+        if self.local_generations.update_listed(listed) {
             tracing::info!(
                 target = listed.id.as_str(),
                 born = listed.started_ms,
                 "the local target has restarted"
             );
-            self.pool.clear();
+            self.pool.close_idle();
         }
     }
 
     /// The remaining time for which a request is quarantined because targets crash under
     /// it.
-    pub(super) fn quarantined_for(&self, content: Option<&Content>) -> Option<Duration> {
+    pub(super) fn remaining_quarantine(&self, content: Option<&Content>) -> Option<Duration> {
         let now = self.shared.clock().now();
-        self.shared.quarantine().holds(now, content?)
+        self.shared.quarantine().time_left(now, content?)
     }
 
     /// Waits until a request is quarantined. Returns its refusal.
-    pub(super) async fn quarantined(&self, step: Step, content: Option<&Content>) -> Refusal {
+    pub(super) async fn wait_quarantined(&self, step: Step, content: Option<&Content>) -> Refusal {
         let Some(content) = content else {
             return std::future::pending().await;
         };
         let quarantine = self.shared.quarantine();
-        let left = quarantine.entered(self.shared.clock(), content).await;
+        let left = quarantine
+            .wait_until_quarantined(self.shared.clock(), content)
+            .await;
         Refusal::not_run(step, Reason::Quarantined).with_retry_after(left)
     }
 
@@ -160,7 +162,7 @@
         step: Step,
         content: Option<&Content>,
     ) -> std::result::Result<(), Refusal> {
-        match self.quarantined_for(content) {
+        match self.remaining_quarantine(content) {
             Some(left) => Err(Refusal::not_run(step, Reason::Quarantined).with_retry_after(left)),
             None => Ok(()),
         }
--- a/crates/node/src/traffic/inbound/body_intake.rs
+++ b/crates/node/src/traffic/inbound/body_intake.rs
@@ -69,14 +69,14 @@
     // A body that fits into the upload window arrives with the head of the request.
     let _permit = match req.body().is_short() {
         true => None,
-        false => match hub.arrivals.try_acquire() {
+        false => match hub.uploads.try_acquire() {
             Ok(permit) => Some(permit),
             Err(refusal) => return Err(FailedAttempt::unsent(refusal, req)),
         },
     };
     let until = clock.instant(ask.deadline.tick());
     let (parts, body) = req.into_parts();
-    match tokio::time::timeout_at(until.into(), body.hold(&hub.bodies)).await {
+    match tokio::time::timeout_at(until.into(), body.buffer(&hub.body_memory)).await {
         Ok(Ok(body)) => Ok(Request::from_parts(parts, body)),
         // The sending node aborted the request and receives no answer.
         Ok(Err(_)) => Err(refuse(Reason::CallerGone).into()),
--- a/crates/node/src/traffic/inbound/exchange.rs
+++ b/crates/node/src/traffic/inbound/exchange.rs
@@ -69,7 +69,7 @@
             return self.exchange(conn, req).await;
         }
         let hub = Arc::clone(&self.hub);
-        let cut = hub.cut.clone();
+        let cut = hub.abort.clone();
         let guard = hub.shared.in_flight().enter();
         let task = hub.connections.spawn(async move {
             let _in_flight = guard;
@@ -87,7 +87,7 @@
         conn: Connection,
         req: Request<Payload>,
     ) -> Result<Response<AnswerBody>, FailedAttempt> {
-        let max = u64::try_from(self.hub.max_stored).unwrap_or(u64::MAX);
+        let max = u64::try_from(self.hub.max_stored_answer_bytes).unwrap_or(u64::MAX);
         let res = self.exchange(conn, req).await?;
         let size = res.body().size_hint().upper();
         if size.is_none_or(|size| size > max) {
@@ -98,7 +98,7 @@
         match body.collect().await {
             Ok(body) => Ok(Response::from_parts(
                 head,
-                AnswerBody::text(body.to_bytes()),
+                AnswerBody::from_text(body.to_bytes()),
             )),
             Err(_) => Err(Loss::new(Step::Forward, LossCause::AnswerCut).into()),
         }
@@ -117,7 +117,7 @@
         match tokio::time::timeout_at(until.into(), exchange).await {
             Ok(Ok(res)) => {
                 let took = clock.now().since(handed_over_at);
-                self.hub.stages.target.took(self.stage.class(), took);
+                self.hub.stages.target.record(self.stage.class(), took);
                 self.check_answer(res, id.as_ref())
             }
             Ok(Err(target::ExchangeFailure::NotSent(err, proof, unsent))) => {
@@ -151,18 +151,18 @@
     ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let dialect = self.hub.shared.dialect();
         let echoed = res.headers().get(REQUEST_ID);
-        let declined = dialect.declines(&res);
+        let declined = dialect.proves_not_run(&res);
         let is_foreign = match echoed {
             Some(echoed) => id != Some(echoed),
             None => !declined,
         };
         let unsigned = !declined && dialect.lacks_signature(&res);
-        if (dialect.echoes_id && is_foreign) || unsigned {
+        if (dialect.echoes_request_id && is_foreign) || unsigned {
             return Err(self.lose(LossCause::AnswerInvalid));
         }
         if !declined {
             if let Some(named) = &self.generation {
-                self.hub.own_life.record_answered(named);
+                self.hub.local_generations.record_answered(named);
             }
             return Ok(self.into_answer(res));
         }
@@ -184,11 +184,13 @@
 
     /// Records the generation that a target states when it declines a request for another.
     fn record_other_generation(&self, res: &Response<TargetBody>) {
-        let name = self.hub.shared.dialect().answering_life.as_ref();
+        let name = self.hub.shared.dialect().answering_generation.as_ref();
         let answering = name.and_then(|name| res.headers().get(name));
         if let (Some(named), Some(answering)) = (&self.generation, answering) {
             let now = self.hub.shared.clock().now();
-            self.hub.own_life.record_declined(now, named, answering);
+            self.hub
+                .local_generations
+                .record_declined(now, named, answering);
         }
     }
 
@@ -200,13 +202,17 @@
             watched.record_status(res.status());
         }
         let mut res = res.map(|body| body.with_slot(stage, clock, watched));
-        head::strip_own(res.headers_mut());
-        head::strip_connection(res.headers_mut());
+        head::strip_internal_headers(res.headers_mut());
+        head::strip_hop_by_hop(res.headers_mut());
         *res.version_mut() = Version::HTTP_11;
-        let recorder = self
-            .running
-            .map(|running| Box::new(AnswerRecorder::new(running, &res, self.hub.max_stored)));
-        res.map(|body| AnswerBody::target(body.with_recorder(recorder)))
+        let recorder = self.running.map(|running| {
+            Box::new(AnswerRecorder::new(
+                running,
+                &res,
+                self.hub.max_stored_answer_bytes,
+            ))
+        });
+        res.map(|body| AnswerBody::from_target(body.with_recorder(recorder)))
     }
 
     fn lose(self, cause: LossCause) -> FailedAttempt {
--- a/crates/node/src/traffic/inbound/forward.rs
+++ b/crates/node/src/traffic/inbound/forward.rs
@@ -53,15 +53,15 @@
     /// The kind that the first hop's route assigns, if the first hop sent it.
     pub(in crate::traffic) kind: Option<KindName>,
     /// The soft deadline: until then the answer is worth most to the caller.
-    pub(in crate::traffic) aim: Option<Tick>,
+    pub(in crate::traffic) soft_deadline: Option<Tick>,
     /// Whether this node is the last resort: no other node is tried after it.
-    pub(in crate::traffic) settles: bool,
+    pub(in crate::traffic) last_resort: bool,
     /// The content of the request, if the first hop sent it.
     pub(in crate::traffic) content: Option<Content>,
     /// The target generation that it is meant for, where generations are distinguished.
-    pub(in crate::traffic) life: Option<HeaderValue>,
+    pub(in crate::traffic) generation: Option<HeaderValue>,
     /// Whether it is meant for the service that the settings name for the local target.
-    pub(in crate::traffic) for_own_service: bool,
+    pub(in crate::traffic) for_local_service: bool,
     /// The service of the target whose node is the first hop of the request.
     pub(in crate::traffic) origin: Option<HeaderValue>,
 }
@@ -75,8 +75,8 @@
     ) -> AdmissionRequest<'a> {
         AdmissionRequest {
             kind: self.kind.as_ref(),
-            soft_deadline: self.aim,
-            last_resort: self.settles,
+            soft_deadline: self.soft_deadline,
+            last_resort: self.last_resort,
             ..Stage::received(class, self.deadline).admission_request(limits)
         }
     }
@@ -87,7 +87,7 @@
 /// # Errors
 ///
 /// Returns a refusal if the request was not handed over, and a loss after that.
-pub(in crate::traffic) async fn run(
+pub(in crate::traffic) async fn run_in_target(
     worker: &Worker,
     req: Request<Payload>,
     call: CallContext<'_>,
@@ -108,10 +108,13 @@
     if route.is_some_and(|route| !route.homes.allows(&hub.region)) {
         return Err(FailedAttempt::unsent(refuse(Reason::OutsideHomes), req));
     }
-    let listed = call.routes.own().map(|(endpoint, _)| &endpoint.instance);
+    let listed = call
+        .routes
+        .local_endpoint()
+        .map(|(endpoint, _)| &endpoint.instance);
     let slots = listed.map(|instance| instance.slots);
     if let Some(generation) = listed.and_then(|instance| instance.target.as_ref()) {
-        worker.hub.follow_target(generation);
+        worker.hub.update_listed_generation(generation);
     }
     let by_route = route.map_or(service.entry.class, |route| route.class);
     let class = call.class.unwrap_or(by_route);
@@ -124,9 +127,9 @@
         class,
         kind: call.kind.clone(),
         content: call.content,
-        generation: call.life.clone(),
+        generation: call.generation.clone(),
         deadline: call.deadline,
-        soft_deadline: call.aim,
+        soft_deadline: call.soft_deadline,
         list_revision: call.routes.view.snapshot.instances().revision().get(),
     };
     let cold = cold_limit(worker, service, &call);
@@ -163,7 +166,7 @@
     let now = worker.hub.shared.clock().now();
     match worker.hub.admission.predict_refusal(now, &ask) {
         Some(refusal) => Err(refusal),
-        None => worker.hub.arrivals.try_acquire().map(drop),
+        None => worker.hub.uploads.try_acquire().map(drop),
     }
 }
 
@@ -175,10 +178,12 @@
 ) -> Option<ColdLimit> {
     let shared = &worker.hub.shared;
     let start = service.entry.cold_start.as_ref();
-    let generation = call.life.as_ref().and_then(|name| name.to_str().ok());
+    let generation = call.generation.as_ref().and_then(|name| name.to_str().ok());
     let tolerance = worker.hub.cold_tolerance;
     let now = shared.clock().now();
-    shared.coldness().limit(now, start, tolerance, generation)
+    shared
+        .cold_tracker()
+        .cold_limit(now, start, tolerance, generation)
 }
 
 /// The service of the local target, if the local endpoint accepts work.
@@ -186,7 +191,7 @@
     if let Some(reason) = refusal_reason(worker) {
         return Err(refuse(reason));
     }
-    let listed = call.routes.own().map(|(_, service)| service);
+    let listed = call.routes.local_endpoint().map(|(_, service)| service);
     let by_name = || call.routes.view.snapshot.find_service(&worker.hub.service);
     let service = listed.or_else(|| by_name().map(|(_, service)| service));
     service.ok_or_else(|| refuse(Reason::NoConfiguration))
@@ -205,13 +210,16 @@
     if route.is_some_and(|route| route.idempotent) {
         return RunDecision::Run(None);
     }
-    let keyed = match KeyedAttempt::of(&hub.service, req) {
+    let keyed = match KeyedAttempt::from_request(&hub.service, req) {
         Ok(Some(keyed)) => keyed,
         Ok(None) => return RunDecision::Run(None),
         Err(refusal) => return RunDecision::Refuse(refusal),
     };
     let now = hub.shared.clock().now();
-    match hub.repeat.begin_attempt(now, keyed.key, keyed.attempt) {
+    match hub
+        .dedup_window
+        .begin_attempt(now, keyed.key, keyed.attempt)
+    {
         AttemptDecision::Run(running) => RunDecision::Run(Some(running)),
         AttemptDecision::Answer(stored) => RunDecision::AnswerBody(stored),
         AttemptDecision::Refuse(refusal) => RunDecision::Refuse(refusal),
@@ -257,7 +265,10 @@
         headers.insert(names::LOAD, value);
     }
     let shared = &worker.hub.shared;
-    let cold = shared.coldness().left(shared.clock().now()).as_millis();
+    let cold = shared
+        .cold_tracker()
+        .cold_left(shared.clock().now())
+        .as_millis();
     if cold > 0 {
         let cold = u64::try_from(cold).unwrap_or(u64::MAX);
         headers.insert(names::COLD_MS, HeaderValue::from(cold));
--- a/crates/node/src/traffic/inbound/inbound_request.rs
+++ b/crates/node/src/traffic/inbound/inbound_request.rs
@@ -78,10 +78,10 @@
         self.req = body_intake::receive_body(hub, &ask, self.req).await?;
         let queued_at = hub.shared.clock().now();
         let clock = hub.shared.clock();
-        let quarantined = hub.quarantined(Step::Admission, self.call.content.as_ref());
+        let quarantined = hub.wait_quarantined(Step::Admission, self.call.content.as_ref());
         let admitted = admission::admit(&hub.admission, clock, &ask, quarantined).await;
         let waited = hub.shared.clock().now().since(queued_at);
-        hub.stages.queue.took(class, waited);
+        hub.stages.queue.record(class, waited);
         let permit: Permit = match admitted {
             Ok(permit) => permit,
             Err(refusal) => return Err(FailedAttempt::unsent(refusal, self.req)),
@@ -93,7 +93,7 @@
             let refusal = stage.refuse(now, Step::Admission, Reason::Draining);
             return Err(FailedAttempt::unsent(refusal, self.req));
         }
-        if let Some(left) = hub.quarantined_for(self.call.content.as_ref()) {
+        if let Some(left) = hub.remaining_quarantine(self.call.content.as_ref()) {
             // The request was quarantined while it was queued.
             let now = hub.shared.clock().now();
             let refusal = stage.refuse(now, Step::Admission, Reason::Quarantined);
@@ -149,7 +149,7 @@
                     running,
                     deadline: call.deadline,
                     watched,
-                    generation: generation.filter(|_| call.for_own_service),
+                    generation: generation.filter(|_| call.for_local_service),
                     _parent: parent,
                 };
                 sent.run(conn, req).await
@@ -165,9 +165,9 @@
 /// requested service: while a node stops, the address of its target may already belong
 /// to another target.
 fn named_generation(hub: &Hub, now: Tick, call: &CallContext<'_>) -> Option<HeaderValue> {
-    let requested = call.life.as_ref()?;
-    match call.for_own_service && !hub.is_leaving() {
-        true => Some(hub.own_life.resolve(now, requested)),
+    let requested = call.generation.as_ref()?;
+    match call.for_local_service && !hub.is_leaving() {
+        true => Some(hub.local_generations.resolve(now, requested)),
         false => Some(requested.clone()),
     }
 }
@@ -184,9 +184,9 @@
     call: &CallContext<'_>,
     dialect: &Dialect,
 ) -> Request<Payload> {
-    head::strip_own(req.headers_mut());
+    head::strip_internal_headers(req.headers_mut());
     let own_headers = [
-        (&dialect.target_life, generation),
+        (&dialect.target_generation, generation),
         (&dialect.origin, call.origin.as_ref()),
     ];
     for (name, value) in own_headers {
--- a/crates/node/src/traffic/inbound/peer_side.rs
+++ b/crates/node/src/traffic/inbound/peer_side.rs
@@ -30,7 +30,7 @@
 
 /// The dialect between nodes: all headers, and retry delays with fractions of a second.
 const BETWEEN_NODES: Dialect = Dialect {
-    fractional_retry: true,
+    fractional_retry_after: true,
     ..Dialect::NATIVE
 };
 
@@ -43,11 +43,11 @@
     let result = run(worker, req).await;
     worker.hub.peers.count(&result);
     let res = result.unwrap_or_else(|failure| {
-        let mut res = failure_response::respond(&failure, &BETWEEN_NODES);
+        let mut res = failure_response::to_response(&failure, &BETWEEN_NODES);
         forward::add_load_headers(worker, res.headers_mut());
         res
     });
-    res.map(|body| body.held(guard))
+    res.map(|body| body.with_in_flight_guard(guard))
 }
 
 async fn run(worker: &Worker, req: Request<Incoming>) -> Result<Response<AnswerBody>, Failure> {
@@ -58,14 +58,14 @@
     let call = call_of(worker, &routes, req.headers())?;
     if req.headers().contains_key(names::ROOM) {
         forward::check_capacity(worker, &call)?;
-        return Ok(Response::new(AnswerBody::text("")));
+        return Ok(Response::new(AnswerBody::from_text("")));
     }
     let (parts, body) = req.into_parts();
     let bound = routes.view.snapshot.caller_limits().body_bytes;
-    let Ok(body) = Payload::stream(body).bounded(bound) else {
+    let Ok(body) = Payload::streaming(body).bounded(bound) else {
         return Err(refuse(Reason::TooLarge).into());
     };
-    let ran = forward::run(worker, Request::from_parts(parts, body), call).await;
+    let ran = forward::run_in_target(worker, Request::from_parts(parts, body), call).await;
     ran.map_err(|missed| missed.failure)
 }
 
@@ -75,13 +75,13 @@
     headers: &HeaderMap,
 ) -> Result<CallContext<'a>, Refusal> {
     check_service(worker, headers)?;
-    let hop = head::number(headers, &names::HOP).unwrap_or(0);
+    let hop = head::parse_number(headers, &names::HOP).unwrap_or(0);
     let hop = u32::try_from(hop).unwrap_or(u32::MAX);
     if hop > MAX_HOPS {
         return Err(refuse(Reason::TooManyHops));
     }
     // Only nodes send requests here, and each of them sends a deadline.
-    let Some(left) = head::number(headers, &names::DEADLINE_MS) else {
+    let Some(left) = head::parse_number(headers, &names::DEADLINE_MS) else {
         return Err(refuse(Reason::DeadlinePassed));
     };
     let now = worker.hub.shared.clock().now();
@@ -91,11 +91,13 @@
         hop,
         class: text(headers, &names::CLASS).and_then(Class::from_name),
         kind: text(headers, &names::KIND).and_then(|name| KindName::new(name).ok()),
-        aim: head::number(headers, &names::AIM_MS).map(|ms| now + Duration::from_millis(ms)),
+        soft_deadline: head::parse_number(headers, &names::AIM_MS)
+            .map(|ms| now + Duration::from_millis(ms)),
         content: text(headers, &names::CONTENT).and_then(|text| Content::parse(text).ok()),
-        settles: headers.contains_key(names::SETTLES),
-        life: headers.get(names::LIFE).cloned(),
-        for_own_service: text(headers, &names::SERVICE).is_some_and(|name| worker.hub.serves(name)),
+        last_resort: headers.contains_key(names::SETTLES),
+        generation: headers.get(names::LIFE).cloned(),
+        for_local_service: text(headers, &names::SERVICE)
+            .is_some_and(|name| worker.hub.serves(name)),
         origin: headers.get(names::ORIGIN).cloned(),
     })
 }
--- a/crates/node/src/traffic/keyed_attempt.rs
+++ b/crates/node/src/traffic/keyed_attempt.rs
@@ -28,7 +28,7 @@
     ///
     /// Refuses a key that is empty, too long or not text. Ignoring such a key could run
     /// a request twice although the caller relies on its key to prevent that.
-    pub(super) fn of<B>(
+    pub(super) fn from_request<B>(
         service: &ServiceName,
         req: &Request<B>,
     ) -> Result<Option<KeyedAttempt>, Refusal> {
@@ -45,7 +45,7 @@
 }
 
 /// Whether an earlier attempt may have run, by the caller's headers.
-pub(super) fn may_follow_another(headers: &HeaderMap) -> bool {
+pub(super) fn may_follow_earlier_attempt(headers: &HeaderMap) -> bool {
     let keyed = headers.contains_key(IDEMPOTENCY_KEY);
     keyed && parse_attempt(headers.get(REQUEST_ATTEMPT)) == Attempt::MayRepeat
 }
@@ -54,7 +54,7 @@
 ///
 /// That this attempt was not run shows nothing about the earlier ones. A caller that
 /// received `not-run` would conclude that the request was never run.
-pub(super) fn unknown(failure: Failure) -> Failure {
+pub(super) fn into_unknown(failure: Failure) -> Failure {
     let Failure::Refused(refusal) = failure else {
         return failure;
     };
--- a/crates/node/src/traffic/listener/running.rs
+++ b/crates/node/src/traffic/listener/running.rs
@@ -37,23 +37,23 @@
 
     /// Waits until the token is cancelled, every connection is closed gracefully and every
     /// thread has ended.
-    pub async fn stopped(self) {
+    pub async fn wait_stopped(self) {
         self.hub.closing.cancelled().await;
         self.hub.connections.close();
         self.hub.connections.wait().await;
-        self.hub.pool.clear();
+        self.hub.pool.close_idle();
         for thread in self.threads {
             // The channel closes without a message.
             let _ = thread.await;
         }
     }
 
-    /// Like [`stopped`](RunningTraffic::stopped), but aborts the requests that are in
+    /// Like [`wait_stopped`](RunningTraffic::wait_stopped), but aborts the requests that are in
     /// flight after `bound`. Returns their number.
-    pub async fn stopped_within(self, bound: Duration) -> u64 {
+    pub async fn wait_stopped_or_abort(self, bound: Duration) -> u64 {
         let in_flight = self.hub.shared.in_flight().clone();
-        let cut = self.hub.cut.clone();
-        let mut stopped = std::pin::pin!(self.stopped());
+        let cut = self.hub.abort.clone();
+        let mut stopped = std::pin::pin!(self.wait_stopped());
         if tokio::time::timeout(bound, stopped.as_mut()).await.is_ok() {
             return 0;
         }
--- a/crates/node/src/traffic/listener/serve/caller.rs
+++ b/crates/node/src/traffic/listener/serve/caller.rs
@@ -39,7 +39,7 @@
     let conn = builder.serve_connection(TokioIo::new(io), service);
     tokio::select! {
         biased;
-        () = serve_until_closed(&hub.closing, &hub.cut, conn) => {}
+        () = serve_until_closed(&hub.closing, &hub.abort, conn) => {}
         // The requests in flight end with the connection.
         () = caller_closed(&stream) => {}
     }
--- a/crates/node/src/traffic/listener/serve/peer.rs
+++ b/crates/node/src/traffic/listener/serve/peer.rs
@@ -27,5 +27,5 @@
         .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
         .max_header_list_size(u32::try_from(MAX_HEAD_BYTES).unwrap_or(u32::MAX))
         .serve_connection(TokioIo::new(stream), service);
-    serve_until_closed(&hub.closing, &hub.cut, conn).await;
+    serve_until_closed(&hub.closing, &hub.abort, conn).await;
 }
--- a/crates/node/src/traffic/listener/serve/service.rs
+++ b/crates/node/src/traffic/listener/serve/service.rs
@@ -88,7 +88,7 @@
     };
     let mut res = match early_answer {
         Some(res) => res,
-        None => caller_side::serve(worker, port, req.map(Payload::stream)).await,
+        None => caller_side::serve(worker, port, req.map(Payload::streaming)).await,
     };
     if worker.hub.closes_caller_connections() && !pipeline.has_started() {
         // Over HTTP/2 the library omits the header and shuts the connection down itself.
--- a/crates/node/src/traffic/outbound/access_log.rs
+++ b/crates/node/src/traffic/outbound/access_log.rs
@@ -188,12 +188,12 @@
     let millis = |age| micros(age) / 1_000;
     let snapshot = routes.map(|routes| &routes.view.snapshot);
     let catalogue = snapshot.map(|snapshot| snapshot.catalogue().revision().get());
-    let in_force = shared.in_force().current(now);
+    let in_force = shared.catalogue_in_force().revision_and_age(now);
     let in_force = in_force.filter(|(revision, _)| Some(*revision) == catalogue);
-    let advertised = shared.heard().current(now);
+    let advertised = shared.advertised_catalogue().revision_and_age(now);
     let advertised = advertised.filter(|(revision, _)| Some(*revision) != catalogue);
     let list = snapshot.map(|snapshot| snapshot.instances().revision().get());
-    let confirmed = shared.proved_list().current(now);
+    let confirmed = shared.list_proof().revision_and_age(now);
     let confirmed = confirmed.filter(|(revision, _)| Some(*revision) == list);
     RequestLine {
         catalogue,
--- a/crates/node/src/traffic/outbound/attempt.rs
+++ b/crates/node/src/traffic/outbound/attempt.rs
@@ -73,7 +73,7 @@
         req: Request<Payload>,
     ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let result = if self.instance.id == *self.worker.hub.shared.me() {
-            forward::run(self.worker, req, self.call_context()).await
+            forward::run_in_target(self.worker, req, self.call_context()).await
         } else {
             self.send_to_peer(&picked, req).await
         };
@@ -97,11 +97,11 @@
             hop: self.hop,
             class: Some(self.class),
             kind: Some(self.kind.clone()),
-            aim: self.soft_deadline,
-            settles: self.last_resort,
+            soft_deadline: self.soft_deadline,
+            last_resort: self.last_resort,
             content: self.content.copied(),
-            life: self.generation(),
-            for_own_service: self.worker.hub.serves(self.instance.service.as_str()),
+            generation: self.generation(),
+            for_local_service: self.worker.hub.serves(self.instance.service.as_str()),
             origin: self.origin(),
         }
     }
@@ -116,7 +116,12 @@
     /// The listed generation of the target, if the dialect has generations.
     fn generation(&self) -> Option<HeaderValue> {
         let generation = self.instance.target.as_ref()?;
-        self.worker.hub.shared.dialect().target_life.as_ref()?;
+        self.worker
+            .hub
+            .shared
+            .dialect()
+            .target_generation
+            .as_ref()?;
         HeaderValue::from_str(generation.id.as_str()).ok()
     }
 
@@ -139,7 +144,7 @@
             return Err(FailedAttempt::unsent(refusal, req));
         }
         let res = self.exchange_with_peer(picked, req).await?;
-        match failure_response::failure_of(&res) {
+        match failure_response::parse_failure(&res) {
             Some(failure) => Err(failure.into()),
             None => Ok(clean_peer_response(res.map(AnswerBody::from_peer))),
         }
@@ -160,7 +165,7 @@
             .insert(names::ROOM, HeaderValue::from_static("1"));
         let answered = self.exchange_with_peer(picked, probe).await;
         let failure = match answered {
-            Ok(res) => failure_response::failure_of(&res),
+            Ok(res) => failure_response::parse_failure(&res),
             Err(failed) => Some(failed.failure),
         };
         match failure {
@@ -205,7 +210,7 @@
         };
         if let Some(load) = parse_load(&res) {
             picked.record_load(clock.now(), load);
-            let cold_ms = head::number(res.headers(), &names::COLD_MS).unwrap_or(0);
+            let cold_ms = head::parse_number(res.headers(), &names::COLD_MS).unwrap_or(0);
             picked.mark_cold_for(clock.now(), Duration::from_millis(cold_ms));
         }
         Ok(res)
@@ -264,7 +269,7 @@
 }
 
 fn clean_peer_response(mut res: Response<AnswerBody>) -> Response<AnswerBody> {
-    head::strip_connection(res.headers_mut());
+    head::strip_hop_by_hop(res.headers_mut());
     *res.version_mut() = Version::HTTP_11;
     res
 }
--- a/crates/node/src/traffic/outbound/caller_side.rs
+++ b/crates/node/src/traffic/outbound/caller_side.rs
@@ -41,11 +41,11 @@
     req: Request<Payload>,
 ) -> Response<AnswerBody> {
     let guard = worker.hub.shared.in_flight().enter();
-    let may_follow_another = keyed_attempt::may_follow_another(req.headers());
-    let read_status = req.body().taken();
+    let may_follow_another = keyed_attempt::may_follow_earlier_attempt(req.headers());
+    let read_status = req.body().read_status();
     let mut result = run(worker, port, req).await;
     if may_follow_another {
-        result = result.map_err(keyed_attempt::unknown);
+        result = result.map_err(keyed_attempt::into_unknown);
     }
     match port {
         CallerPort::Ingress => worker.hub.ingress.count(&result),
@@ -53,12 +53,12 @@
     }
     let dialect = worker.hub.shared.dialect();
     let is_node_response = result.is_err();
-    let res = result.unwrap_or_else(|failure| failure_response::respond(&failure, dialect));
+    let res = result.unwrap_or_else(|failure| failure_response::to_response(&failure, dialect));
     let mut res = strip_internal(res, dialect);
-    if is_node_response && read_status.is_some_and(|status| !status.is_whole()) {
+    if is_node_response && read_status.is_some_and(|status| !status.is_complete()) {
         announce_close(res.headers_mut());
     }
-    res.map(|body| body.held(guard))
+    res.map(|body| body.with_in_flight_guard(guard))
 }
 
 /// Announces that the connection closes after this answer.
@@ -73,8 +73,8 @@
 /// Removes the headers that only nodes use, except the outcome if the dialect passes it on.
 fn strip_internal(mut res: Response<AnswerBody>, dialect: &Dialect) -> Response<AnswerBody> {
     let outcome = res.headers_mut().remove(names::OUTCOME);
-    head::strip_own(res.headers_mut());
-    if let Some(outcome) = outcome.filter(|_| dialect.tells_outcome) {
+    head::strip_internal_headers(res.headers_mut());
+    if let Some(outcome) = outcome.filter(|_| dialect.sends_outcome_headers) {
         res.headers_mut().insert(names::OUTCOME, outcome);
     }
     res
@@ -125,7 +125,7 @@
     routes: &'a Routes,
     mut req: Request<Payload>,
 ) -> Result<(FirstHop<'a>, Request<Payload>), Refusal> {
-    head::strip_own(req.headers_mut());
+    head::strip_internal_headers(req.headers_mut());
     let first = FirstHop::new(worker, port, routes, &req)?;
     let (parts, body) = req.into_parts();
     let bound = routes.view.snapshot.caller_limits().body_bytes;
@@ -133,16 +133,17 @@
         return Err(refuse(Reason::TooLarge));
     };
     let until = worker.hub.shared.clock().instant(first.deadline().tick());
-    let body = match tokio::time::timeout_at(until.into(), body.hold(&worker.hub.bodies)).await {
-        Ok(Ok(body)) => body,
-        // The caller disconnected; this answer isn't read.
-        Ok(Err(_)) => return Err(refuse(Reason::CallerGone)),
-        Err(_) => return Err(refuse(Reason::DeadlinePassed)),
-    };
+    let body =
+        match tokio::time::timeout_at(until.into(), body.buffer(&worker.hub.body_memory)).await {
+            Ok(Ok(body)) => body,
+            // The caller disconnected; this answer isn't read.
+            Ok(Err(_)) => return Err(refuse(Reason::CallerGone)),
+            Err(_) => return Err(refuse(Reason::DeadlinePassed)),
+        };
     let mut req = Request::from_parts(parts, body);
     let uri = req.uri().clone();
     head::set_host(req.headers_mut(), &uri);
-    head::strip_connection(req.headers_mut());
+    head::strip_hop_by_hop(req.headers_mut());
     let content = content::of(&req);
     Ok((first.with_content(content), req))
 }
--- a/crates/node/src/traffic/outbound/first_hop.rs
+++ b/crates/node/src/traffic/outbound/first_hop.rs
@@ -84,9 +84,9 @@
         let budget = routes.picker.budget(service_key);
         let keyed = match route.route.idempotent {
             true => None,
-            false => KeyedAttempt::of(&service.entry.name, req)?,
+            false => KeyedAttempt::from_request(&service.entry.name, req)?,
         };
-        let caller_timeout = head::number(req.headers(), &names::REQUEST_TIMEOUT_MS);
+        let caller_timeout = head::parse_number(req.headers(), &names::REQUEST_TIMEOUT_MS);
         let caller_timeout = caller_timeout.map(Duration::from_millis);
         let arrived = now(worker);
         let mut first = FirstHop {
@@ -126,7 +126,7 @@
     /// Bounds the deadline by that of the request for which the local target makes this
     /// call, and continues its hop count.
     fn inherit_from_parent<B>(&mut self, req: &Request<B>) {
-        if let Some(parent) = self.worker.hub.parents.of(req.headers()) {
+        if let Some(parent) = self.worker.hub.parents.find_parent(req.headers()) {
             self.deadline = self.deadline.min(parent.deadline);
             self.hop = parent.hop + 1;
         }
@@ -145,7 +145,7 @@
         let ended = self.run_attempts(req, &mut logger).await;
         let took = now(self.worker).since(self.arrived);
         let class = self.route.route.class;
-        self.worker.hub.stages.whole.took(class, took);
+        self.worker.hub.stages.total.record(class, took);
         logger.log_end(&ended);
         ended
     }
@@ -307,7 +307,7 @@
 
 /// A copy of the request, if its body is buffered.
 fn try_clone(req: &Request<Payload>) -> Option<Request<Payload>> {
-    let body = req.body().again()?;
+    let body = req.body().try_clone()?;
     let mut copy = Request::new(body);
     *copy.method_mut() = req.method().clone();
     *copy.uri_mut() = req.uri().clone();
--- a/crates/node/src/traffic/parents.rs
+++ b/crates/node/src/traffic/parents.rs
@@ -39,7 +39,7 @@
     }
 
     /// The request for which a call with these headers is made.
-    pub(super) fn of(&self, headers: &HeaderMap) -> Option<Parent> {
+    pub(super) fn find_parent(&self, headers: &HeaderMap) -> Option<Parent> {
         let id = headers.get(REQUEST_ID)?;
         self.lock().get(id).copied()
     }
--- a/crates/node/src/traffic/payload.rs
+++ b/crates/node/src/traffic/payload.rs
@@ -42,7 +42,7 @@
     }
 
     /// A body that is forwarded while a caller sends it.
-    pub(super) fn stream(body: Incoming) -> Payload {
+    pub(super) fn streaming(body: Incoming) -> Payload {
         if body.is_end_stream() {
             return Payload::empty();
         }
@@ -57,7 +57,7 @@
 
     /// A handle that shows later whether all of a streamed body was read; `None` for a
     /// buffered body.
-    pub(super) fn taken(&self) -> Option<ReadStatus> {
+    pub(super) fn read_status(&self) -> Option<ReadStatus> {
         match self {
             Payload::Buffered(_) => None,
             Payload::Stream { body, .. } => Some(body.read_to_end.clone()),
@@ -99,7 +99,7 @@
     /// # Errors
     ///
     /// Fails if the sender aborts the body.
-    pub(super) async fn hold(self, bodies: &BodyMemory) -> Result<Payload, hyper::Error> {
+    pub(super) async fn buffer(self, bodies: &BodyMemory) -> Result<Payload, hyper::Error> {
         let memory = self
             .streamed_bytes()
             .and_then(|bytes| bodies.reserve(bytes));
@@ -116,7 +116,7 @@
     }
 
     /// A clone of the body, if it is buffered.
-    pub(super) fn again(&self) -> Option<Payload> {
+    pub(super) fn try_clone(&self) -> Option<Payload> {
         match self {
             Payload::Buffered(body) => Some(Payload::Buffered(body.clone())),
             Payload::Stream { .. } => None,
@@ -144,7 +144,7 @@
 
 impl ReadStatus {
     /// Whether the body was read to its end.
-    pub(super) fn is_whole(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
--- a/crates/node/src/traffic/peer/connection.rs
+++ b/crates/node/src/traffic/peer/connection.rs
@@ -81,7 +81,7 @@
             let message = failed.take_message();
             let cause = failed.into_error();
             if sender.is_closed() {
-                self.reach.missed(self.addr, error_chain(&cause));
+                self.reach.record_failure(self.addr, error_chain(&cause));
             }
             let error = self.error("request to the peer failed").with_cause(cause);
             match message {
@@ -110,8 +110,8 @@
             .await
             .unwrap_or_else(|_| Err(self.error("timed out while connecting")));
         match &connected {
-            Ok(_) => self.reach.found(self.addr),
-            Err(err) => self.reach.missed(self.addr, err),
+            Ok(_) => self.reach.record_success(self.addr),
+            Err(err) => self.reach.record_failure(self.addr, err),
         };
         *last_failure = connected.is_err().then(Instant::now);
         let sender = connected?;
--- a/crates/node/src/traffic/stage_latencies.rs
+++ b/crates/node/src/traffic/stage_latencies.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub(super) struct StageLatencies {
     /// From a request's arrival at its first node to the head of its answer.
-    pub(super) whole: StageHistograms,
+    pub(super) total: StageHistograms,
     /// The wait for a slot of the target.
     pub(super) queue: StageHistograms,
     /// From the hand-over to the target to the head of its answer.
@@ -27,7 +27,7 @@
 impl StageLatencies {
     pub(super) fn new() -> StageLatencies {
         StageLatencies {
-            whole: StageHistograms::new(traffic::REQUEST_SECONDS),
+            total: StageHistograms::new(traffic::REQUEST_SECONDS),
             queue: StageHistograms::new(traffic::QUEUE_SECONDS),
             target: StageHistograms::new(traffic::TARGET_SECONDS),
         }
@@ -40,7 +40,7 @@
     }
 
     /// Records the latency of a request of that class.
-    pub(super) fn took(&self, class: Class, latency: Duration) {
+    pub(super) fn record(&self, class: Class, latency: Duration) {
         self.0[class.index()].record(latency.as_secs_f64());
     }
 }
--- a/crates/node/src/traffic/stall_detector.rs
+++ b/crates/node/src/traffic/stall_detector.rs
@@ -26,14 +26,14 @@
     }
 
     /// Restarts the timeout after data was received.
-    pub(super) fn moved(&mut self) {
+    pub(super) fn record_progress(&mut self) {
         if let Some(sleep) = &mut self.0 {
             sleep.as_mut().reset(Instant::now() + STALL_TIMEOUT);
         }
     }
 
     /// Ready with an error once no data has been received for the timeout.
-    pub(super) fn poll(&mut self, cx: &mut Context<'_>) -> Poll<BoxError> {
+    pub(super) fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<BoxError> {
         let sleep = self
             .0
             .get_or_insert_with(|| Box::pin(tokio::time::sleep(STALL_TIMEOUT)));
--- a/crates/node/src/traffic/stored_answer.rs
+++ b/crates/node/src/traffic/stored_answer.rs
@@ -70,7 +70,7 @@
 
 /// The response with a stored answer.
 pub(super) fn to_response(stored: &StoredAnswer) -> Response<AnswerBody> {
-    let mut res = Response::new(AnswerBody::text(stored.body.clone()));
+    let mut res = Response::new(AnswerBody::from_text(stored.body.clone()));
     *res.status_mut() = StatusCode::from_u16(stored.status).unwrap_or_default();
     let headers = stored.headers.iter();
     let parsed = headers.filter_map(|(name, value)| {
--- a/crates/node/src/traffic/target/crash_watch.rs
+++ b/crates/node/src/traffic/target/crash_watch.rs
@@ -150,7 +150,7 @@
         }
         let shared = &self.hub.shared;
         let now = shared.clock().now();
-        shared.quarantine().answered(now, &self.content);
+        shared.quarantine().record_answer(now, &self.content);
     }
 
     /// Records that the connection of the request broke. If the target crashed, any of the
@@ -180,7 +180,7 @@
         let hub = Arc::clone(hub);
         let connections = self.hub.connections.clone();
         connections.spawn(async move {
-            let cancel = hub.cut.clone();
+            let cancel = hub.abort.clone();
             cancel.run_until_cancelled(report_crash(&hub)).await;
             hub.crash_watch.lock().suspects = None;
         });
@@ -213,5 +213,5 @@
         let runs = suspects.flat_map(|suspects| &suspects.runs);
         runs.map(|(_, content)| *content).collect()
     };
-    hub.shared.quarantine().crashed(contents).await;
+    hub.shared.quarantine().record_crash(contents).await;
 }
--- a/crates/node/src/traffic/target/local_generations.rs
+++ b/crates/node/src/traffic/target/local_generations.rs
@@ -22,7 +22,7 @@
 impl LocalGenerations {
     /// Stores the generation that is listed now, and returns whether it replaces
     /// an earlier one.
-    pub(in crate::traffic) fn follow(&self, listed: &TargetGeneration) -> bool {
+    pub(in crate::traffic) fn update_listed(&self, listed: &TargetGeneration) -> bool {
         let mut stored = self.listed.lock().unwrap_or_else(PoisonError::into_inner);
         listed.replace_held(&mut stored)
     }
--- a/crates/node/src/traffic/target/local_generations/tests.rs
+++ b/crates/node/src/traffic/target/local_generations/tests.rs
@@ -15,15 +15,24 @@
 #[test]
 fn a_restart_is_reported_once() {
     let own = LocalGenerations::default();
-    assert!(!own.follow(&generation("t-1", 5, Some(100))), "the first");
     assert!(
-        !own.follow(&generation("t-1", 9, Some(100))),
+        !own.update_listed(&generation("t-1", 5, Some(100))),
+        "the first"
+    );
+    assert!(
+        !own.update_listed(&generation("t-1", 9, Some(100))),
         "listed again"
     );
-    assert!(own.follow(&generation("t-1", 9, Some(200))), "restarted");
     assert!(
-        !own.follow(&generation("t-1", 9, Some(200))),
+        own.update_listed(&generation("t-1", 9, Some(200))),
+        "restarted"
+    );
+    assert!(
+        !own.update_listed(&generation("t-1", 9, Some(200))),
         "reported already"
     );
-    assert!(own.follow(&generation("t-2", 12, None)), "another id");
+    assert!(
+        own.update_listed(&generation("t-2", 12, None)),
+        "another id"
+    );
 }
--- a/crates/node/src/traffic/target/pool.rs
+++ b/crates/node/src/traffic/target/pool.rs
@@ -93,7 +93,7 @@
     }
 
     /// Closes the idle connections.
-    pub(in crate::traffic) fn clear(&self) {
+    pub(in crate::traffic) fn close_idle(&self) {
         let idle = std::mem::take(&mut self.lock().idle);
         drop(idle);
     }
@@ -124,8 +124,8 @@
             .await
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         match &stream {
-            Ok(_) => self.reach.found(self.addr),
-            Err(err) => self.reach.missed(self.addr, err),
+            Ok(_) => self.reach.record_success(self.addr),
+            Err(err) => self.reach.record_failure(self.addr, err),
         };
         stream
     }
--- a/crates/node/tests/control/apply.rs
+++ b/crates/node/tests/control/apply.rs
@@ -95,7 +95,7 @@
         wait_until(|| phase_at(peer) == Some(Phase::Draining)).await;
     }
     let report = fleet.nodes[0].stop().await.expect("a stop report");
-    assert_eq!(report.cut, 0);
+    assert_eq!(report.requests_cut, 0);
     for peer in &fleet.nodes[1..] {
         wait_until(|| phase_at(peer) == Some(Phase::Gone)).await;
     }
@@ -107,7 +107,10 @@
 async fn cancelled_node_stops_at_once() {
     let fleet = Fleet::start(1).await;
     fleet.cancel.cancel();
-    let report = fleet.nodes[0].ended().await.expect("a stop report");
-    assert_eq!(report.cut, 0);
+    let report = fleet.nodes[0]
+        .wait_until_ended()
+        .await
+        .expect("a stop report");
+    assert_eq!(report.requests_cut, 0);
     assert!(fleet.nodes[0].spread_status().await.is_err());
 }
--- a/crates/node/tests/control/fleet_restart.rs
+++ b/crates/node/tests/control/fleet_restart.rs
@@ -27,7 +27,7 @@
     assert!(start.elapsed() < Duration::from_secs(60));
     fleet.cancel.cancel();
     for node in &fleet.nodes {
-        node.ended().await.expect("a stop report");
+        node.wait_until_ended().await.expect("a stop report");
     }
 }
 
--- a/crates/node/tests/control/planned_stop.rs
+++ b/crates/node/tests/control/planned_stop.rs
@@ -15,7 +15,7 @@
 /// One node whose target runs each request for `service` and whose drain ends after
 /// `bound`.
 async fn slow_fleet(service: Duration, bound: Duration) -> Fleet {
-    let tune = |settings: &mut Settings| settings.drain.bound = bound;
+    let tune = |settings: &mut Settings| settings.drain.in_flight_timeout = bound;
     let fleet = Fleet::start_with(1, &slow_target(service), tune).await;
     let first = fleet.publish(&catalogue_with_long_deadline());
     fleet.wait_until_in_force(first).await;
@@ -32,7 +32,7 @@
     let call = tokio::spawn(request_text("GET", ingress, "/workshop/1"));
     wait_until(|| node.shared().in_flight().count() > 0).await;
     let report = node.stop().await.expect("a stop report");
-    assert_eq!(report.cut, 0);
+    assert_eq!(report.requests_cut, 0);
     let (status, _) = call.await.expect("an answer");
     assert_eq!(status, StatusCode::OK);
     fleet.cancel.cancel();
@@ -65,7 +65,7 @@
     let answer = tokio::spawn(try_request_text("GET", ingress, "/workshop/1"));
     wait_until(|| node.shared().in_flight().count() > 0).await;
     let report = node.stop().await.expect("a stop report");
-    assert!(report.cut > 0);
+    assert!(report.requests_cut > 0);
     let answer = answer.await.expect("the task doesn't panic");
     assert!(answer.is_none_or(|(status, _)| status != StatusCode::OK));
     fleet.cancel.cancel();
@@ -74,18 +74,18 @@
 /// Guards against refusals of callers that can't yet have detected a planned stop.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stopping_node_serves_callers_during_their_grace_period() {
-    let tune = |settings: &mut Settings| settings.drain.callers = Duration::from_millis(800);
+    let tune = |settings: &mut Settings| settings.drain.caller_grace = Duration::from_millis(800);
     let fleet = Fleet::start_with(1, &slow_target(Duration::ZERO), tune).await;
     let first = fleet.publish(&catalogue_with_long_deadline());
     fleet.wait_until_in_force(first).await;
     fleet.wait_until_ready().await;
     let node = fleet.nodes[0].clone();
-    assert!(node.shared().takes_callers());
+    assert!(node.shared().accepts_callers());
     let stopping = tokio::spawn({
         let node = node.clone();
         async move { node.stop().await }
     });
-    wait_until(|| !node.shared().takes_callers()).await;
+    wait_until(|| !node.shared().accepts_callers()).await;
     let (status, _) = request_text("GET", node.addrs().ingress, "/workshop/1").await;
     assert_eq!(status, StatusCode::OK);
     assert_eq!(fleet.targets[0].ledger().runs.len(), 1);
@@ -93,6 +93,6 @@
         .await
         .expect("the task doesn't panic")
         .expect("a stop report");
-    assert_eq!(report.cut, 0);
+    assert_eq!(report.requests_cut, 0);
     fleet.cancel.cancel();
 }
--- a/crates/node/tests/control/quarantine.rs
+++ b/crates/node/tests/control/quarantine.rs
@@ -90,7 +90,7 @@
     for (n, node) in fleet.nodes.iter().enumerate() {
         let cut = |m: &usize| partitioned && minority.contains(m) != minority.contains(&n);
         let cut: HashSet<SocketAddr> = (0..NODES).filter(cut).map(|m| addrs[m]).collect();
-        node.gate().part(cut);
+        node.fault_injector().partition_from(cut);
     }
 }
 
--- a/crates/node/tests/control/support.rs
+++ b/crates/node/tests/control/support.rs
@@ -114,7 +114,7 @@
         }
         for n in which {
             let node = &self.nodes[n];
-            node.ended().await.expect("a stop report");
+            node.wait_until_ended().await.expect("a stop report");
             let mut settings = node.settings().clone();
             let addrs = node.addrs();
             settings.listen = Listen {
--- a/crates/node/tests/requests/drain.rs
+++ b/crates/node/tests/requests/drain.rs
@@ -27,11 +27,11 @@
 
 /// Stops a member as a node does; returns the number of requests that were cut.
 async fn stop_member(member: &mut Member) -> u64 {
-    member.shared.advance(Phase::Draining);
-    member.shared.in_flight().idle().await;
+    member.shared.advance_phase(Phase::Draining);
+    member.shared.in_flight().wait_until_idle().await;
     member.cancel.cancel();
     let traffic = member.traffic.take().expect("a running node");
-    traffic.stopped_within(STOP_TIMEOUT).await
+    traffic.wait_stopped_or_abort(STOP_TIMEOUT).await
 }
 
 /// Guards against a draining node that runs requests, or whose refusals don't state that
@@ -40,7 +40,7 @@
 async fn a_draining_node_refuses_requests_and_runs_none() {
     let fleet = Fleet::start(&[DESK]).await;
     let desk = &fleet.members[0];
-    desk.shared.advance(Phase::Draining);
+    desk.shared.advance_phase(Phase::Draining);
     for (port, addr) in [
         ("ingress", desk.addrs.ingress),
         ("egress", desk.addrs.egress),
@@ -176,14 +176,14 @@
     let mut caller = client::connect(desk.addrs.ingress).await;
     let res = caller.call(client::get("/desk/policy", "r-1")).await;
     assert_eq!(res.expect("an answer").status(), StatusCode::OK);
-    desk.shared.advance(Phase::Draining);
+    desk.shared.advance_phase(Phase::Draining);
     desk.cancel.cancel();
     let res = caller.call(client::get("/desk/policy", "r-2")).await;
     let res = res.expect("an answer");
     assert_eq!(client::header(&res, "x-sassafrasspool-outcome"), "not-run");
     assert_eq!(client::header(&res, "connection"), "close");
     let traffic = desk.traffic.take().expect("a running node");
-    assert_eq!(traffic.stopped_within(STOP_TIMEOUT).await, 0);
+    assert_eq!(traffic.wait_stopped_or_abort(STOP_TIMEOUT).await, 0);
     assert_eq!(fleet.runs_of("r-2"), 0);
 }
 
@@ -197,10 +197,12 @@
     let req = client::get("/desk/lodge", "r-1");
     let call = tokio::spawn(client::call(desk.addrs.ingress, req));
     wait::until("a run", || desk.runs_of("r-1").len() == 1).await;
-    desk.shared.advance(Phase::Draining);
+    desk.shared.advance_phase(Phase::Draining);
     desk.cancel.cancel();
     let traffic = desk.traffic.take().expect("a running node");
-    let cut = traffic.stopped_within(Duration::from_millis(200)).await;
+    let cut = traffic
+        .wait_stopped_or_abort(Duration::from_millis(200))
+        .await;
     assert_eq!(cut, 1);
     call.await
         .expect("the task doesn't panic")
--- a/crates/node/tests/requests/fleet.rs
+++ b/crates/node/tests/requests/fleet.rs
@@ -91,13 +91,13 @@
         let settings = settings(spec, shared_target.unwrap_or_else(|| target.addr()));
         let written = Written::default();
         let log = LogSink::start(LOG_BYTES_PER_S, written.clone());
-        let shared = Arc::new(Shared::speaking(
+        let shared = Arc::new(Shared::with_dialect(
             Dialect::NATIVE,
             log.expect("the log thread starts"),
             settings.instance.clone(),
             Incarnation::from_start_millis(1),
         ));
-        shared.advance(Phase::Ready);
+        shared.advance_phase(Phase::Ready);
         let cancel = CancellationToken::new();
         let traffic = Traffic::start(&settings, Arc::clone(&shared), cancel.clone());
         let traffic = traffic.expect("the node starts");
@@ -299,7 +299,7 @@
         tokio::spawn(async move {
             loop {
                 for node in &nodes {
-                    node.prove_instances(node.clock().now(), revision);
+                    node.record_list_proof(node.clock().now(), revision);
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
--- a/crates/node/tests/requests/request_keys.rs
+++ b/crates/node/tests/requests/request_keys.rs
@@ -173,7 +173,7 @@
 async fn a_refused_repeated_attempt_has_an_unknown_outcome() {
     let fleet = Fleet::start(&[DESK, ADJUSTER]).await;
     let desk = &fleet.members[0];
-    desk.shared.advance(Phase::Draining);
+    desk.shared.advance_phase(Phase::Draining);
     for (first, outcome) in [(true, "not-run"), (false, "unknown")] {
         let req = approval("k-1", "r-1", first);
         let res = client::call(desk.addrs.ingress, req).await;
--- a/crates/node/tests/requests/target_crash.rs
+++ b/crates/node/tests/requests/target_crash.rs
@@ -71,7 +71,7 @@
 #[tokio::test]
 async fn a_refused_retry_after_a_crash_has_an_unknown_outcome() {
     let fleet = Fleet::start(&[DESK, SECOND]).await;
-    fleet.members[1].shared.advance(Phase::Draining);
+    fleet.members[1].shared.advance_phase(Phase::Draining);
     let res = crash_during_request(&fleet, "/desk/policy").await;
     assert_eq!(client::header(&res, "x-sassafrasspool-outcome"), "unknown");
 }
--- a/crates/node/tests/requests/upload.rs
+++ b/crates/node/tests/requests/upload.rs
@@ -197,7 +197,7 @@
         ..ADJUSTER
     };
     let fleet = Fleet::start(&[DESK, near, far]).await;
-    fleet.members[1].shared.advance(Phase::Draining);
+    fleet.members[1].shared.advance_phase(Phase::Draining);
     let mut req = client::get("/adjuster/approve", "r-1");
     *req.method_mut() = http::Method::POST;
     *req.body_mut() = client::Body::new(Bytes::from(vec![b'x'; 3_000_000]));
