--- a/crates/node/src/admin/server.rs
+++ b/crates/node/src/admin/server.rs
@@ -80,11 +80,8 @@
 }
 
 impl AdminServer {
-    pub(crate) fn new(settings: Arc<Settings>, outside: ControlContext) -> AdminServer {
-        AdminServer {
-            settings,
-            context: outside,
-        }
+    pub(crate) fn new(settings: Arc<Settings>, context: ControlContext) -> AdminServer {
+        AdminServer { settings, context }
     }
 
     /// Serves all routes until `cancel` is cancelled.
--- a/crates/node/src/control/driver.rs
+++ b/crates/node/src/control/driver.rs
@@ -129,7 +129,7 @@
                 self.stop_requested = true;
                 self.request_drain(DrainCause::Requested);
             }
-            ControlEvent::TrafficStopped { cut } => self.requests_cut = Some(cut),
+            ControlEvent::TrafficStopped { requests_cut } => self.requests_cut = Some(requests_cut),
             ControlEvent::Status(reply) => {
                 let _ = reply.send(self.dissemination.status(self.now()));
             }
@@ -237,9 +237,9 @@
                 Action::Apply(applied) => self.views.set_snapshot(applied.snapshot),
                 Action::Joined => self.joined = true,
                 Action::Endpoint(state) => self.views.update_state(state),
-                Action::Quarantine(verdicts) => {
+                Action::Quarantine(state) => {
                     let now = self.now();
-                    self.context.shared.quarantine().apply_state(now, verdicts);
+                    self.context.shared.quarantine().apply_state(now, state);
                 }
                 Action::Audit(event) => self.record_audit_event(&event),
                 other => tracing::debug!(?other, "unsupported action ignored"),
--- a/crates/node/src/control/event.rs
+++ b/crates/node/src/control/event.rs
@@ -30,7 +30,7 @@
     /// The traffic side has closed all its connections.
     TrafficStopped {
         /// Requests that were cut at the end of the drain timeout.
-        cut: u64,
+        requests_cut: u64,
     },
     /// A query of the dissemination status.
     Status(oneshot::Sender<SpreadStatus>),
--- a/crates/node/src/control/probe/tests.rs
+++ b/crates/node/src/control/probe/tests.rs
@@ -54,8 +54,8 @@
     };
     let incarnation = Incarnation::from_start_millis(1);
     let shared = Shared::with_dialect(dialect, LogSink::silent(), name("wd-1"), incarnation);
-    let (position, repeat) = locality_and_window("wd-1");
-    shared.configure_routing(position, repeat);
+    let (locality, dedup) = locality_and_window("wd-1");
+    shared.configure_routing(locality, dedup);
     Arc::new(shared)
 }
 
--- a/crates/node/src/control/task.rs
+++ b/crates/node/src/control/task.rs
@@ -196,8 +196,10 @@
             return;
         };
         context.spawn(async move {
-            let cut = traffic.wait_stopped_or_abort(timeout).await;
-            control.send(ControlEvent::TrafficStopped { cut }).await;
+            let requests_cut = traffic.wait_stopped_or_abort(timeout).await;
+            control
+                .send(ControlEvent::TrafficStopped { requests_cut })
+                .await;
         });
     }
 
@@ -218,11 +220,11 @@
 
     /// Stops at once and reports the requests in flight as cut.
     async fn abort(&mut self) -> StopReport {
-        let cut = self.event_loop.driver.in_flight();
+        let requests_cut = self.event_loop.driver.in_flight();
         self.stop_traffic.cancel();
         if let Some(traffic) = self.traffic.take() {
             traffic.wait_stopped_or_abort(Duration::ZERO).await;
         }
-        StopReport { requests_cut: cut }
+        StopReport { requests_cut }
     }
 }
--- a/crates/node/src/dependency_monitor/tests.rs
+++ b/crates/node/src/dependency_monitor/tests.rs
@@ -7,10 +7,17 @@
 /// for each failure.
 #[test]
 fn outage_is_reported_once_at_its_start_and_once_at_its_end() {
-    let reach = DependencyMonitor::new("platform");
-    let missed = || reach.record_failure("catalogue", "connection refused");
-    let found = || reach.record_success("catalogue");
-    let changes = [found(), missed(), missed(), missed(), found(), found()];
+    let monitor = DependencyMonitor::new("platform");
+    let failure = || monitor.record_failure("catalogue", "connection refused");
+    let success = || monitor.record_success("catalogue");
+    let changes = [
+        success(),
+        failure(),
+        failure(),
+        failure(),
+        success(),
+        success(),
+    ];
     let [lost, regained] = [
         AvailabilityChange::Lost,
         AvailabilityChange::Regained { failures: 3 },
--- a/crates/node/src/settings/drain.rs
+++ b/crates/node/src/settings/drain.rs
@@ -48,7 +48,7 @@
 impl DrainSettings {
     pub(super) fn read(mut table: Table<'_>, faults: &mut Faults) -> Option<DrainSettings> {
         let default = DrainSettings::default();
-        let callers = millis_or(
+        let caller_grace = millis_or(
             &mut table,
             "callers_ms",
             CALLERS_MS,
@@ -56,14 +56,15 @@
             faults,
         );
         let grace = table.optional_text("grace_s", faults, parse_grace);
-        let given = grace.flatten().zip(callers);
-        let given = given.map(|(grace, callers)| bound_within(grace, callers));
+        let given = grace.flatten().zip(caller_grace);
+        let given =
+            given.map(|(grace, caller_grace)| in_flight_timeout_within(grace, caller_grace));
         let default_bound = given.unwrap_or(default.in_flight_timeout);
-        let bound = millis_or(&mut table, "bound_ms", BOUND_MS, default_bound, faults);
+        let in_flight_timeout = millis_or(&mut table, "bound_ms", BOUND_MS, default_bound, faults);
         table.finish(faults);
         Some(DrainSettings {
-            in_flight_timeout: bound?,
-            caller_grace: callers?,
+            in_flight_timeout: in_flight_timeout?,
+            caller_grace: caller_grace?,
         })
     }
 }
@@ -76,12 +77,12 @@
 }
 
 /// The timeout of requests in flight if the process is killed `grace` after the
-/// signal to stop and callers are still served for `callers`.
+/// signal to stop and callers are still served for `caller_grace`.
 ///
 /// A timeout that isn't derived from the grace period would cut requests when half of
 /// it is left.
-fn bound_within(grace: Duration, callers: Duration) -> Duration {
+fn in_flight_timeout_within(grace: Duration, caller_grace: Duration) -> Duration {
     let cut_at = grace.mul_f64(1.0 - GRACE_FRACTION_AFTER_CUT);
     let min = Duration::from_millis(*BOUND_MS.start());
-    cut_at.saturating_sub(callers).max(min)
+    cut_at.saturating_sub(caller_grace).max(min)
 }
--- a/crates/node/src/settings/target.rs
+++ b/crates/node/src/settings/target.rs
@@ -63,7 +63,7 @@
             DEFAULT_PROBE_INTERVAL,
             faults,
         );
-        let cold = read_cold(&mut table, faults);
+        let cold_tolerance = read_cold_tolerance(&mut table, faults);
         table.finish(faults);
         Some(TargetSettings {
             addr: addr?,
@@ -71,14 +71,14 @@
             connections: u32::try_from(connections?).ok()?,
             ready_path,
             probe_interval: probe_interval?,
-            cold_tolerance: cold,
+            cold_tolerance,
         })
     }
 }
 
 /// Reads the load that a cold target tolerates. Each number is text; empty text stands for
 /// the default, for platforms that don't provide the number.
-fn read_cold(table: &mut Table<'_>, faults: &mut Faults) -> ColdTolerance {
+fn read_cold_tolerance(table: &mut Table<'_>, faults: &mut Faults) -> ColdTolerance {
     let default = ColdTolerance::default();
     let over = table.optional_text("cold_over", faults, |text| decimal(text, &COLD_OVER, ""));
     let slack = table.optional_text("cold_slack", faults, |text| decimal(text, &COLD_SLACK, ""));
--- a/crates/node/src/traffic/answer_body.rs
+++ b/crates/node/src/traffic/answer_body.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(super) struct AnswerBody {
     source: Source,
-    stall: StallDetector,
+    stall_detector: StallDetector,
     _in_flight: Option<InFlightGuard>,
     /// Marks the answer as in progress in the connection's pipeline until it ends.
     _pipeline_guard: Option<AnswerInProgress>,
@@ -56,7 +56,7 @@
     fn new(source: Source) -> AnswerBody {
         AnswerBody {
             source,
-            stall: StallDetector::new(),
+            stall_detector: StallDetector::new(),
             _in_flight: None,
             _pipeline_guard: None,
         }
@@ -97,11 +97,11 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         match self.poll_source(cx) {
             Poll::Ready(frame) => {
-                self.stall.record_progress();
+                self.stall_detector.record_progress();
                 Poll::Ready(frame)
             }
             Poll::Pending => self
-                .stall
+                .stall_detector
                 .poll_stalled(cx)
                 .map(|stalled| Some(Err(stalled))),
         }
--- a/crates/node/src/traffic/hub.rs
+++ b/crates/node/src/traffic/hub.rs
@@ -69,7 +69,7 @@
 }
 
 impl Hub {
-    /// Creates the state, and sets the node's position and service in `shared`.
+    /// Creates the state, and sets the node's locality and service in `shared`.
     ///
     /// # Errors
     ///
@@ -80,13 +80,13 @@
         shared: Arc<Shared>,
         cancel: CancellationToken,
     ) -> Result<Hub> {
-        let position = Locality {
+        let locality = Locality {
             instance: cfg.instance.clone(),
             domain: cfg.domain.clone(),
             region: cfg.region.clone(),
         };
-        let repeat = DedupWindow::new(cfg.repeat, cfg.instance.clone(), cfg.service.clone())?;
-        shared.configure_routing(position, repeat.clone());
+        let dedup_window = DedupWindow::new(cfg.repeat, cfg.instance.clone(), cfg.service.clone())?;
+        shared.configure_routing(locality, dedup_window.clone());
         shared.set_service(cfg.service.clone());
         let admission = Admission::new(AdmissionSettings::default(), cfg.target.slots)?;
         let limit = cfg.target.slots.min(cfg.target.connections);
@@ -107,7 +107,7 @@
             ingress: Counters::new("ingress"),
             egress: Counters::new("egress"),
             peers: Counters::new("peers"),
-            dedup_window: repeat,
+            dedup_window,
             max_stored_answer_bytes: cfg.repeat.max_answer_bytes,
             cancel,
             closing: CancellationToken::new(),
--- a/crates/node/src/traffic/inbound/access_log.rs
+++ b/crates/node/src/traffic/inbound/access_log.rs
@@ -73,7 +73,7 @@
     ) {
         let (rank, outcome) = match result {
             Ok(_) => (Rank::Success, LoggedOutcome::ANSWERED),
-            Err(missed) => (Rank::Failure, (&missed.failure).into()),
+            Err(failed) => (Rank::Failure, (&failed.failure).into()),
         };
         let status = result.as_ref().ok().map(|res| res.status().as_u16());
         self.write(rank, outcome, status);
--- a/crates/node/src/traffic/inbound/admission.rs
+++ b/crates/node/src/traffic/inbound/admission.rs
@@ -29,11 +29,11 @@
 pub(in crate::traffic) async fn admit(
     admission: &Admission,
     clock: &Clock,
-    ask: &AdmissionRequest<'_>,
+    request: &AdmissionRequest<'_>,
     aborted: impl Future<Output = Refusal>,
 ) -> Result<Permit, Refusal> {
     let mut decision_rx = None;
-    let offer = admission.request_slot(clock.now(), ask, || {
+    let decision = admission.request_slot(clock.now(), request, || {
         let (tx, rx) = oneshot::channel::<Decision>();
         decision_rx = Some(rx);
         Box::new(move |decision| {
@@ -41,7 +41,7 @@
             let _ = tx.send(decision);
         })
     });
-    match (offer, decision_rx) {
+    match (decision, decision_rx) {
         (AdmissionDecision::Admitted(permit), _) => Ok(permit),
         (AdmissionDecision::Refused(refusal), _) => Err(refusal),
         (AdmissionDecision::Queued(queued), Some(rx)) => {
--- a/crates/node/src/traffic/inbound/admission/tests.rs
+++ b/crates/node/src/traffic/inbound/admission/tests.rs
@@ -36,9 +36,9 @@
     let clock = Clock::start();
     let deadline = Deadline::within(clock.now(), LIMITS.deadline);
     let stage = Request::received(Class::Standard, deadline);
-    let ask = stage.admission_request(&LIMITS);
-    let offer = admission.request_slot(clock.now(), &ask, || Box::new(drop));
-    let AdmissionDecision::Admitted(_running) = offer else {
+    let request = stage.admission_request(&LIMITS);
+    let decision = admission.request_slot(clock.now(), &request, || Box::new(drop));
+    let AdmissionDecision::Admitted(_running) = decision else {
         panic!("the slot is free");
     };
     let (tx, rx) = oneshot::channel();
@@ -51,7 +51,7 @@
         assert_eq!(admission.load().queued, 1);
         tx.send(()).expect("the request is queued");
     };
-    let (admitted, ()) = tokio::join!(admit(&admission, &clock, &ask, aborted), quarantine);
+    let (admitted, ()) = tokio::join!(admit(&admission, &clock, &request, aborted), quarantine);
     let refusal = admitted.expect_err("no slot is free");
     assert_eq!(refusal.reason(), Reason::Quarantined);
     assert_eq!(admission.load().queued, 0);
--- a/crates/node/src/traffic/inbound/body_intake.rs
+++ b/crates/node/src/traffic/inbound/body_intake.rs
@@ -56,14 +56,17 @@
 /// Refuses the request as not run.
 pub(in crate::traffic) async fn receive_body(
     hub: &Hub,
-    ask: &AdmissionRequest<'_>,
+    admission_request: &AdmissionRequest<'_>,
     req: Request<Payload>,
 ) -> Result<Request<Payload>, FailedAttempt> {
     if req.body().streamed_bytes().is_none() {
         return Ok(req);
     }
     let clock = hub.shared.clock();
-    if let Some(refusal) = hub.admission.predict_refusal(clock.now(), ask) {
+    if let Some(refusal) = hub
+        .admission
+        .predict_refusal(clock.now(), admission_request)
+    {
         return Err(FailedAttempt::unsent(refusal, req));
     }
     // A body that fits into the upload window arrives with the head of the request.
@@ -74,7 +77,7 @@
             Err(refusal) => return Err(FailedAttempt::unsent(refusal, req)),
         },
     };
-    let until = clock.instant(ask.deadline.tick());
+    let until = clock.instant(admission_request.deadline.tick());
     let (parts, body) = req.into_parts();
     match tokio::time::timeout_at(until.into(), body.buffer(&hub.body_memory)).await {
         Ok(Ok(body)) => Ok(Request::from_parts(parts, body)),
--- a/crates/node/src/traffic/inbound/exchange.rs
+++ b/crates/node/src/traffic/inbound/exchange.rs
@@ -38,7 +38,7 @@
     pub(in crate::traffic) hub: Arc<Hub>,
     pub(in crate::traffic) stage: Stage<HandedOver>,
     /// The right to run the request of its key, if it has one.
-    pub(in crate::traffic) running: Option<RunPermit>,
+    pub(in crate::traffic) run_permit: Option<RunPermit>,
     pub(in crate::traffic) deadline: Deadline,
     /// Records how the target fares while it runs the request; `None` if the content of
     /// the request is unknown.
@@ -65,7 +65,7 @@
         conn: Connection,
         req: Request<Payload>,
     ) -> Result<Response<AnswerBody>, FailedAttempt> {
-        if self.running.is_none() {
+        if self.run_permit.is_none() {
             return self.exchange(conn, req).await;
         }
         let hub = Arc::clone(&self.hub);
@@ -123,7 +123,7 @@
             Ok(Err(target::ExchangeFailure::NotSent(err, proof, unsent))) => {
                 tracing::debug!(%err, "not handed over");
                 let refusal = self.stage.refuse_unsent(clock.now(), proof);
-                let failure = release_key(self.running, refusal).into();
+                let failure = release_key(self.run_permit, refusal).into();
                 Err(FailedAttempt { failure, unsent })
             }
             Ok(Err(target::ExchangeFailure::Sent(err))) => {
@@ -179,7 +179,7 @@
             .stage
             .refuse_by_target(now, reason)
             .with_retry_after(wait);
-        Err(release_key(self.running, refusal).into())
+        Err(release_key(self.run_permit, refusal).into())
     }
 
     /// Records the generation that a target states when it declines a request for another.
@@ -205,9 +205,9 @@
         head::strip_internal_headers(res.headers_mut());
         head::strip_hop_by_hop(res.headers_mut());
         *res.version_mut() = Version::HTTP_11;
-        let recorder = self.running.map(|running| {
+        let recorder = self.run_permit.map(|run_permit| {
             Box::new(AnswerRecorder::new(
-                running,
+                run_permit,
                 &res,
                 self.hub.max_stored_answer_bytes,
             ))
@@ -217,17 +217,17 @@
 
     fn lose(self, cause: LossCause) -> FailedAttempt {
         let now = self.hub.shared.clock().now();
-        if let Some(running) = self.running {
-            running.mark_unknown(now);
+        if let Some(run_permit) = self.run_permit {
+            run_permit.mark_unknown(now);
         }
         self.stage.lose(now, cause).into()
     }
 }
 
 /// Marks the key of a refused request as unused.
-pub(in crate::traffic) fn release_key(running: Option<RunPermit>, refusal: Refusal) -> Refusal {
-    match running {
-        Some(running) => running.release(refusal),
+pub(in crate::traffic) fn release_key(run_permit: Option<RunPermit>, refusal: Refusal) -> Refusal {
+    match run_permit {
+        Some(run_permit) => run_permit.release(refusal),
         None => refusal,
     }
 }
--- a/crates/node/src/traffic/inbound/forward.rs
+++ b/crates/node/src/traffic/inbound/forward.rs
@@ -118,9 +118,9 @@
     }
     let by_route = route.map_or(service.entry.class, |route| route.class);
     let class = call.class.unwrap_or(by_route);
-    let running = match decide_run(worker, route, &req) {
-        RunDecision::Run(running) => running,
-        RunDecision::AnswerBody(stored) => return Ok(stored_answer::to_response(&stored)),
+    let run_permit = match decide_run(worker, route, &req) {
+        RunDecision::Run(run_permit) => run_permit,
+        RunDecision::Answer(stored) => return Ok(stored_answer::to_response(&stored)),
         RunDecision::Refuse(refusal) => return Err(refusal.into()),
     };
     let facts = Facts {
@@ -137,7 +137,7 @@
         worker,
         req,
         call,
-        key: UnsentKey::new(running),
+        key: UnsentKey::new(run_permit),
     };
     let limits = &service.entry.limits;
     let log_entry = InboundLogEntry::new(worker, facts, inbound.request_id());
@@ -161,10 +161,14 @@
     worker.hub.check_quarantine(Step::Admission, content)?;
     let service = local_service(worker, call)?;
     let class = call.class.unwrap_or(service.entry.class);
-    let mut ask = call.admission_request(class, &service.entry.limits);
-    ask.cold_limit = cold_limit(worker, service, call);
+    let mut admission_request = call.admission_request(class, &service.entry.limits);
+    admission_request.cold_limit = cold_limit(worker, service, call);
     let now = worker.hub.shared.clock().now();
-    match worker.hub.admission.predict_refusal(now, &ask) {
+    match worker
+        .hub
+        .admission
+        .predict_refusal(now, &admission_request)
+    {
         Some(refusal) => Err(refusal),
         None => worker.hub.uploads.try_acquire().map(drop),
     }
@@ -201,7 +205,7 @@
 #[derive(Debug)]
 enum RunDecision {
     Run(Option<RunPermit>),
-    AnswerBody(Arc<StoredAnswer>),
+    Answer(Arc<StoredAnswer>),
     Refuse(Refusal),
 }
 
@@ -220,8 +224,8 @@
         .dedup_window
         .begin_attempt(now, keyed.key, keyed.attempt)
     {
-        AttemptDecision::Run(running) => RunDecision::Run(Some(running)),
-        AttemptDecision::Answer(stored) => RunDecision::AnswerBody(stored),
+        AttemptDecision::Run(run_permit) => RunDecision::Run(Some(run_permit)),
+        AttemptDecision::Answer(stored) => RunDecision::Answer(stored),
         AttemptDecision::Refuse(refusal) => RunDecision::Refuse(refusal),
     }
 }
--- a/crates/node/src/traffic/inbound/inbound_request.rs
+++ b/crates/node/src/traffic/inbound/inbound_request.rs
@@ -69,17 +69,18 @@
     ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let hub = &self.worker.hub;
         let stage = Stage::received(class, self.call.deadline);
-        let mut ask = self.call.admission_request(class, limits);
-        ask.cold_limit = cold;
+        let mut admission_request = self.call.admission_request(class, limits);
+        admission_request.cold_limit = cold;
         if let Some(slots) = slots {
-            ask.slots = Some(slots);
+            admission_request.slots = Some(slots);
             hub.pool.resize(slots);
         }
-        self.req = body_intake::receive_body(hub, &ask, self.req).await?;
+        self.req = body_intake::receive_body(hub, &admission_request, self.req).await?;
         let queued_at = hub.shared.clock().now();
         let clock = hub.shared.clock();
         let quarantined = hub.wait_quarantined(Step::Admission, self.call.content.as_ref());
-        let admitted = admission::admit(&hub.admission, clock, &ask, quarantined).await;
+        let admitted =
+            admission::admit(&hub.admission, clock, &admission_request, quarantined).await;
         let waited = hub.shared.clock().now().since(queued_at);
         hub.stages.queue.record(class, waited);
         let permit: Permit = match admitted {
@@ -131,8 +132,8 @@
         };
         let parent = hub.parents.register(req.headers(), parent);
         let now = hub.shared.clock().now();
-        let running = match key.into_running(now) {
-            Ok(running) => running,
+        let run_permit = match key.into_run_permit(now) {
+            Ok(run_permit) => run_permit,
             Err(refusal) => return Err(FailedAttempt::unsent(refusal, req)),
         };
         let generation = named_generation(hub, now, &call);
@@ -146,7 +147,7 @@
                 let sent = SentRequest {
                     hub: Arc::clone(hub),
                     stage,
-                    running,
+                    run_permit,
                     deadline: call.deadline,
                     watched,
                     generation: generation.filter(|_| call.for_local_service),
@@ -154,7 +155,7 @@
                 };
                 sent.run(conn, req).await
             }
-            Err(refusal) => Err(FailedAttempt::unsent(release_key(running, refusal), req)),
+            Err(refusal) => Err(FailedAttempt::unsent(release_key(run_permit, refusal), req)),
         }
     }
 }
--- a/crates/node/src/traffic/inbound/peer_side.rs
+++ b/crates/node/src/traffic/inbound/peer_side.rs
@@ -66,7 +66,7 @@
         return Err(refuse(Reason::TooLarge).into());
     };
     let ran = forward::run_in_target(worker, Request::from_parts(parts, body), call).await;
-    ran.map_err(|missed| missed.failure)
+    ran.map_err(|failed| failed.failure)
 }
 
 fn call_of<'a>(
--- a/crates/node/src/traffic/inbound/unsent_key.rs
+++ b/crates/node/src/traffic/inbound/unsent_key.rs
@@ -18,8 +18,8 @@
 pub(in crate::traffic) struct UnsentKey(Option<RunPermit>);
 
 impl UnsentKey {
-    pub(in crate::traffic) fn new(running: Option<RunPermit>) -> UnsentKey {
-        UnsentKey(running)
+    pub(in crate::traffic) fn new(run_permit: Option<RunPermit>) -> UnsentKey {
+        UnsentKey(run_permit)
     }
 
     /// Returns the right for the hand-over.
@@ -27,23 +27,23 @@
     /// # Errors
     ///
     /// Refuses the request if this node may not run its key any more.
-    pub(in crate::traffic) fn into_running(
+    pub(in crate::traffic) fn into_run_permit(
         mut self,
         now: Tick,
     ) -> Result<Option<RunPermit>, Refusal> {
         // INVARIANT: The drop finds no right that it would release.
         self.0
             .take()
-            .map(|running| running.recheck(now))
+            .map(|run_permit| run_permit.recheck(now))
             .transpose()
     }
 }
 
 impl Drop for UnsentKey {
     fn drop(&mut self) {
-        if let Some(running) = self.0.take() {
+        if let Some(run_permit) = self.0.take() {
             // If the request was refused, that refusal is returned already.
-            let _ = running.release(Refusal::not_run(Step::Admission, Reason::CallerGone));
+            let _ = run_permit.release(Refusal::not_run(Step::Admission, Reason::CallerGone));
         }
     }
 }
--- a/crates/node/src/traffic/listener/running.rs
+++ b/crates/node/src/traffic/listener/running.rs
@@ -52,13 +52,13 @@
     /// flight after `bound`. Returns their number.
     pub async fn wait_stopped_or_abort(self, bound: Duration) -> u64 {
         let in_flight = self.hub.shared.in_flight().clone();
-        let cut = self.hub.abort.clone();
+        let abort = self.hub.abort.clone();
         let mut stopped = std::pin::pin!(self.wait_stopped());
         if tokio::time::timeout(bound, stopped.as_mut()).await.is_ok() {
             return 0;
         }
         let aborted = in_flight.count();
-        cut.cancel();
+        abort.cancel();
         stopped.await;
         aborted
     }
--- a/crates/node/src/traffic/listener/serve/graceful_close.rs
+++ b/crates/node/src/traffic/listener/serve/graceful_close.rs
@@ -17,14 +17,14 @@
 const IO_POLL_DELAY: Duration = Duration::from_millis(1);
 
 /// Serves a connection until the client ends it, or closes it gracefully after `closing`:
-/// requests in flight continue until they end or `cut` is cancelled.
+/// requests in flight continue until they end or `abort` is cancelled.
 ///
 /// A connection that was accepted last still has time to deliver its first request, which
 /// is then refused. If it were closed unread, the caller couldn't infer whether the request
 /// ran.
 pub(super) async fn serve_until_closed<C: GracefulConnection>(
     closing: &CancellationToken,
-    cut: &CancellationToken,
+    abort: &CancellationToken,
     conn: C,
 ) {
     let mut conn = pin!(conn);
@@ -40,7 +40,7 @@
     tokio::select! {
         // The requests on it report how it ended.
         _ = conn => {}
-        () = cut.cancelled() => {}
+        () = abort.cancelled() => {}
     }
 }
 
--- a/crates/node/src/traffic/listener/serve/graceful_close/tests.rs
+++ b/crates/node/src/traffic/listener/serve/graceful_close/tests.rs
@@ -31,15 +31,15 @@
 async fn answers_a_request_that_arrived_before_the_close() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
     let addr = listener.local_addr().expect("read the address");
-    let [closing, cut] = [(); 2].map(|()| CancellationToken::new());
+    let [closing, abort] = [(); 2].map(|()| CancellationToken::new());
     let mut served = JoinSet::new();
     let mut callers = Vec::new();
     for _ in 0..CALLERS {
         callers.push(TcpStream::connect(addr).expect("connect"));
         let (stream, _) = listener.accept().await.expect("accept a connection");
         let conn = http1::Builder::new().serve_connection(TokioIo::new(stream), service_fn(answer));
-        let (closing, cut) = (closing.clone(), cut.clone());
-        served.spawn(async move { serve_until_closed(&closing, &cut, conn).await });
+        let (closing, abort) = (closing.clone(), abort.clone());
+        served.spawn(async move { serve_until_closed(&closing, &abort, conn).await });
     }
     tokio::time::sleep(2 * CLOSE_DELAY).await;
     // The requests are sent and the close begins before the connections' tasks run again.
--- a/crates/node/src/traffic/outbound/caller_side.rs
+++ b/crates/node/src/traffic/outbound/caller_side.rs
@@ -41,10 +41,10 @@
     req: Request<Payload>,
 ) -> Response<AnswerBody> {
     let guard = worker.hub.shared.in_flight().enter();
-    let may_follow_another = keyed_attempt::may_follow_earlier_attempt(req.headers());
+    let may_follow_earlier_attempt = keyed_attempt::may_follow_earlier_attempt(req.headers());
     let read_status = req.body().read_status();
     let mut result = run(worker, port, req).await;
-    if may_follow_another {
+    if may_follow_earlier_attempt {
         result = result.map_err(keyed_attempt::into_unknown);
     }
     match port {
--- a/crates/node/src/traffic/payload.rs
+++ b/crates/node/src/traffic/payload.rs
@@ -99,10 +99,10 @@
     /// # Errors
     ///
     /// Fails if the sender aborts the body.
-    pub(super) async fn buffer(self, bodies: &BodyMemory) -> Result<Payload, hyper::Error> {
+    pub(super) async fn buffer(self, body_memory: &BodyMemory) -> Result<Payload, hyper::Error> {
         let memory = self
             .streamed_bytes()
-            .and_then(|bytes| bodies.reserve(bytes));
+            .and_then(|bytes| body_memory.reserve(bytes));
         match (self, memory) {
             (Payload::Stream { body, .. }, Some(memory)) => {
                 let bytes = body.collect().await?.to_bytes();
--- a/crates/node/src/traffic/peer/connection.rs
+++ b/crates/node/src/traffic/peer/connection.rs
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub(in crate::traffic) struct PeerConnection {
     addr: SocketAddr,
-    reach: DependencyMonitor,
+    monitor: DependencyMonitor,
     sender: Mutex<Option<Sender>>,
     /// Time of the last failed attempt to connect. Locked while connecting, so that
     /// concurrent requests open a single connection.
@@ -57,7 +57,7 @@
     pub(super) fn new(addr: SocketAddr) -> PeerConnection {
         PeerConnection {
             addr,
-            reach: DependencyMonitor::new("peer"),
+            monitor: DependencyMonitor::new("peer"),
             sender: Mutex::new(None),
             last_connect_failure: tokio::sync::Mutex::new(None),
         }
@@ -81,7 +81,7 @@
             let message = failed.take_message();
             let cause = failed.into_error();
             if sender.is_closed() {
-                self.reach.record_failure(self.addr, error_chain(&cause));
+                self.monitor.record_failure(self.addr, error_chain(&cause));
             }
             let error = self.error("request to the peer failed").with_cause(cause);
             match message {
@@ -110,8 +110,8 @@
             .await
             .unwrap_or_else(|_| Err(self.error("timed out while connecting")));
         match &connected {
-            Ok(_) => self.reach.record_success(self.addr),
-            Err(err) => self.reach.record_failure(self.addr, err),
+            Ok(_) => self.monitor.record_success(self.addr),
+            Err(err) => self.monitor.record_failure(self.addr, err),
         };
         *last_failure = connected.is_err().then(Instant::now);
         let sender = connected?;
--- a/crates/node/src/traffic/stored_answer.rs
+++ b/crates/node/src/traffic/stored_answer.rs
@@ -16,17 +16,17 @@
 /// Copies an answer while it is forwarded, and stores it for repeats of its request.
 #[derive(Debug)]
 pub(super) struct AnswerRecorder {
-    running: RunPermit,
+    run_permit: RunPermit,
     answer: StoredAnswer,
     /// Bytes of the body that may still be copied; `None` once the body is too large.
     bytes_left: Option<usize>,
 }
 
 impl AnswerRecorder {
-    /// Copies the head of the answer to the request of `running`. At most `max_bytes` of
+    /// Copies the head of the answer to the request of `run_permit`. At most `max_bytes` of
     /// the body are copied.
     pub(super) fn new<B>(
-        running: RunPermit,
+        run_permit: RunPermit,
         head: &Response<B>,
         max_bytes: usize,
     ) -> AnswerRecorder {
@@ -34,7 +34,7 @@
             (name.as_str().to_owned(), value.as_bytes().to_vec())
         };
         AnswerRecorder {
-            running,
+            run_permit,
             answer: StoredAnswer {
                 status: head.status().as_u16(),
                 headers: head.headers().iter().map(header).collect(),
@@ -62,8 +62,8 @@
     /// repeat is then not run and is refused with an unknown outcome.
     pub(super) fn finish(self, now: Tick) {
         match self.bytes_left {
-            Some(_) => self.running.complete(now, self.answer),
-            None => self.running.mark_unknown(now),
+            Some(_) => self.run_permit.complete(now, self.answer),
+            None => self.run_permit.mark_unknown(now),
         }
     }
 }
--- a/crates/node/src/traffic/target/local_generations.rs
+++ b/crates/node/src/traffic/target/local_generations.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub(in crate::traffic) struct LocalGenerations {
     listed: Mutex<Option<TargetGeneration>>,
-    succession: Mutex<GenerationTracker<HeaderValue>>,
+    tracker: Mutex<GenerationTracker<HeaderValue>>,
 }
 
 impl LocalGenerations {
@@ -29,12 +29,12 @@
 
     /// The generation to name to the target in a request that is meant for `requested`.
     pub(in crate::traffic) fn resolve(&self, now: Tick, requested: &HeaderValue) -> HeaderValue {
-        self.succession().resolve(now, requested).clone()
+        self.tracker().resolve(now, requested).clone()
     }
 
     /// Records that the target answered a request that named this generation.
     pub(in crate::traffic) fn record_answered(&self, named: &HeaderValue) {
-        self.succession().record_answered(named);
+        self.tracker().record_answered(named);
     }
 
     /// Records that the target declined a request that named another generation than
@@ -45,7 +45,7 @@
         named: &HeaderValue,
         answering: &HeaderValue,
     ) {
-        if self.succession().record_declined(now, named, answering) {
+        if self.tracker().record_declined(now, named, answering) {
             tracing::info!(
                 ?named,
                 ?answering,
@@ -54,9 +54,7 @@
         }
     }
 
-    fn succession(&self) -> MutexGuard<'_, GenerationTracker<HeaderValue>> {
-        self.succession
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+    fn tracker(&self) -> MutexGuard<'_, GenerationTracker<HeaderValue>> {
+        self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/traffic/target/pool.rs
+++ b/crates/node/src/traffic/target/pool.rs
@@ -49,7 +49,7 @@
     limit: AtomicU32,
     /// Connections opened since the pool was created.
     opened_total: AtomicU64,
-    reach: DependencyMonitor,
+    monitor: DependencyMonitor,
     state: Mutex<State>,
 }
 
@@ -66,7 +66,7 @@
             addr,
             limit: AtomicU32::new(limit),
             opened_total: AtomicU64::new(0),
-            reach: DependencyMonitor::new("target"),
+            monitor: DependencyMonitor::new("target"),
             state: Mutex::default(),
         })
     }
@@ -124,8 +124,8 @@
             .await
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         match &stream {
-            Ok(_) => self.reach.record_success(self.addr),
-            Err(err) => self.reach.record_failure(self.addr, err),
+            Ok(_) => self.monitor.record_success(self.addr),
+            Err(err) => self.monitor.record_failure(self.addr, err),
         };
         stream
     }
