--- a/crates/core/src/spread/tests/net.rs
+++ b/crates/core/src/spread/tests/net.rs
@@ -177,7 +177,7 @@
         self.now = end;
     }
 
-    /// Runs until `done` returns true and returns the simulated time that took. Panics
+    /// Runs until `complete` returns true and returns the simulated time that took. Panics
     /// after `bound`.
     pub(super) fn run_until(&mut self, bound: Duration, done: impl Fn(&Net) -> bool) -> Duration {
         let start = self.now;
--- a/crates/node/src/admin/answers.rs
+++ b/crates/node/src/admin/answers.rs
@@ -19,13 +19,13 @@
 use sassafrasspool_wire::admin::Status;
 use sassafrasspool_wire::admin::Versions;
 
-use super::Admin;
+use super::AdminServer;
 use crate::View;
 
 /// A summary of the node's state.
-pub(super) fn status(admin: &Admin, spread: &SpreadStatus) -> Status {
+pub(super) fn status(admin: &AdminServer, spread: &SpreadStatus) -> Status {
     let settings = &admin.settings;
-    let shared = &admin.outside.shared;
+    let shared = &admin.context.shared;
     let uptime = shared.clock().now().since(Tick::ZERO);
     Status {
         instance: settings.instance.clone(),
@@ -42,12 +42,12 @@
         peers: spread.peers as u64,
         source_age_ms: spread.source_age.map(|age| age.as_millis() as u64),
         uptime_ms: uptime.as_millis() as u64,
-        control: admin.outside.counts.stats(),
+        control: admin.context.counts.stats(),
     }
 }
 
-fn evacuations(admin: &Admin) -> Vec<EvacuationInfo> {
-    let view = admin.outside.shared.view();
+fn evacuations(admin: &AdminServer) -> Vec<EvacuationInfo> {
+    let view = admin.context.shared.view();
     let found = view.iter().flat_map(|view| view.snapshot.evacuations());
     let info = |it: &Evacuation| EvacuationInfo {
         domain: it.domain.clone(),
@@ -57,8 +57,8 @@
 }
 
 /// The requests in quarantine.
-pub(super) fn quarantine(admin: &Admin) -> QuarantineInfo {
-    let shared = &admin.outside.shared;
+pub(super) fn quarantine(admin: &AdminServer) -> QuarantineInfo {
+    let shared = &admin.context.shared;
     let held = shared.quarantine().list(shared.clock().now());
     let held = held.into_iter().map(|(content, left)| QuarantinedInfo {
         content: content.to_string(),
@@ -71,7 +71,7 @@
 }
 
 /// The versions in force and the newest advertised versions.
-pub(super) fn versions(admin: &Admin, spread: &SpreadStatus) -> Versions {
+pub(super) fn versions(admin: &AdminServer, spread: &SpreadStatus) -> Versions {
     Versions {
         instance: admin.settings.instance.clone(),
         held: versions_in_force(admin),
@@ -145,8 +145,8 @@
 }
 
 /// The versions that requests are routed by now.
-fn versions_in_force(admin: &Admin) -> Held {
-    let view = admin.outside.shared.view();
+fn versions_in_force(admin: &AdminServer) -> Held {
+    let view = admin.context.shared.view();
     view.map(|view| held_versions(&view)).unwrap_or_default()
 }
 
--- a/crates/node/src/control/driver.rs
+++ b/crates/node/src/control/driver.rs
@@ -13,9 +13,9 @@
 use sassafrasspool_core::Tick;
 use sassafrasspool_wire::platform::SourceAsk;
 
+use super::ControlContext;
 use super::ControlEvent;
 use super::DrainCause;
-use super::Outside;
 use super::view_publisher::ViewPublisher;
 use crate::metrics::names;
 
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub(crate) struct ControlDriver {
     dissemination: Box<dyn Disseminate>,
-    context: Outside,
+    context: ControlContext,
     views: ViewPublisher,
     calls_in_flight: usize,
     joined: bool,
@@ -35,7 +35,10 @@
 
 impl ControlDriver {
     /// A driver of dissemination that has handled no event yet.
-    pub(crate) fn new(dissemination: Box<dyn Disseminate>, context: Outside) -> ControlDriver {
+    pub(crate) fn new(
+        dissemination: Box<dyn Disseminate>,
+        context: ControlContext,
+    ) -> ControlDriver {
         ControlDriver {
             dissemination,
             context,
@@ -50,7 +53,7 @@
     }
 
     /// The context that actions are carried out on.
-    pub(super) fn context(&self) -> &Outside {
+    pub(super) fn context(&self) -> &ControlContext {
         &self.context
     }
 
@@ -126,7 +129,7 @@
                 self.stop_requested = true;
                 self.request_drain(DrainCause::Requested);
             }
-            ControlEvent::TrafficStopped { cut } => self.requests_cut = Some(cut),
+            ControlEvent::TrafficStopped { requests_cut } => self.requests_cut = Some(requests_cut),
             ControlEvent::Status(reply) => {
                 let _ = reply.send(self.dissemination.status(self.now()));
             }
@@ -159,10 +162,13 @@
         let since_start = |age| now.since(Tick::ZERO).saturating_sub(age);
         if let Some(since_start) = status.source_age.map(since_start) {
             let contact_at = Tick::ZERO + since_start;
-            self.context.shared.contact().note(contact_at);
+            self.context.shared.contact().record(contact_at);
         }
         if let Some(advertised) = status.advertised.catalogue {
-            self.context.shared.heard().note(now, advertised.revision());
+            self.context
+                .shared
+                .advertised_catalogue()
+                .record_first(now, advertised.revision());
         }
         self.record_list_proof(now, &status);
     }
@@ -183,7 +189,7 @@
             let proved_at = Tick::ZERO + since_start;
             self.context
                 .shared
-                .prove_instances(proved_at, proof.revision);
+                .record_list_proof(proved_at, proof.revision);
         }
     }
 
@@ -231,9 +237,9 @@
                 Action::Apply(applied) => self.views.set_snapshot(applied.snapshot),
                 Action::Joined => self.joined = true,
                 Action::Endpoint(state) => self.views.update_state(state),
-                Action::Quarantine(verdicts) => {
+                Action::Quarantine(state) => {
                     let now = self.now();
-                    self.context.shared.quarantine().judge(now, verdicts);
+                    self.context.shared.quarantine().apply_state(now, state);
                 }
                 Action::Audit(event) => self.record_audit_event(&event),
                 other => tracing::debug!(?other, "unsupported action ignored"),
@@ -259,7 +265,7 @@
             counter!(names::CONFLICTS, "stream" => stream.as_str()).increment(1);
         }
         AuditEvent::OlderIgnored { stream, .. } => {
-            counter!(names::OLDER, "stream" => stream.as_str()).increment(1);
+            counter!(names::OLDER_IGNORED, "stream" => stream.as_str()).increment(1);
         }
         AuditEvent::BodyRefused { stream, .. } => {
             counter!(names::BODIES_REFUSED, "stream" => stream.as_str()).increment(1);
--- a/crates/node/src/control/source_monitor.rs
+++ b/crates/node/src/control/source_monitor.rs
@@ -3,23 +3,23 @@
 use sassafrasspool_core::SourceResult;
 use sassafrasspool_core::Stream;
 
-use crate::reach::AvailabilityChange;
-use crate::reach::Reach;
+use crate::dependency_monitor::AvailabilityChange;
+use crate::dependency_monitor::DependencyMonitor;
 
 /// Whether the platform answers reads. Each stream is monitored separately,
 /// because one can fail while the other is answered.
 #[derive(Debug)]
 pub(crate) struct SourceMonitor {
-    catalogue: Reach,
-    instances: Reach,
+    catalogue: DependencyMonitor,
+    instances: DependencyMonitor,
 }
 
 impl SourceMonitor {
     /// A monitor that assumes that the platform answers.
     pub(crate) const fn new() -> SourceMonitor {
         SourceMonitor {
-            catalogue: Reach::new("platform"),
-            instances: Reach::new("platform"),
+            catalogue: DependencyMonitor::new("platform"),
+            instances: DependencyMonitor::new("platform"),
         }
     }
 
@@ -36,9 +36,9 @@
         match result {
             SourceResult::Failed { reason } => {
                 tracing::debug!(%stream, reason, "a read of the platform failed");
-                monitor.missed(stream, reason)
+                monitor.record_failure(stream, reason)
             }
-            _ => monitor.found(stream),
+            _ => monitor.record_success(stream),
         }
     }
 }
--- a/crates/node/src/reach.rs
+++ b/crates/node/src/dependency_monitor.rs
@@ -17,7 +17,7 @@
 /// many seconds mean long waits between them; the dependency may have been back
 /// long before.
 #[derive(Debug)]
-pub(crate) struct Reach {
+pub(crate) struct DependencyMonitor {
     name: &'static str,
     lost: AtomicBool,
     outage: Mutex<Option<Outage>>,
@@ -42,10 +42,10 @@
     },
 }
 
-impl Reach {
+impl DependencyMonitor {
     /// A dependency that is assumed to answer; `name` is its name in the log.
-    pub(crate) const fn new(name: &'static str) -> Reach {
-        Reach {
+    pub(crate) const fn new(name: &'static str) -> DependencyMonitor {
+        DependencyMonitor {
             name,
             lost: AtomicBool::new(false),
             outage: Mutex::new(None),
@@ -53,7 +53,7 @@
     }
 
     /// Records that `peer` answered.
-    pub(crate) fn found(&self, peer: impl fmt::Display) -> Option<AvailabilityChange> {
+    pub(crate) fn record_success(&self, peer: impl fmt::Display) -> Option<AvailabilityChange> {
         // In the usual case nothing is written to memory shared with other threads.
         if !self.lost.load(Ordering::Relaxed) || !self.lost.swap(false, Ordering::Relaxed) {
             return None;
@@ -66,7 +66,7 @@
     }
 
     /// Records that `peer` didn't answer, and why.
-    pub(crate) fn missed(
+    pub(crate) fn record_failure(
         &self,
         peer: impl fmt::Display,
         reason: impl fmt::Display,
--- a/crates/node/src/node/running.rs
+++ b/crates/node/src/node/running.rs
@@ -16,9 +16,9 @@
 use super::dissemination;
 use crate::Settings;
 use crate::Shared;
+use crate::control::ControlContext;
 use crate::control::ControlEvent;
-use crate::control::Gate;
-use crate::control::Outside;
+use crate::control::FaultInjector;
 use crate::control::StopReport;
 
 /// A running node; clones are handles to the same node.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 pub struct RunningNode {
     settings: Arc<Settings>,
-    context: Outside,
+    context: ControlContext,
     addrs: NodeAddrs,
     ended: watch::Receiver<Option<StopReport>>,
 }
@@ -36,7 +36,7 @@
 impl RunningNode {
     pub(super) fn new(
         settings: Arc<Settings>,
-        context: Outside,
+        context: ControlContext,
         addrs: NodeAddrs,
         ended: watch::Receiver<Option<StopReport>>,
     ) -> RunningNode {
@@ -75,7 +75,7 @@
     }
 
     /// Simulates faults of its control side, for tests and benchmarks.
-    pub fn gate(&self) -> &Gate {
+    pub fn fault_injector(&self) -> &FaultInjector {
         &self.context.fault_injector
     }
 
@@ -116,7 +116,7 @@
                 _ = draining => {}
                 () = self.context.cancel.cancelled() => return,
             }
-            self.context.shared.in_flight().idle().await;
+            self.context.shared.in_flight().wait_until_idle().await;
         }
     }
 
@@ -128,7 +128,7 @@
     /// Fails if the node's thread ended without a report.
     pub async fn stop(&self) -> Result<StopReport> {
         self.context.control.send(ControlEvent::Stop).await;
-        self.ended().await
+        self.wait_until_ended().await
     }
 
     /// Waits until the node has stopped, for any reason.
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// Fails if the node's thread ended without a report.
-    pub async fn ended(&self) -> Result<StopReport> {
+    pub async fn wait_until_ended(&self) -> Result<StopReport> {
         let mut ended = self.ended.clone();
         let report = ended.wait_for(Option::is_some).await;
         let report = report.ok().and_then(|report| *report);
--- a/crates/node/src/settings/drain.rs
+++ b/crates/node/src/settings/drain.rs
@@ -28,19 +28,19 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DrainSettings {
     /// The time in which requests in flight may finish before they are cut.
-    pub bound: Duration,
+    pub in_flight_timeout: Duration,
     /// How long the node still serves after a request to stop, while it reports
     /// that it isn't ready. Zero refuses callers at once; a longer time suits a
     /// deployment whose callers take a while to switch to other nodes.
-    pub callers: Duration,
+    pub caller_grace: Duration,
 }
 
 impl Default for DrainSettings {
     /// Requests in flight get 30 seconds; callers are refused at once.
     fn default() -> DrainSettings {
         DrainSettings {
-            bound: Duration::from_secs(30),
-            callers: Duration::ZERO,
+            in_flight_timeout: Duration::from_secs(30),
+            caller_grace: Duration::ZERO,
         }
     }
 }
@@ -48,22 +48,23 @@
 impl DrainSettings {
     pub(super) fn read(mut table: Table<'_>, faults: &mut Faults) -> Option<DrainSettings> {
         let default = DrainSettings::default();
-        let callers = millis_or(
+        let caller_grace = millis_or(
             &mut table,
             "callers_ms",
             CALLERS_MS,
-            default.callers,
+            default.caller_grace,
             faults,
         );
         let grace = table.optional_text("grace_s", faults, parse_grace);
-        let given = grace.flatten().zip(callers);
-        let given = given.map(|(grace, callers)| bound_within(grace, callers));
-        let default_bound = given.unwrap_or(default.bound);
-        let bound = millis_or(&mut table, "bound_ms", BOUND_MS, default_bound, faults);
+        let given = grace.flatten().zip(caller_grace);
+        let given =
+            given.map(|(grace, caller_grace)| in_flight_timeout_within(grace, caller_grace));
+        let default_bound = given.unwrap_or(default.in_flight_timeout);
+        let in_flight_timeout = millis_or(&mut table, "bound_ms", BOUND_MS, default_bound, faults);
         table.finish(faults);
         Some(DrainSettings {
-            bound: bound?,
-            callers: callers?,
+            in_flight_timeout: in_flight_timeout?,
+            caller_grace: caller_grace?,
         })
     }
 }
@@ -76,12 +77,12 @@
 }
 
 /// The timeout of requests in flight if the process is killed `grace` after the
-/// signal to stop and callers are still served for `callers`.
+/// signal to stop and callers are still served for `caller_grace`.
 ///
 /// A timeout that isn't derived from the grace period would cut requests when half of
 /// it is left.
-fn bound_within(grace: Duration, callers: Duration) -> Duration {
+fn in_flight_timeout_within(grace: Duration, caller_grace: Duration) -> Duration {
     let cut_at = grace.mul_f64(1.0 - GRACE_FRACTION_AFTER_CUT);
     let min = Duration::from_millis(*BOUND_MS.start());
-    cut_at.saturating_sub(callers).max(min)
+    cut_at.saturating_sub(caller_grace).max(min)
 }
--- a/crates/node/src/shared/newest_revision.rs
+++ b/crates/node/src/shared/newest_revision.rs
@@ -13,16 +13,16 @@
 /// The two values are stored separately, so a reader may see one of them from a
 /// later update than the other. That is acceptable because only log lines use them.
 #[derive(Debug, Default)]
-pub struct Newest {
+pub struct NewestRevision {
     /// 0 before the first revision.
     revision: AtomicU64,
     at_us: AtomicU64,
 }
 
-impl Newest {
+impl NewestRevision {
     /// Records a revision at `at`. One that isn't newer is ignored, so that a revision
     /// keeps its first time.
-    pub fn note(&self, at: Tick, revision: Revision) {
+    pub fn record_first(&self, at: Tick, revision: Revision) {
         if self.revision.load(Ordering::Relaxed) < revision.get() {
             self.set(at, revision);
         }
@@ -44,7 +44,7 @@
     }
 
     /// The recorded revision and its age at `now`, if there is one.
-    pub fn current(&self, now: Tick) -> Option<(u64, Duration)> {
+    pub fn revision_and_age(&self, now: Tick) -> Option<(u64, Duration)> {
         let revision = self.revision.load(Ordering::Relaxed);
         let at = Tick::from_micros(self.at_us.load(Ordering::Relaxed));
         (revision > 0).then(|| (revision, now.since(at)))
--- a/crates/node/src/traffic/answer.rs
+++ b/crates/node/src/traffic/answer_body.rs
@@ -12,7 +12,7 @@
 
 use super::BoxError;
 use super::listener::serve::AnswerInProgress;
-use super::stall::Stall;
+use super::stall_detector::StallDetector;
 use super::target::TargetBody;
 use crate::InFlightGuard;
 
@@ -22,9 +22,9 @@
 /// connection closes before the announced length, over HTTP/2 the stream is reset. A cut
 /// answer therefore never looks complete.
 #[derive(Debug)]
-pub(super) struct Answer {
+pub(super) struct AnswerBody {
     source: Source,
-    stall: Stall,
+    stall_detector: StallDetector,
     _in_flight: Option<InFlightGuard>,
     /// Marks the answer as in progress in the connection's pipeline until it ends.
     _pipeline_guard: Option<AnswerInProgress>,
@@ -37,40 +37,40 @@
     Target(TargetBody),
 }
 
-impl Answer {
+impl AnswerBody {
     /// A text from this node.
-    pub(super) fn text(text: impl Into<Bytes>) -> Answer {
-        Answer::new(Source::Text(Some(text.into())))
+    pub(super) fn from_text(text: impl Into<Bytes>) -> AnswerBody {
+        AnswerBody::new(Source::Text(Some(text.into())))
     }
 
     /// The body of another node's answer.
-    pub(super) fn from_peer(body: Incoming) -> Answer {
-        Answer::new(Source::Peer(body))
+    pub(super) fn from_peer(body: Incoming) -> AnswerBody {
+        AnswerBody::new(Source::Peer(body))
     }
 
     /// The body of the local target's answer.
-    pub(super) fn target(body: TargetBody) -> Answer {
-        Answer::new(Source::Target(body))
+    pub(super) fn from_target(body: TargetBody) -> AnswerBody {
+        AnswerBody::new(Source::Target(body))
     }
 
-    fn new(source: Source) -> Answer {
-        Answer {
+    fn new(source: Source) -> AnswerBody {
+        AnswerBody {
             source,
-            stall: Stall::new(),
+            stall_detector: StallDetector::new(),
             _in_flight: None,
             _pipeline_guard: None,
         }
     }
 
     /// The same body, with the guard that counts its request as in flight until it ends.
-    pub(super) fn held(mut self, guard: InFlightGuard) -> Answer {
+    pub(super) fn with_in_flight_guard(mut self, guard: InFlightGuard) -> AnswerBody {
         self._in_flight = Some(guard);
         self
     }
 
     /// The same body, with the guard that records the end of the answer in the pipeline of
     /// its connection.
-    pub(super) fn with_pipeline_guard(mut self, guard: Option<AnswerInProgress>) -> Answer {
+    pub(super) fn with_pipeline_guard(mut self, guard: Option<AnswerInProgress>) -> AnswerBody {
         self._pipeline_guard = guard;
         self
     }
@@ -87,7 +87,7 @@
     }
 }
 
-impl Body for Answer {
+impl Body for AnswerBody {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -97,10 +97,13 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         match self.poll_source(cx) {
             Poll::Ready(frame) => {
-                self.stall.moved();
+                self.stall_detector.record_progress();
                 Poll::Ready(frame)
             }
-            Poll::Pending => self.stall.poll(cx).map(|stalled| Some(Err(stalled))),
+            Poll::Pending => self
+                .stall_detector
+                .poll_stalled(cx)
+                .map(|stalled| Some(Err(stalled))),
         }
     }
 
--- a/crates/node/src/traffic/inbound/exchange.rs
+++ b/crates/node/src/traffic/inbound/exchange.rs
@@ -20,10 +20,10 @@
 use sassafrasspool_core::Step;
 use sassafrasspool_wire::header::REQUEST_ID;
 
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::AnswerBody;
+use crate::traffic::failed_attempt::FailedAttempt;
 use crate::traffic::head;
 use crate::traffic::hub::Hub;
-use crate::traffic::missed::Missed;
 use crate::traffic::parents;
 use crate::traffic::payload::Payload;
 use crate::traffic::stored_answer::AnswerRecorder;
@@ -38,7 +38,7 @@
     pub(in crate::traffic) hub: Arc<Hub>,
     pub(in crate::traffic) stage: Stage<HandedOver>,
     /// The right to run the request of its key, if it has one.
-    pub(in crate::traffic) running: Option<RunPermit>,
+    pub(in crate::traffic) run_permit: Option<RunPermit>,
     pub(in crate::traffic) deadline: Deadline,
     /// Records how the target fares while it runs the request; `None` if the content of
     /// the request is unknown.
@@ -64,12 +64,12 @@
         self,
         conn: Connection,
         req: Request<Payload>,
-    ) -> Result<Response<Answer>, Missed> {
-        if self.running.is_none() {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
+        if self.run_permit.is_none() {
             return self.exchange(conn, req).await;
         }
         let hub = Arc::clone(&self.hub);
-        let cut = hub.cut.clone();
+        let cut = hub.abort.clone();
         let guard = hub.shared.in_flight().enter();
         let task = hub.connections.spawn(async move {
             let _in_flight = guard;
@@ -86,8 +86,8 @@
         self,
         conn: Connection,
         req: Request<Payload>,
-    ) -> Result<Response<Answer>, Missed> {
-        let max = u64::try_from(self.hub.max_stored).unwrap_or(u64::MAX);
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
+        let max = u64::try_from(self.hub.max_stored_answer_bytes).unwrap_or(u64::MAX);
         let res = self.exchange(conn, req).await?;
         let size = res.body().size_hint().upper();
         if size.is_none_or(|size| size > max) {
@@ -96,7 +96,10 @@
         }
         let (head, body) = res.into_parts();
         match body.collect().await {
-            Ok(body) => Ok(Response::from_parts(head, Answer::text(body.to_bytes()))),
+            Ok(body) => Ok(Response::from_parts(
+                head,
+                AnswerBody::from_text(body.to_bytes()),
+            )),
             Err(_) => Err(Loss::new(Step::Forward, LossCause::AnswerCut).into()),
         }
     }
@@ -105,7 +108,7 @@
         self,
         conn: Connection,
         req: Request<Payload>,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let clock = *self.hub.shared.clock();
         let until = clock.instant(self.deadline.tick());
         let id = req.headers().get(REQUEST_ID).cloned();
@@ -114,14 +117,14 @@
         match tokio::time::timeout_at(until.into(), exchange).await {
             Ok(Ok(res)) => {
                 let took = clock.now().since(handed_over_at);
-                self.hub.stages.target.took(self.stage.class(), took);
+                self.hub.stages.target.record(self.stage.class(), took);
                 self.check_answer(res, id.as_ref())
             }
             Ok(Err(target::ExchangeFailure::NotSent(err, proof, unsent))) => {
                 tracing::debug!(%err, "not handed over");
                 let refusal = self.stage.refuse_unsent(clock.now(), proof);
-                let failure = release_key(self.running, refusal).into();
-                Err(Missed { failure, unsent })
+                let failure = release_key(self.run_permit, refusal).into();
+                Err(FailedAttempt { failure, unsent })
             }
             Ok(Err(target::ExchangeFailure::Sent(err))) => {
                 tracing::debug!(%err, "lost");
@@ -145,21 +148,21 @@
         self,
         res: Response<TargetBody>,
         id: Option<&HeaderValue>,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let dialect = self.hub.shared.dialect();
         let echoed = res.headers().get(REQUEST_ID);
-        let declined = dialect.declines(&res);
+        let declined = dialect.proves_not_run(&res);
         let is_foreign = match echoed {
             Some(echoed) => id != Some(echoed),
             None => !declined,
         };
         let unsigned = !declined && dialect.lacks_signature(&res);
-        if (dialect.echoes_id && is_foreign) || unsigned {
+        if (dialect.echoes_request_id && is_foreign) || unsigned {
             return Err(self.lose(LossCause::AnswerInvalid));
         }
         if !declined {
             if let Some(named) = &self.generation {
-                self.hub.own_life.record_answered(named);
+                self.hub.local_generations.record_answered(named);
             }
             return Ok(self.into_answer(res));
         }
@@ -176,20 +179,22 @@
             .stage
             .refuse_by_target(now, reason)
             .with_retry_after(wait);
-        Err(release_key(self.running, refusal).into())
+        Err(release_key(self.run_permit, refusal).into())
     }
 
     /// Records the generation that a target states when it declines a request for another.
     fn record_other_generation(&self, res: &Response<TargetBody>) {
-        let name = self.hub.shared.dialect().answering_life.as_ref();
+        let name = self.hub.shared.dialect().answering_generation.as_ref();
         let answering = name.and_then(|name| res.headers().get(name));
         if let (Some(named), Some(answering)) = (&self.generation, answering) {
             let now = self.hub.shared.clock().now();
-            self.hub.own_life.record_declined(now, named, answering);
+            self.hub
+                .local_generations
+                .record_declined(now, named, answering);
         }
     }
 
-    fn into_answer(self, res: Response<TargetBody>) -> Response<Answer> {
+    fn into_answer(self, res: Response<TargetBody>) -> Response<AnswerBody> {
         let clock = *self.hub.shared.clock();
         let stage = self.stage.begin_answer();
         let mut watched = self.watched;
@@ -197,28 +202,32 @@
             watched.record_status(res.status());
         }
         let mut res = res.map(|body| body.with_slot(stage, clock, watched));
-        head::strip_own(res.headers_mut());
-        head::strip_connection(res.headers_mut());
+        head::strip_internal_headers(res.headers_mut());
+        head::strip_hop_by_hop(res.headers_mut());
         *res.version_mut() = Version::HTTP_11;
-        let recorder = self
-            .running
-            .map(|running| Box::new(AnswerRecorder::new(running, &res, self.hub.max_stored)));
-        res.map(|body| Answer::target(body.with_recorder(recorder)))
+        let recorder = self.run_permit.map(|run_permit| {
+            Box::new(AnswerRecorder::new(
+                run_permit,
+                &res,
+                self.hub.max_stored_answer_bytes,
+            ))
+        });
+        res.map(|body| AnswerBody::from_target(body.with_recorder(recorder)))
     }
 
-    fn lose(self, cause: LossCause) -> Missed {
+    fn lose(self, cause: LossCause) -> FailedAttempt {
         let now = self.hub.shared.clock().now();
-        if let Some(running) = self.running {
-            running.mark_unknown(now);
+        if let Some(run_permit) = self.run_permit {
+            run_permit.mark_unknown(now);
         }
         self.stage.lose(now, cause).into()
     }
 }
 
 /// Marks the key of a refused request as unused.
-pub(in crate::traffic) fn release_key(running: Option<RunPermit>, refusal: Refusal) -> Refusal {
-    match running {
-        Some(running) => running.release(refusal),
+pub(in crate::traffic) fn release_key(run_permit: Option<RunPermit>, refusal: Refusal) -> Refusal {
+    match run_permit {
+        Some(run_permit) => run_permit.release(refusal),
         None => refusal,
     }
 }
--- a/crates/node/src/traffic/inbound/forward.rs
+++ b/crates/node/src/traffic/inbound/forward.rs
@@ -27,21 +27,21 @@
 use sassafrasspool_wire::header as names;
 
 use crate::Routes;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::AnswerBody;
+use crate::traffic::failed_attempt::FailedAttempt;
 use crate::traffic::head;
 use crate::traffic::inbound::access_log::Facts;
 use crate::traffic::inbound::access_log::InboundLogEntry;
 use crate::traffic::inbound::inbound_request::InboundRequest;
 use crate::traffic::inbound::unsent_key::UnsentKey;
-use crate::traffic::keyed::Keyed;
-use crate::traffic::missed::Missed;
+use crate::traffic::keyed_attempt::KeyedAttempt;
 use crate::traffic::payload::Payload;
 use crate::traffic::stored_answer;
 use crate::traffic::worker::Worker;
 
 /// What is known of a request besides its head and body.
 #[derive(Debug, Clone)]
-pub(in crate::traffic) struct Call<'a> {
+pub(in crate::traffic) struct CallContext<'a> {
     /// The routes in force for it.
     pub(in crate::traffic) routes: &'a Routes,
     /// The deadline, at which the request is abandoned.
@@ -53,20 +53,20 @@
     /// The kind that the first hop's route assigns, if the first hop sent it.
     pub(in crate::traffic) kind: Option<KindName>,
     /// The soft deadline: until then the answer is worth most to the caller.
-    pub(in crate::traffic) aim: Option<Tick>,
+    pub(in crate::traffic) soft_deadline: Option<Tick>,
     /// Whether this node is the last resort: no other node is tried after it.
-    pub(in crate::traffic) settles: bool,
+    pub(in crate::traffic) last_resort: bool,
     /// The content of the request, if the first hop sent it.
     pub(in crate::traffic) content: Option<Content>,
     /// The target generation that it is meant for, where generations are distinguished.
-    pub(in crate::traffic) life: Option<HeaderValue>,
+    pub(in crate::traffic) generation: Option<HeaderValue>,
     /// Whether it is meant for the service that the settings name for the local target.
-    pub(in crate::traffic) for_own_service: bool,
+    pub(in crate::traffic) for_local_service: bool,
     /// The service of the target whose node is the first hop of the request.
     pub(in crate::traffic) origin: Option<HeaderValue>,
 }
 
-impl Call<'_> {
+impl CallContext<'_> {
     /// The admission request for it.
     pub(in crate::traffic) fn admission_request<'a>(
         &'a self,
@@ -75,8 +75,8 @@
     ) -> AdmissionRequest<'a> {
         AdmissionRequest {
             kind: self.kind.as_ref(),
-            soft_deadline: self.aim,
-            last_resort: self.settles,
+            soft_deadline: self.soft_deadline,
+            last_resort: self.last_resort,
             ..Stage::received(class, self.deadline).admission_request(limits)
         }
     }
@@ -87,16 +87,16 @@
 /// # Errors
 ///
 /// Returns a refusal if the request was not handed over, and a loss after that.
-pub(in crate::traffic) async fn run(
+pub(in crate::traffic) async fn run_in_target(
     worker: &Worker,
     req: Request<Payload>,
-    call: Call<'_>,
-) -> Result<Response<Answer>, Missed> {
+    call: CallContext<'_>,
+) -> Result<Response<AnswerBody>, FailedAttempt> {
     let hub = &worker.hub;
     let checked = hub.check_quarantine(Step::Admission, call.content.as_ref());
     let service = match checked.and_then(|()| local_service(worker, &call)) {
         Ok(service) => service,
-        Err(refusal) => return Err(Missed::unsent(refusal, req)),
+        Err(refusal) => return Err(FailedAttempt::unsent(refusal, req)),
     };
     let has_key = req.headers().contains_key(names::IDEMPOTENCY_KEY);
     let has_homes = call.routes.view.snapshot.has_homes();
@@ -106,17 +106,20 @@
     };
     // The sending node may have routed by an earlier catalogue version.
     if route.is_some_and(|route| !route.homes.allows(&hub.region)) {
-        return Err(Missed::unsent(refuse(Reason::OutsideHomes), req));
+        return Err(FailedAttempt::unsent(refuse(Reason::OutsideHomes), req));
     }
-    let listed = call.routes.own().map(|(endpoint, _)| &endpoint.instance);
+    let listed = call
+        .routes
+        .local_endpoint()
+        .map(|(endpoint, _)| &endpoint.instance);
     let slots = listed.map(|instance| instance.slots);
     if let Some(generation) = listed.and_then(|instance| instance.target.as_ref()) {
-        worker.hub.follow_target(generation);
+        worker.hub.update_listed_generation(generation);
     }
     let by_route = route.map_or(service.entry.class, |route| route.class);
     let class = call.class.unwrap_or(by_route);
-    let running = match decide_run(worker, route, &req) {
-        RunDecision::Run(running) => running,
+    let run_permit = match decide_run(worker, route, &req) {
+        RunDecision::Run(run_permit) => run_permit,
         RunDecision::Answer(stored) => return Ok(stored_answer::to_response(&stored)),
         RunDecision::Refuse(refusal) => return Err(refusal.into()),
     };
@@ -124,9 +127,9 @@
         class,
         kind: call.kind.clone(),
         content: call.content,
-        generation: call.life.clone(),
+        generation: call.generation.clone(),
         deadline: call.deadline,
-        soft_deadline: call.aim,
+        soft_deadline: call.soft_deadline,
         list_revision: call.routes.view.snapshot.instances().revision().get(),
     };
     let cold = cold_limit(worker, service, &call);
@@ -134,7 +137,7 @@
         worker,
         req,
         call,
-        key: UnsentKey::new(running),
+        key: UnsentKey::new(run_permit),
     };
     let limits = &service.entry.limits;
     let log_entry = InboundLogEntry::new(worker, facts, inbound.request_id());
@@ -150,36 +153,49 @@
 /// # Errors
 ///
 /// Returns the refusal that the request itself would receive.
-pub(in crate::traffic) fn check_capacity(worker: &Worker, call: &Call<'_>) -> Result<(), Refusal> {
+pub(in crate::traffic) fn check_capacity(
+    worker: &Worker,
+    call: &CallContext<'_>,
+) -> Result<(), Refusal> {
     let content = call.content.as_ref();
     worker.hub.check_quarantine(Step::Admission, content)?;
     let service = local_service(worker, call)?;
     let class = call.class.unwrap_or(service.entry.class);
-    let mut ask = call.admission_request(class, &service.entry.limits);
-    ask.cold_limit = cold_limit(worker, service, call);
+    let mut admission_request = call.admission_request(class, &service.entry.limits);
+    admission_request.cold_limit = cold_limit(worker, service, call);
     let now = worker.hub.shared.clock().now();
-    match worker.hub.admission.predict_refusal(now, &ask) {
+    match worker
+        .hub
+        .admission
+        .predict_refusal(now, &admission_request)
+    {
         Some(refusal) => Err(refusal),
-        None => worker.hub.arrivals.try_acquire().map(drop),
+        None => worker.hub.uploads.try_acquire().map(drop),
     }
 }
 
 /// The admission limit of the local target, if it is cold.
-fn cold_limit(worker: &Worker, service: &BoundService, call: &Call<'_>) -> Option<ColdLimit> {
+fn cold_limit(
+    worker: &Worker,
+    service: &BoundService,
+    call: &CallContext<'_>,
+) -> Option<ColdLimit> {
     let shared = &worker.hub.shared;
     let start = service.entry.cold_start.as_ref();
-    let generation = call.life.as_ref().and_then(|name| name.to_str().ok());
+    let generation = call.generation.as_ref().and_then(|name| name.to_str().ok());
     let tolerance = worker.hub.cold_tolerance;
     let now = shared.clock().now();
-    shared.coldness().limit(now, start, tolerance, generation)
+    shared
+        .cold_tracker()
+        .cold_limit(now, start, tolerance, generation)
 }
 
 /// The service of the local target, if the local endpoint accepts work.
-fn local_service<'a>(worker: &Worker, call: &Call<'a>) -> Result<&'a BoundService, Refusal> {
+fn local_service<'a>(worker: &Worker, call: &CallContext<'a>) -> Result<&'a BoundService, Refusal> {
     if let Some(reason) = refusal_reason(worker) {
         return Err(refuse(reason));
     }
-    let listed = call.routes.own().map(|(_, service)| service);
+    let listed = call.routes.local_endpoint().map(|(_, service)| service);
     let by_name = || call.routes.view.snapshot.find_service(&worker.hub.service);
     let service = listed.or_else(|| by_name().map(|(_, service)| service));
     service.ok_or_else(|| refuse(Reason::NoConfiguration))
@@ -198,14 +214,17 @@
     if route.is_some_and(|route| route.idempotent) {
         return RunDecision::Run(None);
     }
-    let keyed = match Keyed::of(&hub.service, req) {
+    let keyed = match KeyedAttempt::from_request(&hub.service, req) {
         Ok(Some(keyed)) => keyed,
         Ok(None) => return RunDecision::Run(None),
         Err(refusal) => return RunDecision::Refuse(refusal),
     };
     let now = hub.shared.clock().now();
-    match hub.repeat.begin_attempt(now, keyed.key, keyed.attempt) {
-        AttemptDecision::Run(running) => RunDecision::Run(Some(running)),
+    match hub
+        .dedup_window
+        .begin_attempt(now, keyed.key, keyed.attempt)
+    {
+        AttemptDecision::Run(run_permit) => RunDecision::Run(Some(run_permit)),
         AttemptDecision::Answer(stored) => RunDecision::Answer(stored),
         AttemptDecision::Refuse(refusal) => RunDecision::Refuse(refusal),
     }
@@ -229,7 +248,7 @@
 fn local_route<'a>(
     req: &Request<Payload>,
     service: &BoundService,
-    call: &Call<'a>,
+    call: &CallContext<'a>,
 ) -> Option<&'a Route> {
     let host = head::host(req);
     let bound = call
@@ -250,7 +269,10 @@
         headers.insert(names::LOAD, value);
     }
     let shared = &worker.hub.shared;
-    let cold = shared.coldness().left(shared.clock().now()).as_millis();
+    let cold = shared
+        .cold_tracker()
+        .cold_left(shared.clock().now())
+        .as_millis();
     if cold > 0 {
         let cold = u64::try_from(cold).unwrap_or(u64::MAX);
         headers.insert(names::COLD_MS, HeaderValue::from(cold));
--- a/crates/node/src/traffic/inbound/inbound_request.rs
+++ b/crates/node/src/traffic/inbound/inbound_request.rs
@@ -23,16 +23,16 @@
 use sassafrasspool_wire::header::REQUEST_TIMEOUT_MS;
 
 use crate::Dialect;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::AnswerBody;
+use crate::traffic::failed_attempt::FailedAttempt;
 use crate::traffic::head;
 use crate::traffic::hub::Hub;
 use crate::traffic::inbound::admission;
 use crate::traffic::inbound::body_intake;
 use crate::traffic::inbound::exchange::SentRequest;
 use crate::traffic::inbound::exchange::release_key;
-use crate::traffic::inbound::forward::Call;
+use crate::traffic::inbound::forward::CallContext;
 use crate::traffic::inbound::unsent_key::UnsentKey;
-use crate::traffic::missed::Missed;
 use crate::traffic::parents::Parent;
 use crate::traffic::payload::Payload;
 use crate::traffic::target;
@@ -45,7 +45,7 @@
 pub(in crate::traffic) struct InboundRequest<'a> {
     pub(in crate::traffic) worker: &'a Worker,
     pub(in crate::traffic) req: Request<Payload>,
-    pub(in crate::traffic) call: Call<'a>,
+    pub(in crate::traffic) call: CallContext<'a>,
     pub(in crate::traffic) key: UnsentKey,
 }
 
@@ -66,38 +66,42 @@
         limits: &Limits,
         slots: Option<u32>,
         cold: Option<ColdLimit>,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let hub = &self.worker.hub;
         let stage = Stage::received(class, self.call.deadline);
-        let mut ask = self.call.admission_request(class, limits);
-        ask.cold_limit = cold;
+        let mut admission_request = self.call.admission_request(class, limits);
+        admission_request.cold_limit = cold;
         if let Some(slots) = slots {
-            ask.slots = Some(slots);
+            admission_request.slots = Some(slots);
             hub.pool.resize(slots);
         }
-        self.req = body_intake::receive_body(hub, &ask, self.req).await?;
+        self.req = body_intake::receive_body(hub, &admission_request, self.req).await?;
         let queued_at = hub.shared.clock().now();
         let clock = hub.shared.clock();
-        let quarantined = hub.quarantined(Step::Admission, self.call.content.as_ref());
-        let admitted = admission::admit(&hub.admission, clock, &ask, quarantined).await;
+        let quarantined = hub.wait_quarantined(Step::Admission, self.call.content.as_ref());
+        let admitted =
+            admission::admit(&hub.admission, clock, &admission_request, quarantined).await;
         let waited = hub.shared.clock().now().since(queued_at);
-        hub.stages.queue.took(class, waited);
+        hub.stages.queue.record(class, waited);
         let permit: Permit = match admitted {
             Ok(permit) => permit,
-            Err(refusal) => return Err(Missed::unsent(refusal, self.req)),
+            Err(refusal) => return Err(FailedAttempt::unsent(refusal, self.req)),
         };
         let stage = stage.admit(permit);
         if hub.has_departed() {
             // The target departed while the request was queued.
             let now = hub.shared.clock().now();
             let refusal = stage.refuse(now, Step::Admission, Reason::Draining);
-            return Err(Missed::unsent(refusal, self.req));
+            return Err(FailedAttempt::unsent(refusal, self.req));
         }
-        if let Some(left) = hub.quarantined_for(self.call.content.as_ref()) {
+        if let Some(left) = hub.remaining_quarantine(self.call.content.as_ref()) {
             // The request was quarantined while it was queued.
             let now = hub.shared.clock().now();
             let refusal = stage.refuse(now, Step::Admission, Reason::Quarantined);
-            return Err(Missed::unsent(refusal.with_retry_after(left), self.req));
+            return Err(FailedAttempt::unsent(
+                refusal.with_retry_after(left),
+                self.req,
+            ));
         }
         match target::acquire(&hub.pool, self.worker.index).await {
             Ok(conn) => self.hand_over(stage, conn).await,
@@ -105,7 +109,7 @@
                 tracing::debug!(%err, "not handed over");
                 let now = hub.shared.clock().now();
                 let refusal = stage.refuse(now, Step::Connect, Reason::Connect);
-                Err(Missed::unsent(refusal, self.req))
+                Err(FailedAttempt::unsent(refusal, self.req))
             }
         }
     }
@@ -114,7 +118,7 @@
         self,
         stage: Stage<Admitted>,
         conn: Connection,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let InboundRequest {
             worker,
             req,
@@ -128,9 +132,9 @@
         };
         let parent = hub.parents.register(req.headers(), parent);
         let now = hub.shared.clock().now();
-        let running = match key.into_running(now) {
-            Ok(running) => running,
-            Err(refusal) => return Err(Missed::unsent(refusal, req)),
+        let run_permit = match key.into_run_permit(now) {
+            Ok(run_permit) => run_permit,
+            Err(refusal) => return Err(FailedAttempt::unsent(refusal, req)),
         };
         let generation = named_generation(hub, now, &call);
         match stage.hand_over(now) {
@@ -143,15 +147,15 @@
                 let sent = SentRequest {
                     hub: Arc::clone(hub),
                     stage,
-                    running,
+                    run_permit,
                     deadline: call.deadline,
                     watched,
-                    generation: generation.filter(|_| call.for_own_service),
+                    generation: generation.filter(|_| call.for_local_service),
                     _parent: parent,
                 };
                 sent.run(conn, req).await
             }
-            Err(refusal) => Err(Missed::unsent(release_key(running, refusal), req)),
+            Err(refusal) => Err(FailedAttempt::unsent(release_key(run_permit, refusal), req)),
         }
     }
 }
@@ -161,10 +165,10 @@
 /// It differs from the requested one only where the target certainly serves the
 /// requested service: while a node stops, the address of its target may already belong
 /// to another target.
-fn named_generation(hub: &Hub, now: Tick, call: &Call<'_>) -> Option<HeaderValue> {
-    let requested = call.life.as_ref()?;
-    match call.for_own_service && !hub.is_leaving() {
-        true => Some(hub.own_life.resolve(now, requested)),
+fn named_generation(hub: &Hub, now: Tick, call: &CallContext<'_>) -> Option<HeaderValue> {
+    let requested = call.generation.as_ref()?;
+    match call.for_local_service && !hub.is_leaving() {
+        true => Some(hub.local_generations.resolve(now, requested)),
         false => Some(requested.clone()),
     }
 }
@@ -178,12 +182,12 @@
     mut req: Request<Payload>,
     left: Duration,
     generation: Option<&HeaderValue>,
-    call: &Call<'_>,
+    call: &CallContext<'_>,
     dialect: &Dialect,
 ) -> Request<Payload> {
-    head::strip_own(req.headers_mut());
+    head::strip_internal_headers(req.headers_mut());
     let own_headers = [
-        (&dialect.target_life, generation),
+        (&dialect.target_generation, generation),
         (&dialect.origin, call.origin.as_ref()),
     ];
     for (name, value) in own_headers {
--- a/crates/node/src/traffic/outbound/access_log.rs
+++ b/crates/node/src/traffic/outbound/access_log.rs
@@ -21,12 +21,12 @@
 
 use crate::Routes;
 use crate::Shared;
+use crate::log::LoggedOutcome;
 use crate::log::Rank;
-use crate::log::Told;
 use crate::log::micros;
 use crate::log::unix_ms;
 use crate::log::with_outcome;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::AnswerBody;
 use crate::traffic::outbound::first_hop::FirstHop;
 use crate::traffic::worker::Worker;
 
@@ -103,7 +103,7 @@
     }
 
     /// Logs the end of the request.
-    pub(in crate::traffic) fn log_end(mut self, ended: &Result<Response<Answer>, Failure>) {
+    pub(in crate::traffic) fn log_end(mut self, ended: &Result<Response<AnswerBody>, Failure>) {
         if let Some(mut line) = self.line(ENDED, self.started_at) {
             let is_success = ended
                 .as_ref()
@@ -113,7 +113,9 @@
                 false => Rank::Failure,
             };
             line.status = ended.as_ref().ok().map(|res| res.status().as_u16());
-            let outcome = ended.as_ref().map_or_else(Told::from, |_| Told::ANSWERED);
+            let outcome = ended
+                .as_ref()
+                .map_or_else(LoggedOutcome::from, |_| LoggedOutcome::ANSWERED);
             let log = self.first.context().worker.hub.shared.log();
             log.write(rank, &with_outcome(line, outcome));
         }
@@ -186,12 +188,12 @@
     let millis = |age| micros(age) / 1_000;
     let snapshot = routes.map(|routes| &routes.view.snapshot);
     let catalogue = snapshot.map(|snapshot| snapshot.catalogue().revision().get());
-    let in_force = shared.in_force().current(now);
+    let in_force = shared.catalogue_in_force().revision_and_age(now);
     let in_force = in_force.filter(|(revision, _)| Some(*revision) == catalogue);
-    let advertised = shared.heard().current(now);
+    let advertised = shared.advertised_catalogue().revision_and_age(now);
     let advertised = advertised.filter(|(revision, _)| Some(*revision) != catalogue);
     let list = snapshot.map(|snapshot| snapshot.instances().revision().get());
-    let confirmed = shared.proved_list().current(now);
+    let confirmed = shared.list_proof().revision_and_age(now);
     let confirmed = confirmed.filter(|(revision, _)| Some(*revision) == list);
     RequestLine {
         catalogue,
--- a/crates/node/src/traffic/outbound/attempt.rs
+++ b/crates/node/src/traffic/outbound/attempt.rs
@@ -31,14 +31,14 @@
 use sassafrasspool_wire::header as names;
 
 use crate::Routes;
-use crate::traffic::answer::Answer;
+use crate::traffic::answer_body::AnswerBody;
+use crate::traffic::failed_attempt::FailedAttempt;
+use crate::traffic::failure_response;
 use crate::traffic::head;
 use crate::traffic::inbound::forward;
-use crate::traffic::inbound::forward::Call;
-use crate::traffic::missed::Missed;
+use crate::traffic::inbound::forward::CallContext;
 use crate::traffic::payload::Payload;
 use crate::traffic::peer::SendError;
-use crate::traffic::refusal;
 use crate::traffic::worker::Worker;
 
 /// One attempt of a request at one endpoint.
@@ -71,9 +71,9 @@
         &self,
         picked: Picked,
         req: Request<Payload>,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         let result = if self.instance.id == *self.worker.hub.shared.me() {
-            forward::run(self.worker, req, self.call_context()).await
+            forward::run_in_target(self.worker, req, self.call_context()).await
         } else {
             self.send_to_peer(&picked, req).await
         };
@@ -90,18 +90,18 @@
         result
     }
 
-    fn call_context(&self) -> Call<'_> {
-        Call {
+    fn call_context(&self) -> CallContext<'_> {
+        CallContext {
             routes: self.routes,
             deadline: self.deadline,
             hop: self.hop,
             class: Some(self.class),
             kind: Some(self.kind.clone()),
-            aim: self.soft_deadline,
-            settles: self.last_resort,
+            soft_deadline: self.soft_deadline,
+            last_resort: self.last_resort,
             content: self.content.copied(),
-            life: self.generation(),
-            for_own_service: self.worker.hub.serves(self.instance.service.as_str()),
+            generation: self.generation(),
+            for_local_service: self.worker.hub.serves(self.instance.service.as_str()),
             origin: self.origin(),
         }
     }
@@ -116,7 +116,12 @@
     /// The listed generation of the target, if the dialect has generations.
     fn generation(&self) -> Option<HeaderValue> {
         let generation = self.instance.target.as_ref()?;
-        self.worker.hub.shared.dialect().target_life.as_ref()?;
+        self.worker
+            .hub
+            .shared
+            .dialect()
+            .target_generation
+            .as_ref()?;
         HeaderValue::from_str(generation.id.as_str()).ok()
     }
 
@@ -132,16 +137,16 @@
         &self,
         picked: &Picked,
         req: Request<Payload>,
-    ) -> Result<Response<Answer>, Missed> {
+    ) -> Result<Response<AnswerBody>, FailedAttempt> {
         if !req.body().is_short()
             && let Err(refusal) = self.check_capacity(picked, &req).await
         {
-            return Err(Missed::unsent(refusal, req));
+            return Err(FailedAttempt::unsent(refusal, req));
         }
         let res = self.exchange_with_peer(picked, req).await?;
-        match refusal::failure_of(&res) {
+        match failure_response::parse_failure(&res) {
             Some(failure) => Err(failure.into()),
-            None => Ok(clean_peer_response(res.map(Answer::from_peer))),
+            None => Ok(clean_peer_response(res.map(AnswerBody::from_peer))),
         }
     }
 
@@ -160,7 +165,7 @@
             .insert(names::ROOM, HeaderValue::from_static("1"));
         let answered = self.exchange_with_peer(picked, probe).await;
         let failure = match answered {
-            Ok(res) => refusal::failure_of(&res),
+            Ok(res) => failure_response::parse_failure(&res),
             Err(failed) => Some(failed.failure),
         };
         match failure {
@@ -176,7 +181,7 @@
         &self,
         picked: &Picked,
         req: Request<Payload>,
-    ) -> Result<Response<Incoming>, Missed> {
+    ) -> Result<Response<Incoming>, FailedAttempt> {
         let clock = self.worker.hub.shared.clock();
         let left = self
             .deadline
@@ -195,7 +200,7 @@
             Ok(Err(SendError::NotSent(err, req))) => {
                 tracing::debug!(%err, "not sent to the peer");
                 let refusal = Refusal::not_run(Step::Forward, Reason::Connect);
-                return Err(Missed::unsent(refusal, *req));
+                return Err(FailedAttempt::unsent(refusal, *req));
             }
             Ok(Err(SendError::Sent(err))) => {
                 tracing::debug!(%err, "lost");
@@ -205,7 +210,7 @@
         };
         if let Some(load) = parse_load(&res) {
             picked.record_load(clock.now(), load);
-            let cold_ms = head::number(res.headers(), &names::COLD_MS).unwrap_or(0);
+            let cold_ms = head::parse_number(res.headers(), &names::COLD_MS).unwrap_or(0);
             picked.mark_cold_for(clock.now(), Duration::from_millis(cold_ms));
         }
         Ok(res)
@@ -263,8 +268,8 @@
     }
 }
 
-fn clean_peer_response(mut res: Response<Answer>) -> Response<Answer> {
-    head::strip_connection(res.headers_mut());
+fn clean_peer_response(mut res: Response<AnswerBody>) -> Response<AnswerBody> {
+    head::strip_hop_by_hop(res.headers_mut());
     *res.version_mut() = Version::HTTP_11;
     res
 }
--- a/crates/node/src/traffic/payload.rs
+++ b/crates/node/src/traffic/payload.rs
@@ -16,10 +16,10 @@
 use hyper::body::Incoming;
 
 use super::BoxError;
-use super::bodies::Bodies;
-use super::bodies::MemoryReservation;
+use super::body_memory::BodyMemory;
+use super::body_memory::MemoryReservation;
 use super::bounds::MAX_BODY_BYTES;
-use super::bounds::UPLOAD_WINDOW;
+use super::bounds::UPLOAD_WINDOW_BYTES;
 
 /// The body of a request.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
     }
 
     /// A body that is forwarded while a caller sends it.
-    pub(super) fn stream(body: Incoming) -> Payload {
+    pub(super) fn streaming(body: Incoming) -> Payload {
         if body.is_end_stream() {
             return Payload::empty();
         }
@@ -57,7 +57,7 @@
 
     /// A handle that shows later whether all of a streamed body was read; `None` for a
     /// buffered body.
-    pub(super) fn taken(&self) -> Option<ReadStatus> {
+    pub(super) fn read_status(&self) -> Option<ReadStatus> {
         match self {
             Payload::Buffered(_) => None,
             Payload::Stream { body, .. } => Some(body.read_to_end.clone()),
@@ -82,7 +82,7 @@
     /// Whether the body is known to be so short that it arrives with its head.
     pub(super) fn is_short(&self) -> bool {
         let upper = self.size_hint().upper();
-        upper.is_some_and(|bytes| bytes <= u64::from(UPLOAD_WINDOW))
+        upper.is_some_and(|bytes| bytes <= u64::from(UPLOAD_WINDOW_BYTES))
     }
 
     /// Size in bytes of a body that is not buffered; `None` if the size is unknown or the
@@ -99,10 +99,10 @@
     /// # Errors
     ///
     /// Fails if the sender aborts the body.
-    pub(super) async fn hold(self, bodies: &Bodies) -> Result<Payload, hyper::Error> {
+    pub(super) async fn buffer(self, body_memory: &BodyMemory) -> Result<Payload, hyper::Error> {
         let memory = self
             .streamed_bytes()
-            .and_then(|bytes| bodies.reserve(bytes));
+            .and_then(|bytes| body_memory.reserve(bytes));
         match (self, memory) {
             (Payload::Stream { body, .. }, Some(memory)) => {
                 let bytes = body.collect().await?.to_bytes();
@@ -116,7 +116,7 @@
     }
 
     /// A clone of the body, if it is buffered.
-    pub(super) fn again(&self) -> Option<Payload> {
+    pub(super) fn try_clone(&self) -> Option<Payload> {
         match self {
             Payload::Buffered(body) => Some(Payload::Buffered(body.clone())),
             Payload::Stream { .. } => None,
@@ -144,7 +144,7 @@
 
 impl ReadStatus {
     /// Whether the body was read to its end.
-    pub(super) fn is_whole(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
--- a/crates/node/src/traffic/peer/connection.rs
+++ b/crates/node/src/traffic/peer/connection.rs
@@ -20,8 +20,8 @@
 use tokio::net::TcpStream;
 
 use super::stall_timer::StallTimer;
+use crate::dependency_monitor::DependencyMonitor;
 use crate::metrics::traffic;
-use crate::reach::Reach;
 use crate::traffic::bounds::CONNECT_TIMEOUT;
 use crate::traffic::bounds::CONNECTION_WINDOW_BYTES;
 use crate::traffic::bounds::MAX_HEAD_BYTES;
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub(in crate::traffic) struct PeerConnection {
     addr: SocketAddr,
-    reach: Reach,
+    monitor: DependencyMonitor,
     sender: Mutex<Option<Sender>>,
     /// Time of the last failed attempt to connect. Locked while connecting, so that
     /// concurrent requests open a single connection.
@@ -57,7 +57,7 @@
     pub(super) fn new(addr: SocketAddr) -> PeerConnection {
         PeerConnection {
             addr,
-            reach: Reach::new("peer"),
+            monitor: DependencyMonitor::new("peer"),
             sender: Mutex::new(None),
             last_connect_failure: tokio::sync::Mutex::new(None),
         }
@@ -81,7 +81,7 @@
             let message = failed.take_message();
             let cause = failed.into_error();
             if sender.is_closed() {
-                self.reach.missed(self.addr, error_chain(&cause));
+                self.monitor.record_failure(self.addr, error_chain(&cause));
             }
             let error = self.error("request to the peer failed").with_cause(cause);
             match message {
@@ -110,8 +110,8 @@
             .await
             .unwrap_or_else(|_| Err(self.error("timed out while connecting")));
         match &connected {
-            Ok(_) => self.reach.found(self.addr),
-            Err(err) => self.reach.missed(self.addr, err),
+            Ok(_) => self.monitor.record_success(self.addr),
+            Err(err) => self.monitor.record_failure(self.addr, err),
         };
         *last_failure = connected.is_err().then(Instant::now);
         let sender = connected?;
--- a/crates/node/src/traffic/stall.rs
+++ b/crates/node/src/traffic/stall_detector.rs
@@ -17,23 +17,23 @@
 /// otherwise occupy a slot and block a caller for ever. The timer is only created
 /// for bodies that have to wait.
 #[derive(Debug)]
-pub(super) struct Stall(Option<Pin<Box<Sleep>>>);
+pub(super) struct StallDetector(Option<Pin<Box<Sleep>>>);
 
-impl Stall {
+impl StallDetector {
     /// A detector without a timer; the first poll creates the timer.
-    pub(super) fn new() -> Stall {
-        Stall(None)
+    pub(super) fn new() -> StallDetector {
+        StallDetector(None)
     }
 
     /// Restarts the timeout after data was received.
-    pub(super) fn moved(&mut self) {
+    pub(super) fn record_progress(&mut self) {
         if let Some(sleep) = &mut self.0 {
             sleep.as_mut().reset(Instant::now() + STALL_TIMEOUT);
         }
     }
 
     /// Ready with an error once no data has been received for the timeout.
-    pub(super) fn poll(&mut self, cx: &mut Context<'_>) -> Poll<BoxError> {
+    pub(super) fn poll_stalled(&mut self, cx: &mut Context<'_>) -> Poll<BoxError> {
         let sleep = self
             .0
             .get_or_insert_with(|| Box::pin(tokio::time::sleep(STALL_TIMEOUT)));
--- a/crates/node/src/traffic/target/pool.rs
+++ b/crates/node/src/traffic/target/pool.rs
@@ -25,11 +25,11 @@
 use tokio::net::TcpStream;
 
 use super::connection::Connection;
+use crate::dependency_monitor::DependencyMonitor;
 use crate::metrics::traffic;
-use crate::reach::Reach;
 use crate::traffic::bounds::CONNECT_TIMEOUT;
 use crate::traffic::bounds::MAX_HEAD_BYTES;
-use crate::traffic::bounds::MAX_IDLE;
+use crate::traffic::bounds::MAX_TARGET_IDLE_TIME;
 
 /// The traffic thread on which a connection was opened; using it there is cheapest.
 pub(in crate::traffic) type WorkerIndex = usize;
@@ -49,7 +49,7 @@
     limit: AtomicU32,
     /// Connections opened since the pool was created.
     opened_total: AtomicU64,
-    reach: Reach,
+    monitor: DependencyMonitor,
     state: Mutex<State>,
 }
 
@@ -66,7 +66,7 @@
             addr,
             limit: AtomicU32::new(limit),
             opened_total: AtomicU64::new(0),
-            reach: Reach::new("target"),
+            monitor: DependencyMonitor::new("target"),
             state: Mutex::default(),
         })
     }
@@ -93,7 +93,7 @@
     }
 
     /// Closes the idle connections.
-    pub(in crate::traffic) fn clear(&self) {
+    pub(in crate::traffic) fn close_idle(&self) {
         let idle = std::mem::take(&mut self.lock().idle);
         drop(idle);
     }
@@ -124,8 +124,8 @@
             .await
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         match &stream {
-            Ok(_) => self.reach.found(self.addr),
-            Err(err) => self.reach.missed(self.addr, err),
+            Ok(_) => self.monitor.record_success(self.addr),
+            Err(err) => self.monitor.record_failure(self.addr, err),
         };
         stream
     }
@@ -212,7 +212,7 @@
 }
 
 fn is_expired(idle: &Connection, now: Instant) -> bool {
-    now.duration_since(idle.last_used) > MAX_IDLE
+    now.duration_since(idle.last_used) > MAX_TARGET_IDLE_TIME
 }
 
 /// Counts one connection as open until it is dropped.
