--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -11,15 +11,15 @@
 They are no part of what is deployed.
 */
 
+mod captured_output;
 pub mod platform;
 mod serve;
 mod settings;
 pub mod target;
-mod written;
 
+pub use crate::captured_output::Written;
 pub use crate::platform::Platform;
 pub use crate::platform::PlatformSettings;
 pub use crate::settings::read_settings;
 pub use crate::target::Target;
 pub use crate::target::TargetSettings;
-pub use crate::written::Written;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -69,8 +69,8 @@
     Ok(cancel)
 }
 
-fn print_addrs(wanted: bool, addr: SocketAddr, admin: SocketAddr) {
-    if !wanted {
+fn print_addrs(enabled: bool, addr: SocketAddr, admin: SocketAddr) {
+    if !enabled {
         return;
     }
     match serde_json::to_string(&Addrs { addr, admin }) {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -2,21 +2,21 @@
 //! watched, so that the system can be run and tested without a real one.
 
 mod admin_api;
-mod budget;
-mod channel;
 mod instance_list;
-mod published;
+mod published_value;
 mod read_api;
-mod reads;
+mod read_budget;
+mod read_counter;
 mod refusal;
 mod settings;
 mod shared;
 mod state;
 mod stats;
+mod stream_values;
 mod switches;
 #[cfg(test)]
 mod tests;
-mod waiting;
+mod waiter_count;
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -43,7 +43,7 @@
 pub use self::switches::PlatformSwitches;
 
 use self::instance_list::ListBody;
-use self::reads::Reads;
+use self::read_counter::ReadCounter;
 use self::shared::Shared;
 use crate::serve;
 
@@ -179,13 +179,13 @@
     }
 
     /// Turns switches, as the admin port does.
-    pub fn switch(&self, switches: &PlatformSwitches) {
-        self.shared.switch(switches);
+    pub fn apply_switches(&self, switches: &PlatformSwitches) {
+        self.shared.apply_switches(switches);
     }
 
     /// Begins or ends an outage: every read gets 503.
     pub fn set_outage(&self, outage: bool) {
-        self.switch(&PlatformSwitches {
+        self.apply_switches(&PlatformSwitches {
             outage: Some(outage),
             ..PlatformSwitches::default()
         });
@@ -193,7 +193,7 @@
 
     /// Falls silent or answers again: see [`PlatformSwitches::silent`].
     pub fn set_silent(&self, silent: bool) {
-        self.switch(&PlatformSwitches {
+        self.apply_switches(&PlatformSwitches {
             silent: Some(silent),
             ..PlatformSwitches::default()
         });
@@ -201,7 +201,7 @@
 
     /// Begins or ends serving what is visible at this moment.
     pub fn set_stale(&self, stale: bool) {
-        self.switch(&PlatformSwitches {
+        self.apply_switches(&PlatformSwitches {
             stale: Some(stale),
             ..PlatformSwitches::default()
         });
@@ -216,7 +216,7 @@
     pub fn set_stale_at(&self, stream: Stream, revision: Revision) -> Result<()> {
         Ok(self
             .shared
-            .change(|state, _| state.channel_mut(stream).freeze_at(revision))?)
+            .change(|state, _| state.values_mut(stream).freeze_at(revision))?)
     }
 
     /// Sets after how long lists that are published from now on are seen.
@@ -236,7 +236,7 @@
 
     /// Starts counting reads anew.
     pub fn reset_stats(&self) {
-        self.shared.state().reads = Reads::new(Instant::now());
+        self.shared.state().reads = ReadCounter::new(Instant::now());
     }
 
     /// Stops and waits until both ports are closed.
--- a/crates/standin/src/platform/admin_api.rs
+++ b/crates/standin/src/platform/admin_api.rs
@@ -23,7 +23,7 @@
 use super::MAX_VALUE_BYTES;
 use super::instance_list::InstanceChange;
 use super::instance_list::ListBody;
-use super::reads::Reads;
+use super::read_counter::ReadCounter;
 use super::refusal::Refusal;
 use super::shared::Shared;
 use super::stats::PlatformStats;
@@ -93,7 +93,7 @@
     State(shared): State<Arc<Shared>>,
     Json(switches): Json<PlatformSwitches>,
 ) -> Json<PlatformSwitches> {
-    shared.switch(&switches);
+    shared.apply_switches(&switches);
     Json(switches)
 }
 
@@ -102,7 +102,7 @@
 }
 
 async fn reset_stats(State(shared): State<Arc<Shared>>) -> Json<PlatformStats> {
-    shared.state().reads = Reads::new(Instant::now());
+    shared.state().reads = ReadCounter::new(Instant::now());
     Json(shared.stats())
 }
 
--- a/crates/standin/src/platform/instance_list.rs
+++ b/crates/standin/src/platform/instance_list.rs
@@ -46,13 +46,13 @@
 impl InstanceChange {
     /// Changes the instance `id` in `list`.
     pub(super) fn apply(self, id: &InstanceId, list: &mut Vec<Instance>) -> Result<(), Refusal> {
-        let place = list.iter().position(|instance| instance.id == *id);
-        let place = place.ok_or_else(|| Refusal::UnknownInstance(id.clone()))?;
+        let index = list.iter().position(|instance| instance.id == *id);
+        let index = index.ok_or_else(|| Refusal::UnknownInstance(id.clone()))?;
         match self {
-            InstanceChange::Live => list[place].state = InstanceState::Live,
-            InstanceChange::Leaving => list[place].state = InstanceState::Leaving,
+            InstanceChange::Live => list[index].state = InstanceState::Live,
+            InstanceChange::Leaving => list[index].state = InstanceState::Leaving,
             InstanceChange::Gone => {
-                list.remove(place);
+                list.remove(index);
             }
         }
         Ok(())
--- a/crates/standin/src/platform/published.rs
+++ b/crates/standin/src/platform/published_value.rs
@@ -6,7 +6,7 @@
 
 /// A value as it was published; cloning shares the body.
 #[derive(Debug, Clone)]
-pub(super) struct Published {
+pub(super) struct PublishedValue {
     /// The revision that it was accepted at.
     pub(super) revision: Revision,
     /// The whole value.
--- a/crates/standin/src/platform/read_api.rs
+++ b/crates/standin/src/platform/read_api.rs
@@ -23,13 +23,13 @@
 use super::MAX_WAIT;
 use super::REVISION_HEADER;
 use super::shared::Shared;
-use super::state::Found;
+use super::state::ReadResult;
 
 /// The content coding that values may go out in.
-const CODING: &str = "zstd";
+const CONTENT_CODING: &str = "zstd";
 
 /// The compression level, the library's default.
-const LEVEL: i32 = 3;
+const COMPRESSION_LEVEL: i32 = 3;
 
 /// The parameters of a read.
 #[derive(Debug, Default, Deserialize)]
@@ -75,40 +75,42 @@
         let text = format!("wait_ms is at most {}", MAX_WAIT.as_millis());
         return (StatusCode::BAD_REQUEST, text).into_response();
     }
-    shared.take_in().await;
+    shared.hang_if_silent().await;
     let found = shared.watch(stream, query.after, wait).await;
-    shared.hold_back().await;
-    let compress = shared.compress && takes_coding(headers);
+    shared.delay_answer().await;
+    let compress = shared.compress && accepts_coding(headers);
     answer(stream, found, compress)
 }
 
-fn answer(stream: Stream, found: Found, compress: bool) -> Response {
+fn answer(stream: Stream, found: ReadResult, compress: bool) -> Response {
     match found {
-        Found::Outage => (StatusCode::SERVICE_UNAVAILABLE, "outage").into_response(),
-        Found::Nothing => (StatusCode::NOT_FOUND, "nothing published").into_response(),
-        Found::Unchanged(revision) => {
+        ReadResult::Outage => (StatusCode::SERVICE_UNAVAILABLE, "outage").into_response(),
+        ReadResult::NothingPublished => {
+            (StatusCode::NOT_FOUND, "nothing published").into_response()
+        }
+        ReadResult::Unchanged(revision) => {
             (StatusCode::NOT_MODIFIED, [revision_header(revision)]).into_response()
         }
-        Found::Value(value) => {
+        ReadResult::Value(value) => {
             let content_type = (CONTENT_TYPE, HeaderValue::from_static(media_type(stream)));
             let headers = [revision_header(value.revision), content_type];
             if compress {
-                return (headers, coded(&value.body)).into_response();
+                return (headers, compressed(&value.body)).into_response();
             }
             (headers, value.body).into_response()
         }
     }
 }
 
-fn takes_coding(headers: &HeaderMap) -> bool {
-    let takes = headers.get(ACCEPT_ENCODING);
-    takes.is_some_and(|value| value == CODING)
+fn accepts_coding(headers: &HeaderMap) -> bool {
+    let accepted = headers.get(ACCEPT_ENCODING);
+    accepted.is_some_and(|value| value == CONTENT_CODING)
 }
 
 /// A value, compressed.
-fn coded(body: &[u8]) -> Response {
-    match zstd::bulk::compress(body, LEVEL) {
-        Ok(small) => ([(CONTENT_ENCODING, CODING)], small).into_response(),
+fn compressed(body: &[u8]) -> Response {
+    match zstd::bulk::compress(body, COMPRESSION_LEVEL) {
+        Ok(small) => ([(CONTENT_ENCODING, CONTENT_CODING)], small).into_response(),
         Err(_) => StatusCode::INTERNAL_SERVER_ERROR.into_response(),
     }
 }
--- a/crates/standin/src/platform/budget.rs
+++ b/crates/standin/src/platform/read_budget.rs
@@ -10,18 +10,18 @@
 ///
 /// `tokens` is between zero and `burst`.
 #[derive(Debug)]
-pub(super) struct Budget {
+pub(super) struct ReadBudget {
     per_s: f64,
     burst: f64,
     tokens: f64,
     filled_at: Instant,
 }
 
-impl Budget {
+impl ReadBudget {
     /// A full bucket of `burst` reads, refilled at `per_s` reads per second.
-    pub(super) fn new(per_s: u32, burst: u32, now: Instant) -> Budget {
+    pub(super) fn new(per_s: u32, burst: u32, now: Instant) -> ReadBudget {
         // INVARIANT: A full bucket holds just `burst`.
-        Budget {
+        ReadBudget {
             per_s: f64::from(per_s),
             burst: f64::from(burst),
             tokens: f64::from(burst),
@@ -34,7 +34,7 @@
     /// # Errors
     ///
     /// Gives how long to wait for the next one if none is left.
-    pub(super) fn take(&mut self, now: Instant) -> Result<(), Duration> {
+    pub(super) fn try_take(&mut self, now: Instant) -> Result<(), Duration> {
         let passed = now.saturating_duration_since(self.filled_at).as_secs_f64();
         self.filled_at = now;
         // INVARIANT: Refilling stops at `burst`.
--- a/crates/standin/src/platform/reads.rs
+++ b/crates/standin/src/platform/read_counter.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 
 /// The steps that the window of one second moves by.
-const BUCKETS: usize = 10;
+const BUCKET_COUNT: usize = 10;
 
 /// The length of one step in milliseconds.
 const BUCKET_MS: u128 = 100;
@@ -14,36 +14,36 @@
 ///
 /// `in_window` is the sum of `buckets`.
 #[derive(Debug)]
-pub(super) struct Reads {
+pub(super) struct ReadCounter {
     total: u64,
     refused: u64,
     peak: u64,
     in_window: u64,
-    buckets: [u64; BUCKETS],
-    step: u128,
+    buckets: [u64; BUCKET_COUNT],
+    newest_bucket: u128,
     origin: Instant,
 }
 
-impl Reads {
+impl ReadCounter {
     /// A count of nothing so far.
-    pub(super) fn new(now: Instant) -> Reads {
-        Reads {
+    pub(super) fn new(now: Instant) -> ReadCounter {
+        ReadCounter {
             total: 0,
             refused: 0,
             peak: 0,
             in_window: 0,
-            buckets: [0; BUCKETS],
-            step: 0,
+            buckets: [0; BUCKET_COUNT],
+            newest_bucket: 0,
             origin: now,
         }
     }
 
     /// Counts one call, whatever its answer will be.
     pub(super) fn count(&mut self, now: Instant) {
-        let step = now.saturating_duration_since(self.origin).as_millis() / BUCKET_MS;
-        self.move_window(step);
+        let bucket = now.saturating_duration_since(self.origin).as_millis() / BUCKET_MS;
+        self.advance_window(bucket);
         // INVARIANT: The sum grows with its bucket.
-        self.buckets[bucket(step)] += 1;
+        self.buckets[bucket_index(bucket)] += 1;
         self.in_window += 1;
         self.total += 1;
         self.peak = self.peak.max(self.in_window);
@@ -69,19 +69,19 @@
         self.peak
     }
 
-    fn move_window(&mut self, to: u128) {
-        let all = u128::try_from(BUCKETS).unwrap_or(u128::MAX);
-        let first = (self.step + 1).max((to + 1).saturating_sub(all));
-        for step in first..=to {
+    fn advance_window(&mut self, to: u128) {
+        let count = u128::try_from(BUCKET_COUNT).unwrap_or(u128::MAX);
+        let first = (self.newest_bucket + 1).max((to + 1).saturating_sub(count));
+        for bucket in first..=to {
             // INVARIANT: What leaves a bucket leaves the sum.
-            let left = std::mem::take(&mut self.buckets[bucket(step)]);
-            self.in_window -= left;
+            let removed = std::mem::take(&mut self.buckets[bucket_index(bucket)]);
+            self.in_window -= removed;
         }
-        self.step = self.step.max(to);
+        self.newest_bucket = self.newest_bucket.max(to);
     }
 }
 
-fn bucket(step: u128) -> usize {
-    let all = u128::try_from(BUCKETS).unwrap_or(1);
-    usize::try_from(step % all).unwrap_or(0)
+fn bucket_index(bucket: u128) -> usize {
+    let count = u128::try_from(BUCKET_COUNT).unwrap_or(1);
+    usize::try_from(bucket % count).unwrap_or(0)
 }
--- a/crates/standin/src/platform/shared.rs
+++ b/crates/standin/src/platform/shared.rs
@@ -11,18 +11,18 @@
 use tokio_util::sync::CancellationToken;
 
 use super::settings::PlatformSettings;
-use super::state::Found;
+use super::state::ReadResult;
 use super::state::State;
 use super::stats::PlatformStats;
 use super::switches::PlatformSwitches;
-use super::waiting::Waiting;
+use super::waiter_count::WaiterCount;
 
 /// The state, and the news that it changed.
 #[derive(Debug)]
 pub(super) struct Shared {
     state: Mutex<State>,
     changed: watch::Sender<()>,
-    waiting: Waiting,
+    waiters: WaiterCount,
     /// Whether readers may have values compressed.
     pub(super) compress: bool,
     cancel: CancellationToken,
@@ -34,7 +34,7 @@
         Shared {
             state: Mutex::new(State::new(cfg, Instant::now())),
             changed: watch::Sender::new(()),
-            waiting: Waiting::default(),
+            waiters: WaiterCount::default(),
             compress: cfg.compress,
             cancel,
         }
@@ -53,34 +53,39 @@
     }
 
     /// Waits up to `wait` for something that a reader with `after` lacks.
-    pub(super) async fn watch(&self, stream: Stream, after: Option<u64>, wait: Duration) -> Found {
+    pub(super) async fn watch(
+        &self,
+        stream: Stream,
+        after: Option<u64>,
+        wait: Duration,
+    ) -> ReadResult {
         let end = Instant::now() + wait;
         let mut changed = self.changed.subscribe();
-        let _guard = self.waiting.enter();
+        let _guard = self.waiters.enter();
         loop {
             if self.state().silent {
                 tokio::select! {
                     _ = changed.changed() => continue,
-                    () = self.cancel.cancelled() => return Found::Outage,
+                    () = self.cancel.cancelled() => return ReadResult::Outage,
                 }
             }
             let now = Instant::now();
-            let (found, next) = self.look(stream, after, now);
-            let settled = matches!(found, Found::Value(_) | Found::Outage);
-            if settled || now >= end {
+            let (found, next) = self.find_and_next_change(stream, after, now);
+            let is_final = matches!(found, ReadResult::Value(_) | ReadResult::Outage);
+            if is_final || now >= end {
                 return found;
             }
             let until = next.map_or(end, |next| next.min(end));
             tokio::select! {
                 _ = changed.changed() => {}
                 () = tokio::time::sleep_until(until) => {}
-                () = self.cancel.cancelled() => return Found::Outage,
+                () = self.cancel.cancelled() => return ReadResult::Outage,
             }
         }
     }
 
     /// Takes a read in if the platform answers any; else it has none until the end.
-    pub(super) async fn take_in(&self) {
+    pub(super) async fn hang_if_silent(&self) {
         let silent = self.state().silent;
         if silent {
             self.cancel.cancelled().await;
@@ -88,14 +93,14 @@
     }
 
     /// Holds an answer back for the delay that is set, but not beyond the end.
-    pub(super) async fn hold_back(&self) {
+    pub(super) async fn delay_answer(&self) {
         let delay = self.state().answer_delay;
         let sleep = tokio::time::sleep(delay);
         self.cancel.run_until_cancelled(sleep).await;
     }
 
     /// Turns switches.
-    pub(super) fn switch(&self, switches: &PlatformSwitches) {
+    pub(super) fn apply_switches(&self, switches: &PlatformSwitches) {
         self.change(|state, now| {
             if let Some(outage) = switches.outage {
                 state.outage = outage;
@@ -123,14 +128,19 @@
             reads: state.reads.total(),
             reads_peak_per_s: state.reads.peak(),
             refused: state.reads.refused(),
-            waiting: self.waiting.count(),
+            waiting: self.waiters.count(),
         }
     }
 
-    fn look(&self, stream: Stream, after: Option<u64>, now: Instant) -> (Found, Option<Instant>) {
+    fn find_and_next_change(
+        &self,
+        stream: Stream,
+        after: Option<u64>,
+        now: Instant,
+    ) -> (ReadResult, Option<Instant>) {
         let state = self.state();
         let found = state.find(stream, after, now);
-        let next = state.channel(stream).next_visible_at(now);
+        let next = state.values(stream).next_visible_at(now);
         (found, next)
     }
 }
--- a/crates/standin/src/platform/state.rs
+++ b/crates/standin/src/platform/state.rs
@@ -9,14 +9,14 @@
 use sassafrasspool_core::Stream;
 use tokio::time::Instant;
 
-use super::budget::Budget;
-use super::channel::Channel;
 use super::instance_list::InstanceChange;
 use super::instance_list::ListBody;
-use super::published::Published;
-use super::reads::Reads;
+use super::published_value::PublishedValue;
+use super::read_budget::ReadBudget;
+use super::read_counter::ReadCounter;
 use super::refusal::Refusal;
 use super::settings::PlatformSettings;
+use super::stream_values::StreamValues;
 
 /// What is published, switched and counted.
 ///
@@ -25,12 +25,12 @@
 /// `list` is the content of the newest value in `instances`.
 #[derive(Debug)]
 pub(super) struct State {
-    catalogue: Channel,
-    instances: Channel,
+    catalogue: StreamValues,
+    instances: StreamValues,
     list: Vec<Instance>,
-    budget: Budget,
+    budget: ReadBudget,
     /// Calls so far.
-    pub(super) reads: Reads,
+    pub(super) reads: ReadCounter,
     /// Whether every read fails.
     pub(super) outage: bool,
     /// Whether nothing is answered.
@@ -43,13 +43,13 @@
 
 /// What a read finds at one moment.
 #[derive(Debug)]
-pub(super) enum Found {
+pub(super) enum ReadResult {
     /// The source is out.
     Outage,
     /// Nothing was published yet.
-    Nothing,
+    NothingPublished,
     /// A value that the reader doesn't have.
-    Value(Published),
+    Value(PublishedValue),
     /// Nothing newer than what the reader has.
     Unchanged(Revision),
 }
@@ -58,11 +58,11 @@
     /// Nothing published, no fault switched on.
     pub(super) fn new(cfg: &PlatformSettings, now: Instant) -> State {
         State {
-            catalogue: Channel::default(),
-            instances: Channel::default(),
+            catalogue: StreamValues::default(),
+            instances: StreamValues::default(),
             list: Vec::new(),
-            budget: Budget::new(cfg.reads_per_s, cfg.burst(), now),
-            reads: Reads::new(now),
+            budget: ReadBudget::new(cfg.reads_per_s, cfg.burst(), now),
+            reads: ReadCounter::new(now),
             outage: false,
             silent: false,
             answer_delay: Duration::ZERO,
@@ -77,29 +77,29 @@
     /// Gives how long to wait if the budget is spent.
     pub(super) fn admit(&mut self, now: Instant) -> Result<(), Duration> {
         self.reads.count(now);
-        let taken = self.budget.take(now);
-        if taken.is_err() {
+        let admitted = self.budget.try_take(now);
+        if admitted.is_err() {
             self.reads.count_refused();
         }
-        taken
+        admitted
     }
 
     /// What a reader that has `after` finds.
-    pub(super) fn find(&self, stream: Stream, after: Option<u64>, now: Instant) -> Found {
+    pub(super) fn find(&self, stream: Stream, after: Option<u64>, now: Instant) -> ReadResult {
         if self.outage {
-            return Found::Outage;
+            return ReadResult::Outage;
         }
-        let Some(value) = self.channel(stream).visible(now) else {
-            return Found::Nothing;
+        let Some(value) = self.values(stream).visible(now) else {
+            return ReadResult::NothingPublished;
         };
         match after {
-            Some(after) if value.revision.get() <= after => Found::Unchanged(value.revision),
-            _ => Found::Value(value.clone()),
+            Some(after) if value.revision.get() <= after => ReadResult::Unchanged(value.revision),
+            _ => ReadResult::Value(value.clone()),
         }
     }
 
     /// The values of `stream`.
-    pub(super) fn channel(&self, stream: Stream) -> &Channel {
+    pub(super) fn values(&self, stream: Stream) -> &StreamValues {
         match stream {
             Stream::Catalogue => &self.catalogue,
             Stream::Instances => &self.instances,
@@ -107,7 +107,7 @@
     }
 
     /// The values of `stream`, to switch what readers see.
-    pub(super) fn channel_mut(&mut self, stream: Stream) -> &mut Channel {
+    pub(super) fn values_mut(&mut self, stream: Stream) -> &mut StreamValues {
         match stream {
             Stream::Catalogue => &mut self.catalogue,
             Stream::Instances => &mut self.instances,
@@ -152,10 +152,10 @@
 
     /// Switches staleness of both streams.
     pub(super) fn set_stale(&mut self, stale: bool, now: Instant) {
-        for channel in [&mut self.catalogue, &mut self.instances] {
+        for values in [&mut self.catalogue, &mut self.instances] {
             match stale {
-                true => channel.freeze(now),
-                false => channel.thaw(),
+                true => values.freeze(now),
+                false => values.unfreeze(),
             }
         }
     }
--- a/crates/standin/src/platform/channel.rs
+++ b/crates/standin/src/platform/stream_values.rs
@@ -8,11 +8,11 @@
 use tokio::time::Instant;
 
 use super::MAX_VALUE_BYTES;
-use super::published::Published;
+use super::published_value::PublishedValue;
 use super::refusal::Refusal;
 
-/// The values that are kept for [`Channel::freeze_at`].
-const KEPT_VALUES: usize = 16;
+/// The values that are kept for [`StreamValues::freeze_at`].
+const MAX_KEPT_VALUES: usize = 16;
 
 /// The published values of one stream.
 ///
@@ -20,8 +20,8 @@
 ///
 /// Revisions grow strictly from front to back of `values`.
 #[derive(Debug, Default)]
-pub(super) struct Channel {
-    values: VecDeque<Published>,
+pub(super) struct StreamValues {
+    values: VecDeque<PublishedValue>,
     view: View,
 }
 
@@ -32,10 +32,10 @@
     #[default]
     Live,
     /// One value, or none, whatever is published meanwhile.
-    Frozen(Option<Published>),
+    Frozen(Option<PublishedValue>),
 }
 
-impl Channel {
+impl StreamValues {
     /// Publishes a value, visible after `lag`.
     ///
     /// # Errors
@@ -54,17 +54,17 @@
         }
         let revision = self.next_revision(forced)?;
         // INVARIANT: The revision was found to be above the newest one.
-        self.values.push_back(Published {
+        self.values.push_back(PublishedValue {
             revision,
             body,
             visible_at: now + lag,
         });
-        self.forget_oldest(now);
+        self.evict_oldest(now);
         Ok(revision)
     }
 
     /// What readers see at `now`.
-    pub(super) fn visible(&self, now: Instant) -> Option<&Published> {
+    pub(super) fn visible(&self, now: Instant) -> Option<&PublishedValue> {
         match &self.view {
             View::Live => self
                 .values
@@ -107,7 +107,7 @@
     }
 
     /// Shows the newest values again.
-    pub(super) fn thaw(&mut self) {
+    pub(super) fn unfreeze(&mut self) {
         self.view = View::Live;
     }
 
@@ -127,8 +127,8 @@
     }
 
     /// Forgets values beyond those kept, but none that readers still see.
-    fn forget_oldest(&mut self, now: Instant) {
-        while self.values.len() > KEPT_VALUES && self.values[1].visible_at <= now {
+    fn evict_oldest(&mut self, now: Instant) {
+        while self.values.len() > MAX_KEPT_VALUES && self.values[1].visible_at <= now {
             self.values.pop_front();
         }
     }
--- a/crates/standin/src/platform/tests.rs
+++ b/crates/standin/src/platform/tests.rs
@@ -26,7 +26,7 @@
 use super::REVISION_HEADER;
 use super::admin_api;
 use super::read_api;
-use super::reads::Reads;
+use super::read_counter::ReadCounter;
 use super::shared::Shared;
 
 const LIST: &str = r#"{"instances":[{"id":"wd-1","service":"workshop-desk",
@@ -215,7 +215,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_peak_is_over_any_second() {
     let start = Instant::now();
-    let mut reads = Reads::new(start);
+    let mut reads = ReadCounter::new(start);
     for ms in [0, 900, 950, 1_050, 1_950, 5_000] {
         reads.count(start + Duration::from_millis(ms));
     }
--- a/crates/standin/src/platform/tests/faults.rs
+++ b/crates/standin/src/platform/tests/faults.rs
@@ -81,7 +81,7 @@
     let back = |n| {
         let revision = Revision::new(n).unwrap();
         rig.shared
-            .change(|state, _| state.channel_mut(Stream::Catalogue).freeze_at(revision))
+            .change(|state, _| state.values_mut(Stream::Catalogue).freeze_at(revision))
     };
     back(1).unwrap();
     let old = rig.get("/v1/catalogue").await;
@@ -142,7 +142,7 @@
 #[tokio::test(start_paused = true)]
 async fn only_switches_that_are_named_are_turned() {
     let rig = Rig::published().await;
-    rig.shared.switch(&PlatformSwitches {
+    rig.shared.apply_switches(&PlatformSwitches {
         outage: Some(true),
         ..Default::default()
     });
--- a/crates/standin/src/platform/waiting.rs
+++ b/crates/standin/src/platform/waiter_count.rs
@@ -5,14 +5,14 @@
 
 /// A count of guards that are alive.
 #[derive(Debug, Default)]
-pub(super) struct Waiting(AtomicU64);
+pub(super) struct WaiterCount(AtomicU64);
 
-impl Waiting {
+impl WaiterCount {
     /// Counts one more until the guard is dropped, which also happens when a
     /// reader hangs up and its answer is abandoned.
-    pub(super) fn enter(&self) -> WaitingGuard<'_> {
+    pub(super) fn enter(&self) -> WaiterGuard<'_> {
         self.0.fetch_add(1, Ordering::Relaxed);
-        WaitingGuard(self)
+        WaiterGuard(self)
     }
 
     /// How many wait now.
@@ -23,9 +23,9 @@
 
 /// One that waits.
 #[derive(Debug)]
-pub(super) struct WaitingGuard<'a>(&'a Waiting);
+pub(super) struct WaiterGuard<'a>(&'a WaiterCount);
 
-impl Drop for WaitingGuard<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
         self.0.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -5,21 +5,21 @@
 mod answer;
 mod answer_stream;
 mod clock;
-mod control;
 mod counters;
 mod crash_on;
+mod generation;
 mod health;
 mod ledger;
-mod life;
 mod listener;
 mod open_connection;
-mod order;
 mod refusal;
 mod run;
 mod run_guard;
+mod run_request;
 mod service_times;
 mod settings;
 mod shared;
+mod supervisor;
 mod switches;
 mod work;
 
@@ -34,23 +34,23 @@
 use tokio_util::task::TaskTracker;
 
 pub use self::answer::answer_body;
-pub use self::answer::pattern;
+pub use self::answer::answer_pattern;
 pub use self::counters::TargetStats;
 pub use self::crash_on::CrashOn;
 pub use self::health::Load;
 pub use self::ledger::LedgerPages;
-pub use self::order::ANSWER_BYTES_HEADER;
-pub use self::order::KIND_HEADER;
-pub use self::order::MAX_ANSWER_BYTES;
 pub use self::run::Run;
 pub use self::run::RunEnd;
+pub use self::run_request::ANSWER_BYTES_HEADER;
+pub use self::run_request::KIND_HEADER;
+pub use self::run_request::MAX_ANSWER_BYTES;
 pub use self::service_times::ServiceTimes;
 pub use self::settings::TargetSettings;
 pub use self::switches::HealthReport;
 pub use self::switches::LateAnswers;
 pub use self::switches::TargetSwitches;
 
-use self::control::Control;
+use self::supervisor::Supervisor;
 use crate::serve;
 
 /// Says in answers how many bytes the request's body had.
@@ -83,7 +83,7 @@
 /// ```
 #[derive(Debug)]
 pub struct Target {
-    control: Arc<Control>,
+    supervisor: Arc<Supervisor>,
     admin_addr: SocketAddr,
     tasks: TaskTracker,
     guard: DropGuard,
@@ -98,19 +98,21 @@
     pub async fn start(cfg: TargetSettings, cancel: CancellationToken) -> Result<Target> {
         let cancel = cancel.child_token();
         let (admin, admin_addr) = serve::bind(cfg.admin).await?;
-        let control = Arc::new(Control::start(cfg, cancel.clone()).await?);
+        let supervisor = Arc::new(Supervisor::start(cfg, cancel.clone()).await?);
         let tasks = TaskTracker::new();
-        let router = admin_api::router(Arc::clone(&control));
+        let router = admin_api::router(Arc::clone(&supervisor));
         tasks.spawn(serve::serve(admin, router, cancel.clone()));
-        let kept = Arc::clone(&control);
+        let supervised = Arc::clone(&supervisor);
         let until = cancel.clone();
         tasks.spawn(async move {
-            until.run_until_cancelled(kept.keep_up()).await;
+            until
+                .run_until_cancelled(supervised.restart_after_crashes())
+                .await;
         });
         tasks.close();
         let guard = cancel.drop_guard();
         Ok(Target {
-            control,
+            supervisor,
             admin_addr,
             tasks,
             guard,
@@ -119,7 +121,7 @@
 
     /// Where the target serves.
     pub fn addr(&self) -> SocketAddr {
-        self.control.addr()
+        self.supervisor.addr()
     }
 
     /// Where the admin port listens.
@@ -129,23 +131,23 @@
 
     /// A copy of the ledger over all lives, also of runs that never finished.
     pub fn ledger(&self) -> LedgerPages {
-        self.control.shared().ledger.copy()
+        self.supervisor.shared().ledger.copy()
     }
 
     /// What it did so far.
     pub fn stats(&self) -> TargetStats {
-        self.control.shared().stats()
+        self.supervisor.shared().stats()
     }
 
     /// Turns switches, as the admin port does.
-    pub async fn switch(&self, switches: &TargetSwitches) {
-        self.control.switch(switches).await;
+    pub async fn apply_switches(&self, switches: &TargetSwitches) {
+        self.supervisor.apply_switches(switches).await;
     }
 
     /// Drops all connections at once, with resets, and refuses new ones. What
     /// ran is over when this returns.
     pub async fn crash(&self) {
-        self.control.crash().await;
+        self.supervisor.crash().await;
     }
 
     /// Starts again on the same port, with a cold start; crashes first if it
@@ -155,12 +157,12 @@
     ///
     /// Fails if the port can't be opened again.
     pub async fn restart(&self) -> Result<()> {
-        self.control.restart().await
+        self.supervisor.restart().await
     }
 
     /// Begins or ends refusing new work, finishing what runs.
     pub async fn set_drain(&self, drain: bool) {
-        self.switch(&TargetSwitches {
+        self.apply_switches(&TargetSwitches {
             drain: Some(drain),
             ..TargetSwitches::default()
         })
@@ -170,7 +172,7 @@
     /// Makes each run take longer by `extra`, in whole milliseconds.
     pub async fn set_slow(&self, extra: Duration) {
         let slow_ms = Some(whole_ms(extra));
-        self.switch(&TargetSwitches {
+        self.apply_switches(&TargetSwitches {
             slow_ms,
             ..TargetSwitches::default()
         })
@@ -184,7 +186,7 @@
             every,
             by_ms: whole_ms(by),
         });
-        self.switch(&TargetSwitches {
+        self.apply_switches(&TargetSwitches {
             late,
             ..TargetSwitches::default()
         })
@@ -194,7 +196,7 @@
     /// Sets what the health and load endpoints say.
     pub async fn lie_about_health(&self, report: HealthReport) {
         let health = Some(report);
-        self.switch(&TargetSwitches {
+        self.apply_switches(&TargetSwitches {
             health,
             ..TargetSwitches::default()
         })
@@ -204,7 +206,7 @@
     /// Begins or ends doing the work and never answering.
     pub async fn set_hang_after_run(&self, hang: bool) {
         let hang_after_run = Some(hang);
-        self.switch(&TargetSwitches {
+        self.apply_switches(&TargetSwitches {
             hang_after_run,
             ..TargetSwitches::default()
         })
@@ -213,7 +215,7 @@
 
     /// Begins or ends breaking off in the middle of each answer.
     pub async fn set_cut_body(&self, cut: bool) {
-        self.switch(&TargetSwitches {
+        self.apply_switches(&TargetSwitches {
             cut_body: Some(cut),
             ..TargetSwitches::default()
         })
@@ -223,20 +225,20 @@
     /// Stops: takes no more connections, finishes what runs and closes.
     pub async fn stop(self) {
         let Target {
-            control,
+            supervisor,
             tasks,
             guard,
             ..
         } = self;
         drop(guard);
-        control.stopped().await;
+        supervisor.stopped().await;
         tasks.wait().await;
     }
 
     /// Waits until it was stopped by the token that it was started with.
     pub async fn stopped(&self) {
         self.tasks.wait().await;
-        self.control.stopped().await;
+        self.supervisor.stopped().await;
     }
 }
 
--- a/crates/standin/src/target/answer.rs
+++ b/crates/standin/src/target/answer.rs
@@ -17,9 +17,9 @@
 /// assert_eq!(pattern("r-1", 40), whole[..40]);
 /// assert_ne!(pattern("r-2", 100), whole);
 /// ```
-pub fn pattern(id: &str, len: usize) -> Vec<u8> {
+pub fn answer_pattern(id: &str, len: usize) -> Vec<u8> {
     let mut buf = vec![0; len];
-    fill_pattern(id, &mut buf);
+    fill_answer_pattern(id, &mut buf);
     buf
 }
 
@@ -31,11 +31,11 @@
     buf.push(b'\n');
     let head = buf.len();
     buf.resize(head + len, 0);
-    fill_pattern(id, &mut buf[head..]);
+    fill_answer_pattern(id, &mut buf[head..]);
     Bytes::from(buf)
 }
 
-fn fill_pattern(id: &str, buf: &mut [u8]) {
+fn fill_answer_pattern(id: &str, buf: &mut [u8]) {
     let mut hasher = Hasher::new();
     hasher.update(id.as_bytes());
     hasher.finalize_xof().fill(buf);
--- a/crates/standin/src/target/answer_stream.rs
+++ b/crates/standin/src/target/answer_stream.rs
@@ -15,12 +15,12 @@
 
 /// The size of a piece in bytes. A run only counts as finished with its last
 /// piece, so that a caller who hangs up amid a long answer is seen.
-const PIECE_BYTES: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// The body of an answer or a refusal.
 #[derive(Debug)]
 pub(super) struct AnswerStream {
-    rest: Bytes,
+    remaining: Bytes,
     cut: Option<Cut>,
     run: Option<RunGuard>,
     _slot: Option<OwnedSemaphorePermit>,
@@ -39,7 +39,7 @@
     /// The text of a refusal or probe.
     pub(super) fn text(text: impl Into<Bytes>) -> AnswerStream {
         AnswerStream {
-            rest: text.into(),
+            remaining: text.into(),
             cut: None,
             run: None,
             _slot: None,
@@ -49,7 +49,7 @@
     /// The answer to a run, which holds its slot until it is handed over.
     pub(super) fn answer(body: Bytes, run: RunGuard, slot: OwnedSemaphorePermit) -> AnswerStream {
         AnswerStream {
-            rest: body,
+            remaining: body,
             cut: None,
             run: Some(run),
             _slot: Some(slot),
@@ -59,23 +59,23 @@
     /// The same answer, breaking off in the middle.
     pub(super) fn cut_in_half(mut self) -> AnswerStream {
         self.cut = Some(Cut {
-            missing: self.rest.len().div_ceil(2),
+            missing: self.remaining.len().div_ceil(2),
             flushed: false,
         });
         self
     }
 
-    fn next_piece(&mut self) -> Option<Bytes> {
+    fn next_chunk(&mut self) -> Option<Bytes> {
         let missing = self.cut.map_or(0, |cut| cut.missing);
-        let len = (self.rest.len() - missing).min(PIECE_BYTES);
+        let len = (self.remaining.len() - missing).min(CHUNK_BYTES);
         if len == 0 {
             return None;
         }
-        let piece = self.rest.split_to(len);
-        if self.rest.is_empty() {
+        let chunk = self.remaining.split_to(len);
+        if self.remaining.is_empty() {
             self.finish();
         }
-        Some(piece)
+        Some(chunk)
     }
 
     fn finish(&mut self) {
@@ -93,8 +93,8 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        if let Some(piece) = self.next_piece() {
-            return Poll::Ready(Some(Ok(Frame::data(piece))));
+        if let Some(chunk) = self.next_chunk() {
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         match &mut self.cut {
             None => Poll::Ready(None),
@@ -110,11 +110,11 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.rest.is_empty()
+        self.remaining.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let len = u64::try_from(self.rest.len()).unwrap_or(u64::MAX);
+        let len = u64::try_from(self.remaining.len()).unwrap_or(u64::MAX);
         SizeHint::with_exact(len)
     }
 }
--- a/crates/standin/src/target/counters.rs
+++ b/crates/standin/src/target/counters.rs
@@ -64,7 +64,7 @@
 }
 
 /// Counts one more and gives the new count.
-pub(super) fn count(counter: &AtomicU64) -> u64 {
+pub(super) fn increment(counter: &AtomicU64) -> u64 {
     counter.fetch_add(1, Ordering::Relaxed) + 1
 }
 
--- a/crates/standin/src/target/crash_on.rs
+++ b/crates/standin/src/target/crash_on.rs
@@ -20,7 +20,7 @@
 impl CrashOn {
     /// For how long a request for `path` runs before it crashes the target, if it
     /// does.
-    pub(super) fn crashes_after(&self, path: &str) -> Option<Duration> {
+    pub(super) fn crash_delay(&self, path: &str) -> Option<Duration> {
         (self.path == path).then_some(Duration::from_millis(self.after_ms))
     }
 
--- a/crates/standin/src/target/life.rs
+++ b/crates/standin/src/target/generation.rs
@@ -16,47 +16,47 @@
 
 /// What belongs to one start of the target.
 #[derive(Debug)]
-pub(super) struct Life {
+pub(super) struct Generation {
     pub(super) shared: Arc<Shared>,
     /// Which start this is, from 1.
-    pub(super) incarnation: u32,
+    pub(super) number: u32,
     /// Cancelled when the target crashes.
     pub(super) crash: CancellationToken,
     /// Its listener, its connections and the work that outlives them.
     pub(super) tasks: TaskTracker,
     /// Whether a request crashed it.
-    fell: AtomicBool,
+    crashed_by_request: AtomicBool,
     warm_at: Instant,
 }
 
-impl Life {
+impl Generation {
     /// A life that begins now, with a cold start.
-    pub(super) fn new(shared: Arc<Shared>, incarnation: u32) -> Life {
+    pub(super) fn new(shared: Arc<Shared>, number: u32) -> Generation {
         let warm_at = Instant::now() + shared.cfg.cold_start();
-        Life {
+        Generation {
             shared,
-            incarnation,
+            number,
             crash: CancellationToken::new(),
             tasks: TaskTracker::new(),
-            fell: AtomicBool::new(false),
+            crashed_by_request: AtomicBool::new(false),
             warm_at,
         }
     }
 
     /// Crashes by a request that it runs.
-    pub(super) fn fall(&self) {
-        self.fell.store(true, Ordering::Relaxed);
+    pub(super) fn crash_by_request(&self) {
+        self.crashed_by_request.store(true, Ordering::Relaxed);
         self.crash.cancel();
     }
 
     /// Whether a request crashed it.
-    pub(super) fn has_fallen(&self) -> bool {
-        self.fell.load(Ordering::Relaxed)
+    pub(super) fn was_crashed_by_request(&self) -> bool {
+        self.crashed_by_request.load(Ordering::Relaxed)
     }
 
     /// Whether work is taken now.
     pub(super) fn readiness(&self) -> Readiness {
-        if self.shared.switched().drain {
+        if self.shared.switches().drain {
             return Readiness::Draining;
         }
         match Instant::now() < self.warm_at {
@@ -66,7 +66,7 @@
     }
 
     /// What is so, whatever is reported.
-    pub(super) fn health(&self) -> Health {
+    pub(super) fn actual_health(&self) -> Health {
         let load = Load {
             inflight: self.shared.inflight(),
             slots: self.shared.cfg.slots.get(),
--- a/crates/standin/src/target/health.rs
+++ b/crates/standin/src/target/health.rs
@@ -47,7 +47,7 @@
 
 /// What is reported in place of the truth.
 #[derive(Debug, Default)]
-pub(super) enum HealthSwitch {
+pub(super) enum HealthOverride {
     #[default]
     Truth,
     Well,
@@ -55,23 +55,23 @@
     Frozen(Health),
 }
 
-impl HealthSwitch {
-    /// The switch for `report`, turned while `so` is so.
-    pub(super) fn new(report: HealthReport, so: Health) -> HealthSwitch {
+impl HealthOverride {
+    /// The switch for `report`, turned while `actual` is so.
+    pub(super) fn new(report: HealthReport, actual: Health) -> HealthOverride {
         match report {
-            HealthReport::Truth => HealthSwitch::Truth,
-            HealthReport::Well => HealthSwitch::Well,
-            HealthReport::Ill => HealthSwitch::Ill,
-            HealthReport::Frozen => HealthSwitch::Frozen(so),
+            HealthReport::Truth => HealthOverride::Truth,
+            HealthReport::Well => HealthOverride::Well,
+            HealthReport::Ill => HealthOverride::Ill,
+            HealthReport::Frozen => HealthOverride::Frozen(actual),
         }
     }
 
-    /// What is reported when `so` is so.
-    pub(super) fn report(&self, so: Health) -> Health {
-        let slots = so.load.slots;
+    /// What is reported when `actual` is so.
+    pub(super) fn report(&self, actual: Health) -> Health {
+        let slots = actual.load.slots;
         match self {
-            HealthSwitch::Truth => so,
-            HealthSwitch::Well => Health {
+            HealthOverride::Truth => actual,
+            HealthOverride::Well => Health {
                 readiness: Readiness::Ready,
                 load: Load {
                     inflight: 0,
@@ -79,14 +79,14 @@
                     connections: 0,
                 },
             },
-            HealthSwitch::Ill => Health {
+            HealthOverride::Ill => Health {
                 readiness: Readiness::Draining,
                 load: Load {
                     inflight: slots,
-                    ..so.load
+                    ..actual.load
                 },
             },
-            HealthSwitch::Frozen(then) => *then,
+            HealthOverride::Frozen(then) => *then,
         }
     }
 }
--- a/crates/standin/src/target/ledger.rs
+++ b/crates/standin/src/target/ledger.rs
@@ -12,15 +12,15 @@
 
 /// The place of a run in its ledger.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct RunKey(usize);
+pub(super) struct RunIndex(usize);
 
 /// All runs in the order in which they were taken.
 #[derive(Debug)]
 pub(super) struct Ledger {
     /// Stamps the runs.
     pub(super) clock: Clock,
-    most: usize,
-    pages: Mutex<LedgerPages>,
+    max_runs: usize,
+    entries: Mutex<LedgerPages>,
 }
 
 /// A copy of a ledger.
@@ -34,36 +34,36 @@
 
 impl Ledger {
     /// An empty ledger that keeps at most `most` runs.
-    pub(super) fn new(most: usize) -> Ledger {
+    pub(super) fn new(max_runs: usize) -> Ledger {
         Ledger {
             clock: Clock::new(),
-            most,
-            pages: Mutex::default(),
+            max_runs,
+            entries: Mutex::default(),
         }
     }
 
     /// Enters a run; `None` if the ledger is full.
-    pub(super) fn enter(&self, run: Run) -> Option<RunKey> {
-        let mut pages = self.pages();
-        if pages.runs.len() >= self.most {
-            pages.unrecorded += 1;
+    pub(super) fn record(&self, run: Run) -> Option<RunIndex> {
+        let mut entries = self.lock_entries();
+        if entries.runs.len() >= self.max_runs {
+            entries.unrecorded += 1;
             return None;
         }
-        pages.runs.push(run);
-        Some(RunKey(pages.runs.len() - 1))
+        entries.runs.push(run);
+        Some(RunIndex(entries.runs.len() - 1))
     }
 
     /// Changes an entry.
-    pub(super) fn update(&self, key: RunKey, f: impl FnOnce(&mut Run)) {
-        f(&mut self.pages().runs[key.0]);
+    pub(super) fn update(&self, index: RunIndex, f: impl FnOnce(&mut Run)) {
+        f(&mut self.lock_entries().runs[index.0]);
     }
 
     /// A copy of all entries.
     pub(super) fn copy(&self) -> LedgerPages {
-        self.pages().clone()
+        self.lock_entries().clone()
     }
 
-    fn pages(&self) -> MutexGuard<'_, LedgerPages> {
-        self.pages.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_entries(&self) -> MutexGuard<'_, LedgerPages> {
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/standin/src/target/listener.rs
+++ b/crates/standin/src/target/listener.rs
@@ -15,17 +15,17 @@
 use tokio::net::TcpSocket;
 use tokio::net::TcpStream;
 
-use super::life::Life;
+use super::generation::Generation;
 use super::open_connection::OpenConnection;
 use super::work;
 use crate::serve::listen_error;
 
 /// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1_024;
+const LISTEN_BACKLOG: u32 = 1_024;
 
 /// How long to wait after a failure to accept, which is mostly a lack of file
 /// descriptors and would otherwise spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A bound port that nobody listens on.
 ///
@@ -33,17 +33,18 @@
 /// port. This socket keeps the port taken in between, so that no other
 /// process is given it; as it doesn't listen, connecting is refused.
 #[derive(Debug)]
-pub(super) struct Reservation {
+pub(super) struct PortReservation {
     _socket: TcpSocket,
     addr: SocketAddr,
 }
 
-impl Reservation {
+impl PortReservation {
     /// Takes the port of `addr`; any free one if it is 0.
-    pub(super) fn take(addr: SocketAddr) -> Result<Reservation> {
-        let bound = shared_socket(addr).and_then(|socket| Ok((socket.local_addr()?, socket)));
+    pub(super) fn reserve(addr: SocketAddr) -> Result<PortReservation> {
+        let bound =
+            bind_reusable_socket(addr).and_then(|socket| Ok((socket.local_addr()?, socket)));
         let (addr, socket) = bound.map_err(|e| listen_error(addr, e))?;
-        Ok(Reservation {
+        Ok(PortReservation {
             _socket: socket,
             addr,
         })
@@ -56,13 +57,13 @@
 
     /// Listens on the reserved port.
     pub(super) fn listen(&self) -> Result<TcpListener> {
-        shared_socket(self.addr)
-            .and_then(|socket| socket.listen(BACKLOG))
+        bind_reusable_socket(self.addr)
+            .and_then(|socket| socket.listen(LISTEN_BACKLOG))
             .map_err(|e| listen_error(self.addr, e))
     }
 }
 
-fn shared_socket(addr: SocketAddr) -> std::io::Result<TcpSocket> {
+fn bind_reusable_socket(addr: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = match addr {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
@@ -74,21 +75,21 @@
 }
 
 /// Accepts connections and serves each in a task of its own.
-pub(super) async fn accept(listener: TcpListener, life: Arc<Life>) {
-    let cancel = life.shared.cancel.clone();
+pub(super) async fn serve_connections(listener: TcpListener, generation: Arc<Generation>) {
+    let cancel = generation.shared.cancel.clone();
     tokio::select! {
-        () = accept_all(&listener, &life) => {}
-        () = life.crash.cancelled() => {}
+        () = accept_loop(&listener, &generation) => {}
+        () = generation.crash.cancelled() => {}
         () = cancel.cancelled() => {}
     }
     stop_listening(&listener);
 }
 
-async fn accept_all(listener: &TcpListener, life: &Arc<Life>) {
+async fn accept_loop(listener: &TcpListener, generation: &Arc<Generation>) {
     loop {
         match listener.accept().await {
-            Ok((io, _)) => take(io, life),
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Ok((io, _)) => handle_connection(io, generation),
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -103,30 +104,32 @@
     let _ = SockRef::from(listener).shutdown(Shutdown::Both);
 }
 
-fn take(io: TcpStream, life: &Arc<Life>) {
-    match OpenConnection::open(&life.shared) {
+fn handle_connection(io: TcpStream, generation: &Arc<Generation>) {
+    match OpenConnection::open(&generation.shared) {
         Some(open) => {
-            life.tasks.spawn(serve(io, Arc::clone(life), open));
+            generation
+                .tasks
+                .spawn(serve_connection(io, Arc::clone(generation), open));
         }
-        None => reset(io),
+        None => close_with_reset(io),
     }
 }
 
 /// Closes so that the peer gets a reset, whatever is still to be sent.
-fn reset(io: TcpStream) {
+fn close_with_reset(io: TcpStream) {
     let _ = io.set_zero_linger();
 }
 
-async fn serve(io: TcpStream, life: Arc<Life>, _open: OpenConnection) {
+async fn serve_connection(io: TcpStream, generation: Arc<Generation>, _open: OpenConnection) {
     let _ = io.set_nodelay(true);
-    tokio::time::sleep(Duration::from_millis(life.shared.cfg.connect_ms)).await;
-    let cancel = life.shared.cancel.clone();
-    let crash = life.crash.clone();
-    let service = service_fn(move |req| work::serve(Arc::clone(&life), req));
+    tokio::time::sleep(Duration::from_millis(generation.shared.cfg.connect_ms)).await;
+    let cancel = generation.shared.cancel.clone();
+    let crash = generation.crash.clone();
+    let service = service_fn(move |req| work::serve(Arc::clone(&generation), req));
     let mut conn = http1::Builder::new().serve_connection(TokioIo::new(io), service);
     tokio::select! {
         _ = &mut conn => return,
-        () = crash.cancelled() => return reset(conn.into_parts().io.into_inner()),
+        () = crash.cancelled() => return close_with_reset(conn.into_parts().io.into_inner()),
         () = cancel.cancelled() => {}
     }
     let mut conn = pin!(conn);
--- a/crates/standin/src/target/open_connection.rs
+++ b/crates/standin/src/target/open_connection.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use super::counters::count;
+use super::counters::increment;
 use super::shared::Shared;
 
 /// A connection within the limit, counted until this is dropped.
@@ -14,10 +14,10 @@
     /// Counts one more connection; `None` if there are too many.
     pub(super) fn open(shared: &Arc<Shared>) -> Option<OpenConnection> {
         let counters = &shared.counters;
-        let open = count(&counters.connections);
+        let open = increment(&counters.connections);
         let connection = OpenConnection(Arc::clone(shared));
         if open > u64::from(shared.cfg.connections.get()) {
-            count(&counters.connections_refused);
+            increment(&counters.connections_refused);
             return None;
         }
         counters.connections_peak.fetch_max(open, Ordering::Relaxed);
--- a/crates/standin/src/target/refusal.rs
+++ b/crates/standin/src/target/refusal.rs
@@ -27,7 +27,7 @@
     }
 
     /// Whether the caller should leave the connection.
-    pub(super) fn closes(self) -> bool {
+    pub(super) fn closes_connection(self) -> bool {
         self != Refusal::Shed
     }
 
--- a/crates/standin/src/target/run_guard.rs
+++ b/crates/standin/src/target/run_guard.rs
@@ -5,7 +5,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::ledger::Ledger;
-use super::ledger::RunKey;
+use super::ledger::RunIndex;
 use super::run::Run;
 use super::run::RunEnd;
 
@@ -17,51 +17,51 @@
 #[derive(Debug)]
 pub(super) struct RunGuard {
     ledger: Arc<Ledger>,
-    key: Option<RunKey>,
+    index: Option<RunIndex>,
     crash: CancellationToken,
-    at: RunEnd,
+    state: RunEnd,
 }
 
 impl RunGuard {
     /// Enters a run whose request body is coming in. `crash` is cancelled
     /// when the target crashes.
-    pub(super) fn receive(ledger: Arc<Ledger>, run: Run, crash: CancellationToken) -> RunGuard {
-        let key = ledger.enter(run);
+    pub(super) fn start(ledger: Arc<Ledger>, run: Run, crash: CancellationToken) -> RunGuard {
+        let index = ledger.record(run);
         RunGuard {
             ledger,
-            key,
+            index,
             crash,
-            at: RunEnd::Receiving,
+            state: RunEnd::Receiving,
         }
     }
 
     /// The whole request is here, the work begins.
-    pub(super) fn begin(&mut self, received_bytes: u64) {
+    pub(super) fn begin_work(&mut self, received_bytes: u64) {
         let now_us = self.ledger.clock.now_us();
-        self.enter(RunEnd::Running, |run| {
+        self.set_state(RunEnd::Running, |run| {
             run.started_us = now_us;
             run.received_bytes = received_bytes;
         });
     }
 
     /// The work is done to its end.
-    pub(super) fn worked(&mut self) {
-        self.enter(RunEnd::Answering, |run| run.finished = true);
+    pub(super) fn finish_work(&mut self) {
+        self.set_state(RunEnd::Answering, |run| run.finished = true);
     }
 
     /// The work is done and will never be answered.
-    pub(super) fn hang(&mut self) {
+    pub(super) fn record_hang(&mut self) {
         self.close(RunEnd::Hung, None);
     }
 
     /// The request's time was over during the work.
-    pub(super) fn time_out(&mut self, status: u16) {
+    pub(super) fn record_timeout(&mut self, status: u16) {
         self.close(RunEnd::TimedOut, Some(status));
     }
 
     /// The head of the answer is given.
-    pub(super) fn answer(&mut self, status: u16) {
-        self.enter(RunEnd::Answering, |run| run.status = Some(status));
+    pub(super) fn begin_answer(&mut self, status: u16) {
+        self.set_state(RunEnd::Answering, |run| run.status = Some(status));
     }
 
     /// The last byte of the answer is handed over.
@@ -71,23 +71,23 @@
 
     fn close(&mut self, end: RunEnd, status: Option<u16>) {
         let now_us = self.ledger.clock.now_us();
-        self.enter(end, |run| {
+        self.set_state(end, |run| {
             run.ended_us = Some(now_us);
             run.status = status.or(run.status);
         });
     }
 
-    fn enter(&mut self, at: RunEnd, f: impl FnOnce(&mut Run)) {
-        self.at = at;
-        let Some(key) = self.key else { return };
-        self.ledger.update(key, |run| {
-            run.end = at;
+    fn set_state(&mut self, state: RunEnd, f: impl FnOnce(&mut Run)) {
+        self.state = state;
+        let Some(index) = self.index else { return };
+        self.ledger.update(index, |run| {
+            run.end = state;
             f(run);
         });
     }
 
-    fn abandoned(&self) -> Option<RunEnd> {
-        match self.at {
+    fn end_if_dropped(&self) -> Option<RunEnd> {
+        match self.state {
             RunEnd::Receiving => Some(RunEnd::RequestCut),
             RunEnd::Running if self.crash.is_cancelled() => Some(RunEnd::Crashed),
             RunEnd::Running => Some(RunEnd::Cancelled),
@@ -99,7 +99,7 @@
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
-        if let Some(end) = self.abandoned() {
+        if let Some(end) = self.end_if_dropped() {
             self.close(end, None);
         }
     }
--- a/crates/standin/src/target/order.rs
+++ b/crates/standin/src/target/run_request.rs
@@ -11,7 +11,7 @@
 use sassafrasspool_core::Step;
 use sassafrasspool_wire::header;
 
-use super::life::Life;
+use super::generation::Generation;
 use super::run::Run;
 use super::run::RunEnd;
 
@@ -22,14 +22,14 @@
 pub const ANSWER_BYTES_HEADER: HeaderName = HeaderName::from_static("x-answer-bytes");
 
 /// The longest request id, key or kind in bytes.
-const MAX_TEXT_BYTES: usize = 256;
+const MAX_HEADER_VALUE_BYTES: usize = 256;
 
 /// The longest pattern in bytes.
 pub const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
 /// A request's wishes, checked.
 #[derive(Debug)]
-pub(super) struct Order {
+pub(super) struct RunRequest {
     pub(super) id: String,
     pub(super) key: Option<String>,
     pub(super) kind: Option<KindName>,
@@ -39,37 +39,38 @@
     pub(super) service_time: Duration,
 }
 
-impl Order {
+impl RunRequest {
     /// Reads a request's head; `n` makes up an id for one that has none.
-    pub(super) fn read(life: &Life, head: &Parts, n: u64) -> Result<Order> {
+    pub(super) fn parse(generation: &Generation, head: &Parts, n: u64) -> Result<RunRequest> {
         let headers = &head.headers;
-        let times = &life.shared.cfg.service;
+        let times = &generation.shared.cfg.service;
         let path = head.uri.path();
-        let kind = match text(headers, &KIND_HEADER)? {
+        let kind = match header_text(headers, &KIND_HEADER)? {
             Some(named) => Some(KindName::new(named)?),
             None => times.kind_of_path(path).cloned(),
         };
-        let id = text(headers, &header::REQUEST_ID)?.map(str::to_owned);
-        Ok(Order {
+        let id = header_text(headers, &header::REQUEST_ID)?.map(str::to_owned);
+        Ok(RunRequest {
             id: id.unwrap_or_else(|| format!("unnamed-{n}")),
-            key: text(headers, &header::IDEMPOTENCY_KEY)?.map(str::to_owned),
+            key: header_text(headers, &header::IDEMPOTENCY_KEY)?.map(str::to_owned),
             path: path.to_owned(),
             answer_bytes: answer_bytes(headers)?,
-            timeout: number(headers, &header::REQUEST_TIMEOUT_MS)?.map(Duration::from_millis),
-            service_time: times.time(kind.as_ref()) + life.shared.switched().slow,
+            timeout: header_number(headers, &header::REQUEST_TIMEOUT_MS)?
+                .map(Duration::from_millis),
+            service_time: times.time(kind.as_ref()) + generation.shared.switches().slow,
             kind,
         })
     }
 
     /// The ledger's entry for this request, before its body has come.
-    pub(super) fn run(&self, life: &Life) -> Run {
+    pub(super) fn ledger_entry(&self, generation: &Generation) -> Run {
         Run {
             id: self.id.clone(),
             key: self.key.clone(),
             path: self.path.clone(),
             kind: self.kind.clone(),
-            incarnation: life.incarnation,
-            started_us: life.shared.ledger.clock.now_us(),
+            incarnation: generation.number,
+            started_us: generation.shared.ledger.clock.now_us(),
             ended_us: None,
             finished: false,
             status: None,
@@ -80,15 +81,15 @@
 }
 
 fn answer_bytes(headers: &HeaderMap) -> Result<usize> {
-    let len = number(headers, &ANSWER_BYTES_HEADER)?.unwrap_or(0);
+    let len = header_number(headers, &ANSWER_BYTES_HEADER)?.unwrap_or(0);
     match usize::try_from(len) {
         Ok(len) if len <= MAX_ANSWER_BYTES => Ok(len),
         _ => Err(malformed(&ANSWER_BYTES_HEADER, "is at most 64 MiB")),
     }
 }
 
-fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>> {
-    let Some(text) = text(headers, name)? else {
+fn header_number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>> {
+    let Some(text) = header_text(headers, name)? else {
         return Ok(None);
     };
     let n = text
@@ -97,14 +98,14 @@
     Ok(Some(n))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     let text = value
         .to_str()
         .map_err(|_| malformed(name, "must be visible ASCII"))?;
-    if text.is_empty() || text.len() > MAX_TEXT_BYTES {
+    if text.is_empty() || text.len() > MAX_HEADER_VALUE_BYTES {
         return Err(malformed(name, "must have 1 to 256 bytes"));
     }
     Ok(Some(text))
--- a/crates/standin/src/target/shared.rs
+++ b/crates/standin/src/target/shared.rs
@@ -10,11 +10,11 @@
 use super::counters::Counters;
 use super::counters::TargetStats;
 use super::health::Health;
-use super::health::HealthSwitch;
+use super::health::HealthOverride;
 use super::ledger::Ledger;
 use super::settings::TargetSettings;
+use super::switches::ActiveSwitches;
 use super::switches::HealthReport;
-use super::switches::Switched;
 use super::switches::TargetSwitches;
 
 /// Settings, switches, slots, counts and the ledger.
@@ -26,8 +26,8 @@
     pub(super) slots: Arc<Semaphore>,
     /// Cancelled when the stand-in stops for good.
     pub(super) cancel: CancellationToken,
-    switched: Mutex<Switched>,
-    health: Mutex<HealthSwitch>,
+    switches: Mutex<ActiveSwitches>,
+    health: Mutex<HealthOverride>,
 }
 
 impl Shared {
@@ -39,35 +39,35 @@
             ledger: Arc::new(Ledger::new(cfg.ledger_runs)),
             slots: Arc::new(Semaphore::new(slots)),
             cancel,
-            switched: Mutex::default(),
+            switches: Mutex::default(),
             health: Mutex::default(),
             cfg,
         }
     }
 
     /// The switches as they stand.
-    pub(super) fn switched(&self) -> Switched {
-        *self.switched.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn switches(&self) -> ActiveSwitches {
+        *self.switches.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Turns switches; `so` is the target's true health.
-    pub(super) fn switch(&self, switches: &TargetSwitches, so: Health) {
-        self.switched
+    /// Turns switches; `actual` is the target's true health.
+    pub(super) fn apply_switches(&self, switches: &TargetSwitches, actual: Health) {
+        self.switches
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .turn(switches);
+            .apply(switches);
         if let Some(report) = switches.health {
-            self.set_health(report, so);
+            self.set_health(report, actual);
         }
         tracing::info!(?switches, "switched");
     }
 
-    /// What the health endpoint reports when `so` is so.
-    pub(super) fn reported(&self, so: Health) -> Health {
+    /// What the health endpoint reports when `actual` is so.
+    pub(super) fn reported_health(&self, actual: Health) -> Health {
         self.health
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .report(so)
+            .report(actual)
     }
 
     /// Slots in use.
@@ -81,8 +81,8 @@
         self.counters.stats(u64::from(self.inflight()))
     }
 
-    fn set_health(&self, report: HealthReport, so: Health) {
+    fn set_health(&self, report: HealthReport, actual: Health) {
         let mut health = self.health.lock().unwrap_or_else(PoisonError::into_inner);
-        *health = HealthSwitch::new(report, so);
+        *health = HealthOverride::new(report, actual);
     }
 }
--- a/crates/standin/src/target/switches.rs
+++ b/crates/standin/src/target/switches.rs
@@ -60,7 +60,7 @@
 
 /// The switches as they stand.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Switched {
+pub(super) struct ActiveSwitches {
     pub(super) drain: bool,
     pub(super) slow: Duration,
     pub(super) late: LateAnswers,
@@ -68,9 +68,9 @@
     pub(super) cut_body: bool,
 }
 
-impl Switched {
+impl ActiveSwitches {
     /// Takes over the switches that are present.
-    pub(super) fn turn(&mut self, switches: &TargetSwitches) {
+    pub(super) fn apply(&mut self, switches: &TargetSwitches) {
         self.drain = switches.drain.unwrap_or(self.drain);
         self.slow = switches.slow_ms.map_or(self.slow, Duration::from_millis);
         self.late = switches.late.unwrap_or(self.late);
--- a/crates/standin/src/target/work.rs
+++ b/crates/standin/src/target/work.rs
@@ -21,29 +21,35 @@
 use super::RECEIVED_BYTES_HEADER;
 use super::answer::answer_body;
 use super::answer_stream::AnswerStream;
-use super::counters::count;
+use super::counters::increment;
+use super::generation::Generation;
 use super::health::Readiness;
-use super::life::Life;
-use super::order::Order;
 use super::refusal::Refusal;
 use super::run_guard::RunGuard;
-use super::switches::Switched;
+use super::run_request::RunRequest;
+use super::switches::ActiveSwitches;
 
 type Answer = Response<AnswerStream>;
 
 /// Answers one request.
-pub(super) async fn serve(life: Arc<Life>, req: Request<Incoming>) -> Result<Answer, Infallible> {
+pub(super) async fn serve(
+    generation: Arc<Generation>,
+    req: Request<Incoming>,
+) -> Result<Answer, Infallible> {
     let answer = match req.uri().path() {
-        HEALTH_PATH => health(&life).await,
-        LOAD_PATH => load(&life).await,
-        _ => run(life, req).await,
+        HEALTH_PATH => health(&generation).await,
+        LOAD_PATH => load(&generation).await,
+        _ => run(generation, req).await,
     };
     Ok(answer)
 }
 
-async fn health(life: &Life) -> Answer {
-    probe(life).await;
-    let readiness = life.shared.reported(life.health()).readiness;
+async fn health(generation: &Generation) -> Answer {
+    probe(generation).await;
+    let readiness = generation
+        .shared
+        .reported_health(generation.actual_health())
+        .readiness;
     let status = match readiness {
         Readiness::Ready => StatusCode::OK,
         Readiness::Cold | Readiness::Draining => StatusCode::SERVICE_UNAVAILABLE,
@@ -51,9 +57,12 @@
     plain(status, readiness.as_str())
 }
 
-async fn load(life: &Life) -> Answer {
-    probe(life).await;
-    let load = life.shared.reported(life.health()).load;
+async fn load(generation: &Generation) -> Answer {
+    probe(generation).await;
+    let load = generation
+        .shared
+        .reported_health(generation.actual_health())
+        .load;
     let json = serde_json::to_string(&load).unwrap_or_default();
     let mut answer = Response::new(AnswerStream::text(json));
     let media_type = HeaderValue::from_static("application/json");
@@ -61,31 +70,35 @@
     answer
 }
 
-async fn probe(life: &Life) {
-    count(&life.shared.counters.probes);
-    wait(Duration::from_millis(life.shared.cfg.probe_ms)).await;
+async fn probe(generation: &Generation) {
+    increment(&generation.shared.counters.probes);
+    sleep_unless_zero(Duration::from_millis(generation.shared.cfg.probe_ms)).await;
 }
 
-async fn run(life: Arc<Life>, req: Request<Incoming>) -> Answer {
-    let slot = match admit(&life) {
+async fn run(generation: Arc<Generation>, req: Request<Incoming>) -> Answer {
+    let slot = match admit(&generation) {
         Ok(slot) => slot,
-        Err(refusal) => return refuse(&life, refusal),
+        Err(refusal) => return refuse(&generation, refusal),
     };
-    let n = count(&life.shared.counters.taken);
+    let n = increment(&generation.shared.counters.taken);
     let (head, body) = req.into_parts();
-    let order = match Order::read(&life, &head, n) {
-        Ok(order) => order,
-        Err(err) => return malformed(&life, &err),
+    let request = match RunRequest::parse(&generation, &head, n) {
+        Ok(request) => request,
+        Err(err) => return malformed(&generation, &err),
     };
-    let ledger = Arc::clone(&life.shared.ledger);
-    let mut guard = RunGuard::receive(ledger, order.run(&life), life.crash.clone());
-    let Ok(received) = count_bytes(body).await else {
+    let ledger = Arc::clone(&generation.shared.ledger);
+    let mut guard = RunGuard::start(
+        ledger,
+        request.ledger_entry(&generation),
+        generation.crash.clone(),
+    );
+    let Ok(received) = drain_body(body).await else {
         return plain(StatusCode::BAD_REQUEST, "request cut");
     };
-    guard.begin(received);
+    guard.begin_work(received);
     let job = Job {
-        life,
-        order,
+        generation,
+        request,
         guard,
         slot,
         received,
@@ -94,10 +107,10 @@
     job.run_to_end().await
 }
 
-fn admit(life: &Life) -> Result<OwnedSemaphorePermit, Refusal> {
-    match life.readiness() {
+fn admit(generation: &Generation) -> Result<OwnedSemaphorePermit, Refusal> {
+    match generation.readiness() {
         Readiness::Ready => {
-            let slot = Arc::clone(&life.shared.slots).try_acquire_owned();
+            let slot = Arc::clone(&generation.shared.slots).try_acquire_owned();
             slot.map_err(|_| Refusal::Shed)
         }
         Readiness::Cold => Err(Refusal::Cold),
@@ -105,18 +118,18 @@
     }
 }
 
-fn refuse(life: &Life, refusal: Refusal) -> Answer {
-    count(refusal.counter(&life.shared.counters));
+fn refuse(generation: &Generation, refusal: Refusal) -> Answer {
+    increment(refusal.counter(&generation.shared.counters));
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, refusal.as_str());
-    if refusal.closes() {
+    if refusal.closes_connection() {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(CONNECTION, close);
     }
     answer
 }
 
-fn malformed(life: &Life, err: &Error) -> Answer {
-    count(&life.shared.counters.malformed);
+fn malformed(generation: &Generation, err: &Error) -> Answer {
+    increment(&generation.shared.counters.malformed);
     let mut answer = Response::new(AnswerStream::text(err.to_string()));
     *answer.status_mut() = StatusCode::BAD_REQUEST;
     answer
@@ -128,7 +141,7 @@
     answer
 }
 
-async fn count_bytes(mut body: Incoming) -> Result<u64, hyper::Error> {
+async fn drain_body(mut body: Incoming) -> Result<u64, hyper::Error> {
     let mut received = 0;
     while let Some(frame) = body.frame().await {
         let len = frame?.data_ref().map_or(0, |data| data.len());
@@ -140,8 +153,8 @@
 /// A request that is here whole and has its slot.
 #[derive(Debug)]
 struct Job {
-    life: Arc<Life>,
-    order: Order,
+    generation: Arc<Generation>,
+    request: RunRequest,
     guard: RunGuard,
     slot: OwnedSemaphorePermit,
     received: u64,
@@ -152,11 +165,11 @@
     /// Runs and answers. If the target doesn't honour cancellation, the work
     /// goes on when this future is dropped.
     async fn run_to_end(self) -> Answer {
-        if self.life.shared.cfg.honours_cancellation {
+        if self.generation.shared.cfg.honours_cancellation {
             return self.work().await;
         }
-        let crash = self.life.crash.clone();
-        let tasks = self.life.tasks.clone();
+        let crash = self.generation.crash.clone();
+        let tasks = self.generation.tasks.clone();
         let work = async move { crash.run_until_cancelled(self.work()).await };
         let task = tasks.spawn(work);
         match task.await {
@@ -166,45 +179,46 @@
     }
 
     async fn work(mut self) -> Answer {
-        let crash_on = self.life.shared.cfg.crash_on.as_ref();
-        let crashes = crash_on.and_then(|it| it.crashes_after(&self.order.path));
-        if let Some(after) = crashes {
-            wait(after).await;
-            self.life.fall();
+        let crash_on = self.generation.shared.cfg.crash_on.as_ref();
+        let crash_after = crash_on.and_then(|it| it.crash_delay(&self.request.path));
+        if let Some(after) = crash_after {
+            sleep_unless_zero(after).await;
+            self.generation.crash_by_request();
             // The crash drops this future with its connection.
             std::future::pending::<()>().await;
         }
-        let work = wait(self.order.service_time);
-        let limit = self.order.timeout.unwrap_or(Duration::MAX);
+        let work = sleep_unless_zero(self.request.service_time);
+        let limit = self.request.timeout.unwrap_or(Duration::MAX);
         if tokio::time::timeout(limit, work).await.is_err() {
-            self.guard.time_out(StatusCode::GATEWAY_TIMEOUT.as_u16());
+            self.guard
+                .record_timeout(StatusCode::GATEWAY_TIMEOUT.as_u16());
             return plain(StatusCode::GATEWAY_TIMEOUT, "time is over");
         }
-        self.guard.worked();
-        let switched = self.life.shared.switched();
-        let cancel = self.life.shared.cancel.clone();
-        if switched.hang_after_run {
-            self.guard.hang();
+        self.guard.finish_work();
+        let switches = self.generation.shared.switches();
+        let cancel = self.generation.shared.cancel.clone();
+        if switches.hang_after_run {
+            self.guard.record_hang();
             cancel.cancelled().await;
         }
-        let late = wait(switched.late.delay(self.n));
+        let late = sleep_unless_zero(switches.late.delay(self.n));
         cancel.run_until_cancelled(late).await;
-        self.answer(switched)
+        self.answer(switches)
     }
 
-    fn answer(mut self, switched: Switched) -> Answer {
-        if !switched.hang_after_run {
-            self.guard.answer(StatusCode::OK.as_u16());
+    fn answer(mut self, switches: ActiveSwitches) -> Answer {
+        if !switches.hang_after_run {
+            self.guard.begin_answer(StatusCode::OK.as_u16());
         }
-        let body = answer_body(&self.order.id, self.order.answer_bytes);
+        let body = answer_body(&self.request.id, self.request.answer_bytes);
         let mut stream = AnswerStream::answer(body, self.guard, self.slot);
-        if switched.cut_body || switched.hang_after_run {
+        if switches.cut_body || switches.hang_after_run {
             stream = stream.cut_in_half();
         }
         let mut answer = Response::new(stream);
         let headers = answer.headers_mut();
         headers.insert(RECEIVED_BYTES_HEADER, HeaderValue::from(self.received));
-        if let Ok(id) = HeaderValue::from_str(&self.order.id) {
+        if let Ok(id) = HeaderValue::from_str(&self.request.id) {
             headers.insert(REQUEST_ID, id);
         }
         answer
@@ -213,7 +227,7 @@
 
 /// Waits, unless there is nothing to wait for: the runtime's timer would make
 /// a millisecond of that, more than what a call through two nodes takes.
-async fn wait(time: Duration) {
+async fn sleep_unless_zero(time: Duration) {
     if !time.is_zero() {
         tokio::time::sleep(time).await;
     }
--- a/crates/standin/tests/standin/ledger.rs
+++ b/crates/standin/tests/standin/ledger.rs
@@ -111,7 +111,7 @@
 
     async fn start(&self) -> Target {
         let target = start(working_for(self.service_us)).await;
-        target.switch(&self.switches).await;
+        target.apply_switches(&self.switches).await;
         target
     }
 
