--- a/crates/standin/src/captured_output.rs
+++ b/crates/standin/src/captured_output.rs
@@ -1,4 +1,4 @@
-//! What is written, kept to be read.
+//! Captures written output for tests.
 
 use std::io;
 use std::io::Write;
@@ -6,7 +6,7 @@
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-/// Keeps what is written to it; cloning it gives another handle to the same.
+/// A writer that keeps all bytes in memory; clones share one buffer.
 ///
 /// # Example
 ///
@@ -24,7 +24,7 @@
 pub struct Written(Arc<Mutex<Vec<u8>>>);
 
 impl Written {
-    /// All that was written so far, with signs in place of what isn't text.
+    /// All output so far as text; invalid UTF-8 is replaced by U+FFFD.
     pub fn text(&self) -> String {
         let bytes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         String::from_utf8_lossy(&bytes).into_owned()
@@ -33,8 +33,8 @@
 
 impl Write for Written {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let mut held = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        held.extend_from_slice(bytes);
+        let mut buf = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        buf.extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
--- a/crates/standin/src/flags.rs
+++ b/crates/standin/src/flags.rs
@@ -3,16 +3,16 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Stand-ins for what surrounds the system.
+    /// Simulated platform and target for tests and demos.
     cmd standin {
-        /// A configuration source that can only be read and watched.
+        /// Runs a configuration source that can only be read and watched.
         cmd platform {
             /// The settings file (YAML).
             required --settings settings: PathBuf
             /// Print the bound addresses as a line of JSON.
             optional --print-addrs
         }
-        /// A back end with few slots and a ledger.
+        /// Runs a back end with few slots and a ledger of its requests.
         cmd target {
             /// The settings file (YAML).
             required --settings settings: PathBuf
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,14 +1,14 @@
 /*!
-Small stand-ins for what surrounds the system, for tests, demos and benchmarks.
+Stand-ins for the platform and for targets, for tests, demos and benchmarks.
 
-[`Platform`] is the configuration source: a catalogue and an instance list
-that can be read and watched under a read budget, with switches for outages,
-staleness and lag. [`Target`] is a back end with few slots that can start
-cold, shed, drain, crash, answer late and lie about its health, and that
-keeps a ledger of every request it ran.
+[`Platform`] is the configuration source. Its catalogue and instance list can
+be read and watched within a read budget. Switches simulate outages, stale
+reads and lag. [`Target`] is a back end with few slots. It can start cold,
+shed requests, drain, crash, delay answers and report false health. It keeps a
+ledger of every request that it ran.
 
 Both run inside a test or as processes of the binary `sassafrasspool-standin`.
-They are no part of what is deployed.
+Neither is deployed.
 */
 
 mod captured_output;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes, for demos and benchmarks over real sockets.
+//! Runs a stand-in as a process, for demos and benchmarks over real sockets.
 
 mod flags;
 
@@ -17,7 +17,7 @@
 use crate::flags::Standin;
 use crate::flags::StandinCmd;
 
-/// The line that `--print-addrs` prints.
+/// The bound addresses, which `--print-addrs` prints as a line of JSON.
 #[derive(Debug, Serialize)]
 struct Addrs {
     addr: SocketAddr,
@@ -52,9 +52,9 @@
     Ok(())
 }
 
-/// A token that SIGTERM and SIGINT cancel.
+/// Returns a token that is cancelled on SIGTERM or SIGINT.
 fn cancel_on_signal() -> Result<CancellationToken, Error> {
-    let fail = |e| Error::new(Step::Settings, "cannot await signals").with_cause(e);
+    let fail = |e| Error::new(Step::Settings, "cannot register signal handlers").with_cause(e);
     let mut term = signal(SignalKind::terminate()).map_err(fail)?;
     let mut int = signal(SignalKind::interrupt()).map_err(fail)?;
     let cancel = CancellationToken::new();
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,5 +1,5 @@
 //! The platform stand-in: a configuration source that can only be read and
-//! watched, so that the system can be run and tested without a real one.
+//! watched. The system runs against it in tests in place of a real platform.
 
 mod admin_api;
 mod instance_list;
@@ -47,13 +47,13 @@
 use self::shared::Shared;
 use crate::serve;
 
-/// The largest value in bytes.
+/// The maximum size of a published value in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_048_576;
 
-/// The longest that a watch may wait.
+/// The maximum wait of a watch.
 pub const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// Carries the revision of what was read, in answers 200 and 304.
+/// Header of answers 200 and 304 with the revision of the value read.
 pub const REVISION_HEADER: HeaderName = HeaderName::from_static("x-revision");
 
 /// A running platform stand-in; it stops when dropped.
@@ -84,11 +84,11 @@
 }
 
 impl Platform {
-    /// Opens both ports and publishes the files named in the settings.
+    /// Binds both ports and publishes the files named in the settings.
     ///
     /// # Errors
     ///
-    /// Fails if a port can't be opened, or a file can't be read or published.
+    /// Fails if a port can't be bound, or a file can't be read or published.
     pub async fn start(cfg: PlatformSettings, cancel: CancellationToken) -> Result<Platform> {
         let (listener, addr) = serve::bind(cfg.listen).await?;
         let (admin, admin_addr) = serve::bind(cfg.admin).await?;
@@ -118,18 +118,18 @@
         Ok(platform)
     }
 
-    /// Where readers read.
+    /// The address of the read port.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Where the admin port listens.
+    /// The address of the admin port.
     pub fn admin_addr(&self) -> SocketAddr {
         self.admin_addr
     }
 
-    /// Publishes a catalogue at the next revision. Its text isn't checked,
-    /// so that readers can be given a bad one.
+    /// Publishes a catalogue at the next revision. Its text isn't validated,
+    /// so that tests can serve an invalid catalogue to readers.
     ///
     /// # Errors
     ///
@@ -138,18 +138,18 @@
         self.put_catalogue(text, None)
     }
 
-    /// Publishes a catalogue at a revision of the caller's choice.
+    /// Publishes a catalogue at the given revision.
     ///
     /// # Errors
     ///
     /// Fails if the text is over [`MAX_VALUE_BYTES`], or the revision isn't
-    /// above the newest.
+    /// above the newest one.
     pub fn publish_catalogue_at(&self, text: &str, revision: Revision) -> Result<Revision> {
         self.put_catalogue(text, Some(revision))
     }
 
-    /// Publishes an instance list at the next revision, visible after the lag
-    /// that is set.
+    /// Publishes an instance list at the next revision, visible after the
+    /// configured lag.
     ///
     /// # Errors
     ///
@@ -158,11 +158,12 @@
         self.put_instances(list, None)
     }
 
-    /// Publishes an instance list at a revision of the caller's choice.
+    /// Publishes an instance list at the given revision.
     ///
     /// # Errors
     ///
-    /// Fails if the list is too large, or the revision isn't above the newest.
+    /// Fails if the list as JSON is over [`MAX_VALUE_BYTES`], or the revision
+    /// isn't above the newest one.
     pub fn publish_instances_at(&self, list: &[Instance], revision: Revision) -> Result<Revision> {
         self.put_instances(list, Some(revision))
     }
@@ -171,19 +172,19 @@
     ///
     /// # Errors
     ///
-    /// Fails if the list has no such instance.
+    /// Fails if the list doesn't contain the instance.
     pub fn set_instance_state(&self, id: &InstanceId, change: InstanceChange) -> Result<Revision> {
         Ok(self
             .shared
             .change(|state, now| state.change_instance(id, change, now))?)
     }
 
-    /// Turns switches, as the admin port does.
+    /// Applies the switches that are present, as the admin port does.
     pub fn apply_switches(&self, switches: &PlatformSwitches) {
         self.shared.apply_switches(switches);
     }
 
-    /// Begins or ends an outage: every read gets 503.
+    /// Begins or ends an outage, in which every read is answered with 503.
     pub fn set_outage(&self, outage: bool) {
         self.apply_switches(&PlatformSwitches {
             outage: Some(outage),
@@ -191,7 +192,7 @@
         });
     }
 
-    /// Falls silent or answers again: see [`PlatformSwitches::silent`].
+    /// Stops or resumes answering reads: see [`PlatformSwitches::silent`].
     pub fn set_silent(&self, silent: bool) {
         self.apply_switches(&PlatformSwitches {
             silent: Some(silent),
@@ -199,7 +200,7 @@
         });
     }
 
-    /// Begins or ends serving what is visible at this moment.
+    /// Begins or ends serving only the values that are visible now.
     pub fn set_stale(&self, stale: bool) {
         self.apply_switches(&PlatformSwitches {
             stale: Some(stale),
@@ -207,8 +208,8 @@
         });
     }
 
-    /// Goes back to an older revision of one stream and serves only that,
-    /// until staleness is switched off.
+    /// Serves only an older revision of one stream until staleness is switched
+    /// off.
     ///
     /// # Errors
     ///
@@ -219,33 +220,33 @@
             .change(|state, _| state.values_mut(stream).freeze_at(revision))?)
     }
 
-    /// Sets after how long lists that are published from now on are seen.
+    /// Sets the delay after which lists published from now on become visible.
     pub fn set_list_lag(&self, lag: Duration) {
         self.shared.change(|state, _| state.list_lag = lag);
     }
 
-    /// Sets how long each answer is held back after it was determined.
+    /// Sets the delay between determining an answer and sending it.
     pub fn set_answer_delay(&self, delay: Duration) {
         self.shared.change(|state, _| state.answer_delay = delay);
     }
 
-    /// What readers have asked for so far.
+    /// Counts of reads since the start or the last reset.
     pub fn stats(&self) -> PlatformStats {
         self.shared.stats()
     }
 
-    /// Starts counting reads anew.
+    /// Resets the counts of reads.
     pub fn reset_stats(&self) {
         self.shared.state().reads = ReadCounter::new(Instant::now());
     }
 
-    /// Stops and waits until both ports are closed.
+    /// Stops the platform and waits until both ports are closed.
     pub async fn stop(self) {
         drop(self.guard);
         self.tasks.wait().await;
     }
 
-    /// Waits until it was stopped by the token that it was started with.
+    /// Waits until the token passed to [`Platform::start`] has stopped the platform.
     pub async fn stopped(&self) {
         self.tasks.wait().await;
     }
--- a/crates/standin/src/platform/admin_api.rs
+++ b/crates/standin/src/platform/admin_api.rs
@@ -1,4 +1,4 @@
-//! The admin port: publishing, switches and figures.
+//! The admin port: publications, switches and statistics.
 
 use std::sync::Arc;
 
@@ -29,13 +29,13 @@
 use super::stats::PlatformStats;
 use super::switches::PlatformSwitches;
 
-/// Above the size of a value, so that one that is too large gets an answer
-/// that says so.
+/// The maximum request body in bytes. It is above the maximum value, so that a
+/// value that is somewhat too large is answered with the reason.
 const MAX_BODY_BYTES: usize = 4 * MAX_VALUE_BYTES;
 
 #[derive(Debug, Deserialize)]
 struct PublishQuery {
-    /// A revision to publish at; the next one if absent.
+    /// The revision to publish at; the next one if absent.
     revision: Option<Revision>,
 }
 
--- a/crates/standin/src/platform/instance_list.rs
+++ b/crates/standin/src/platform/instance_list.rs
@@ -1,4 +1,4 @@
-//! The instance list as a body, and changes of one instance.
+//! The JSON body of the instance list, and changes of one instance in it.
 
 use bytes::Bytes;
 use sassafrasspool_core::Instance;
@@ -16,14 +16,14 @@
 }
 
 impl ListBody<Vec<Instance>> {
-    /// The JSON of a list.
+    /// Encodes a list as JSON.
     pub(super) fn encode(list: &[Instance]) -> Result<Bytes, Refusal> {
         let json = serde_json::to_vec(&ListBody { instances: list });
         json.map(Bytes::from)
             .map_err(|e| Refusal::Malformed(e.to_string()))
     }
 
-    /// The list in a JSON body.
+    /// Decodes a list from a JSON body.
     pub(super) fn decode(body: &[u8]) -> Result<Vec<Instance>, Refusal> {
         let read: Result<ListBody<Vec<Instance>>, _> = serde_json::from_slice(body);
         read.map(|body| body.instances)
@@ -31,20 +31,20 @@
     }
 }
 
-/// What becomes of an instance in the list.
+/// A change of one instance in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceChange {
-    /// Listed as live.
+    /// The instance is listed as live.
     Live,
-    /// Listed as leaving.
+    /// The instance is listed as leaving.
     Leaving,
-    /// Taken off the list.
+    /// The instance is removed from the list.
     Gone,
 }
 
 impl InstanceChange {
-    /// Changes the instance `id` in `list`.
+    /// Applies the change to the instance `id` in `list`.
     pub(super) fn apply(self, id: &InstanceId, list: &mut Vec<Instance>) -> Result<(), Refusal> {
         let index = list.iter().position(|instance| instance.id == *id);
         let index = index.ok_or_else(|| Refusal::UnknownInstance(id.clone()))?;
--- a/crates/standin/src/platform/published_value.rs
+++ b/crates/standin/src/platform/published_value.rs
@@ -1,16 +1,16 @@
-//! One published value.
+//! A published value of a stream.
 
 use bytes::Bytes;
 use sassafrasspool_core::Revision;
 use tokio::time::Instant;
 
-/// A value as it was published; cloning shares the body.
+/// A published value; clones share the body.
 #[derive(Debug, Clone)]
 pub(super) struct PublishedValue {
-    /// The revision that it was accepted at.
+    /// The revision at which it was published.
     pub(super) revision: Revision,
-    /// The whole value.
+    /// The complete value.
     pub(super) body: Bytes,
-    /// When readers begin to see it.
+    /// When it becomes visible to readers.
     pub(super) visible_at: Instant,
 }
--- a/crates/standin/src/platform/read_api.rs
+++ b/crates/standin/src/platform/read_api.rs
@@ -1,4 +1,4 @@
-//! The read port: plain reads and watches of both streams.
+//! The read port: reads and watches of both streams.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,18 +25,18 @@
 use super::shared::Shared;
 use super::state::ReadResult;
 
-/// The content coding that values may go out in.
+/// The content coding of compressed values.
 const CONTENT_CODING: &str = "zstd";
 
-/// The compression level, the library's default.
+/// The zstd compression level, which is the library's default.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// The parameters of a read.
+/// The query parameters of a read.
 #[derive(Debug, Default, Deserialize)]
 struct ReadQuery {
     /// The revision that the reader has; absent for a plain read.
     after: Option<u64>,
-    /// Milliseconds to wait for a newer one.
+    /// Milliseconds to wait for a newer revision.
     #[serde(default)]
     wait_ms: u64,
 }
@@ -107,7 +107,7 @@
     accepted.is_some_and(|value| value == CONTENT_CODING)
 }
 
-/// A value, compressed.
+/// Responds with the compressed value.
 fn compressed(body: &[u8]) -> Response {
     match zstd::bulk::compress(body, COMPRESSION_LEVEL) {
         Ok(small) => ([(CONTENT_ENCODING, CONTENT_CODING)], small).into_response(),
--- a/crates/standin/src/platform/read_budget.rs
+++ b/crates/standin/src/platform/read_budget.rs
@@ -1,10 +1,10 @@
-//! The read budget over all readers: a token bucket.
+//! Limits the read rate over all readers with a token bucket.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// A token bucket that is refilled as time passes.
+/// A token bucket that is refilled continuously.
 ///
 /// # Invariants
 ///
@@ -20,7 +20,7 @@
 impl ReadBudget {
     /// A full bucket of `burst` reads, refilled at `per_s` reads per second.
     pub(super) fn new(per_s: u32, burst: u32, now: Instant) -> ReadBudget {
-        // INVARIANT: A full bucket holds just `burst`.
+        // INVARIANT: The bucket starts with exactly `burst` tokens.
         ReadBudget {
             per_s: f64::from(per_s),
             burst: f64::from(burst),
@@ -29,11 +29,11 @@
         }
     }
 
-    /// Takes one read.
+    /// Takes the token for one read.
     ///
     /// # Errors
     ///
-    /// Gives how long to wait for the next one if none is left.
+    /// Returns the time until the next token if none is available.
     pub(super) fn try_take(&mut self, now: Instant) -> Result<(), Duration> {
         let passed = now.saturating_duration_since(self.filled_at).as_secs_f64();
         self.filled_at = now;
--- a/crates/standin/src/platform/read_counter.rs
+++ b/crates/standin/src/platform/read_counter.rs
@@ -1,11 +1,11 @@
-//! Counting reads, and the most of them in a second.
+//! Counts reads, and their peak within one second.
 
 use tokio::time::Instant;
 
-/// The steps that the window of one second moves by.
+/// The number of buckets in the sliding window of one second.
 const BUCKET_COUNT: usize = 10;
 
-/// The length of one step in milliseconds.
+/// The length of one bucket in milliseconds.
 const BUCKET_MS: u128 = 100;
 
 /// Counts calls over a sliding window of one second.
@@ -25,7 +25,7 @@
 }
 
 impl ReadCounter {
-    /// A count of nothing so far.
+    /// An empty count whose buckets begin at `now`.
     pub(super) fn new(now: Instant) -> ReadCounter {
         ReadCounter {
             total: 0,
@@ -38,33 +38,33 @@
         }
     }
 
-    /// Counts one call, whatever its answer will be.
+    /// Counts one call, regardless of its answer.
     pub(super) fn count(&mut self, now: Instant) {
         let bucket = now.saturating_duration_since(self.origin).as_millis() / BUCKET_MS;
         self.advance_window(bucket);
-        // INVARIANT: The sum grows with its bucket.
+        // INVARIANT: The bucket and the sum both grow by one.
         self.buckets[bucket_index(bucket)] += 1;
         self.in_window += 1;
         self.total += 1;
         self.peak = self.peak.max(self.in_window);
     }
 
-    /// Counts the refusal of a call that was counted before.
+    /// Counts the refusal of a call that is already counted.
     pub(super) fn count_refused(&mut self) {
         self.refused += 1;
     }
 
-    /// All calls.
+    /// The number of calls, including refused ones.
     pub(super) fn total(&self) -> u64 {
         self.total
     }
 
-    /// Calls over the budget.
+    /// The number of calls over the budget.
     pub(super) fn refused(&self) -> u64 {
         self.refused
     }
 
-    /// The most calls within one second, refused ones among them.
+    /// The maximum number of calls within one second, including refused ones.
     pub(super) fn peak(&self) -> u64 {
         self.peak
     }
@@ -73,7 +73,7 @@
         let count = u128::try_from(BUCKET_COUNT).unwrap_or(u128::MAX);
         let first = (self.newest_bucket + 1).max((to + 1).saturating_sub(count));
         for bucket in first..=to {
-            // INVARIANT: What leaves a bucket leaves the sum.
+            // INVARIANT: The count of a cleared bucket is subtracted from the sum.
             let removed = std::mem::take(&mut self.buckets[bucket_index(bucket)]);
             self.in_window -= removed;
         }
--- a/crates/standin/src/platform/refusal.rs
+++ b/crates/standin/src/platform/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a publication was refused.
+//! The reasons for refusing a publication.
 
 use std::fmt;
 
@@ -10,23 +10,23 @@
 
 use super::MAX_VALUE_BYTES;
 
-/// A change that the platform did not take; nothing of it is published.
+/// A refused change; nothing of it is published.
 #[derive(Debug)]
 pub(super) enum Refusal {
-    /// The value has more bytes than a value may have.
+    /// The value has this many bytes, more than [`MAX_VALUE_BYTES`].
     TooLarge(usize),
-    /// The forced revision isn't above the newest one.
+    /// The forced revision isn't above this newest one.
     RevisionNotAbove(Revision),
-    /// The list has no such instance.
+    /// The list doesn't contain the instance.
     UnknownInstance(InstanceId),
-    /// The revision is no longer kept, or never was.
+    /// The revision is no longer kept, or was never published.
     UnknownRevision(Revision),
-    /// The body can't be read.
+    /// The body can't be encoded or decoded, for this reason.
     Malformed(String),
 }
 
 impl Refusal {
-    /// The status that the admin port answers with.
+    /// The HTTP status of the answer on the admin port.
     pub(super) fn status(&self) -> StatusCode {
         match self {
             Refusal::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/standin/src/platform/settings.rs
+++ b/crates/standin/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! What a platform stand-in starts with.
+//! The settings of a platform stand-in.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -10,28 +10,28 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Where readers read; port 0 takes any free port.
+    /// The address of the read port; port 0 takes any free port.
     pub listen: SocketAddr,
-    /// Where it is published to and switched.
+    /// The address of the admin port, which takes publications and switches.
     pub admin: SocketAddr,
-    /// Reads per second over all readers.
+    /// The read budget over all readers, in reads per second.
     pub reads_per_s: u32,
-    /// Reads that may come at once after a pause; a tenth of a second's worth
-    /// if absent.
+    /// The burst of the read budget, in reads; a tenth of `reads_per_s` if
+    /// absent.
     pub read_burst: Option<u32>,
-    /// Whether values go out compressed by `zstd` to readers that take it.
+    /// Whether values are compressed with `zstd` for readers that accept it.
     pub compress: bool,
-    /// A catalogue to publish at the start.
+    /// The file of a catalogue to publish at the start.
     pub catalogue: Option<PathBuf>,
-    /// An instance list (JSON) to publish at the start.
+    /// The file of an instance list (JSON) to publish at the start.
     pub instances: Option<PathBuf>,
 }
 
-/// The read budget if the settings name none, in reads per second.
+/// The default read budget in reads per second.
 const DEFAULT_READS_PER_S: u32 = 2_000;
 
 impl PlatformSettings {
-    /// The burst in force, at least one read.
+    /// The effective burst in reads, at least one.
     pub(super) fn burst(&self) -> u32 {
         self.read_burst.unwrap_or(self.reads_per_s / 10).max(1)
     }
--- a/crates/standin/src/platform/shared.rs
+++ b/crates/standin/src/platform/shared.rs
@@ -1,4 +1,4 @@
-//! What the handle and both ports of a platform stand-in share.
+//! The state shared by the handle and both ports of a platform stand-in.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -17,19 +17,19 @@
 use super::switches::PlatformSwitches;
 use super::waiter_count::WaiterCount;
 
-/// The state, and the news that it changed.
+/// The state, and the channel that signals its changes.
 #[derive(Debug)]
 pub(super) struct Shared {
     state: Mutex<State>,
     changed: watch::Sender<()>,
     waiters: WaiterCount,
-    /// Whether readers may have values compressed.
+    /// Whether values are compressed for readers that accept it.
     pub(super) compress: bool,
     cancel: CancellationToken,
 }
 
 impl Shared {
-    /// Nothing published; `cancel` ends every waiting watch.
+    /// The state before any publication; `cancel` ends every waiting watch.
     pub(super) fn new(cfg: &PlatformSettings, cancel: CancellationToken) -> Shared {
         Shared {
             state: Mutex::new(State::new(cfg, Instant::now())),
@@ -40,19 +40,20 @@
         }
     }
 
-    /// The state, to look at or to count in.
+    /// Locks the state, for reads and counts. [`Shared::change`] also wakes watches.
     pub(super) fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the state and wakes all that wait.
+    /// Changes the state and wakes all watches.
     pub(super) fn change<T>(&self, f: impl FnOnce(&mut State, Instant) -> T) -> T {
         let result = f(&mut self.state(), Instant::now());
         self.changed.send_replace(());
         result
     }
 
-    /// Waits up to `wait` for something that a reader with `after` lacks.
+    /// Waits up to `wait` for a value newer than `after`, or for an outage. A silent
+    /// platform prolongs the wait until it answers again.
     pub(super) async fn watch(
         &self,
         stream: Stream,
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Takes a read in if the platform answers any; else it has none until the end.
+    /// Blocks a read that arrives while the platform is silent until the platform
+    /// stops.
     pub(super) async fn hang_if_silent(&self) {
         let silent = self.state().silent;
         if silent {
@@ -92,14 +94,14 @@
         }
     }
 
-    /// Holds an answer back for the delay that is set, but not beyond the end.
+    /// Delays an answer by the configured delay, or until the platform stops.
     pub(super) async fn delay_answer(&self) {
         let delay = self.state().answer_delay;
         let sleep = tokio::time::sleep(delay);
         self.cancel.run_until_cancelled(sleep).await;
     }
 
-    /// Turns switches.
+    /// Applies the switches that are present.
     pub(super) fn apply_switches(&self, switches: &PlatformSwitches) {
         self.change(|state, now| {
             if let Some(outage) = switches.outage {
@@ -121,7 +123,7 @@
         tracing::info!(?switches, "switched");
     }
 
-    /// The figures so far.
+    /// The counts so far.
     pub(super) fn stats(&self) -> PlatformStats {
         let state = self.state();
         PlatformStats {
--- a/crates/standin/src/platform/state.rs
+++ b/crates/standin/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! All that a platform stand-in holds, behind one lock.
+//! The state of a platform stand-in, which one lock guards.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use super::settings::PlatformSettings;
 use super::stream_values::StreamValues;
 
-/// What is published, switched and counted.
+/// The published values, the switches and the counts.
 ///
 /// # Invariants
 ///
@@ -29,33 +29,33 @@
     instances: StreamValues,
     list: Vec<Instance>,
     budget: ReadBudget,
-    /// Calls so far.
+    /// Counts the calls on the read port.
     pub(super) reads: ReadCounter,
-    /// Whether every read fails.
+    /// Whether every read is answered with 503.
     pub(super) outage: bool,
-    /// Whether nothing is answered.
+    /// Whether reads stay unanswered.
     pub(super) silent: bool,
-    /// How long each answer is held back.
+    /// The delay between determining an answer and sending it.
     pub(super) answer_delay: Duration,
-    /// When lists that are published from now on are seen.
+    /// The delay until lists published from now on become visible.
     pub(super) list_lag: Duration,
 }
 
-/// What a read finds at one moment.
+/// The result of a read at one moment.
 #[derive(Debug)]
 pub(super) enum ReadResult {
-    /// The source is out.
+    /// An outage is switched on, or the platform stops.
     Outage,
-    /// Nothing was published yet.
+    /// No value is visible yet.
     NothingPublished,
-    /// A value that the reader doesn't have.
+    /// A value newer than the reader's revision.
     Value(PublishedValue),
-    /// Nothing newer than what the reader has.
+    /// The visible value, of this revision, isn't newer than the reader's.
     Unchanged(Revision),
 }
 
 impl State {
-    /// Nothing published, no fault switched on.
+    /// The state without values and with all faults switched off.
     pub(super) fn new(cfg: &PlatformSettings, now: Instant) -> State {
         State {
             catalogue: StreamValues::default(),
@@ -70,11 +70,11 @@
         }
     }
 
-    /// Counts a call and takes it from the budget.
+    /// Counts a call and takes a token for it from the budget.
     ///
     /// # Errors
     ///
-    /// Gives how long to wait if the budget is spent.
+    /// Returns the time until the next token if the budget is exhausted.
     pub(super) fn admit(&mut self, now: Instant) -> Result<(), Duration> {
         self.reads.count(now);
         let admitted = self.budget.try_take(now);
@@ -84,7 +84,7 @@
         admitted
     }
 
-    /// What a reader that has `after` finds.
+    /// The result of a read by a reader that has revision `after`.
     pub(super) fn find(&self, stream: Stream, after: Option<u64>, now: Instant) -> ReadResult {
         if self.outage {
             return ReadResult::Outage;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The values of `stream`, to switch what readers see.
+    /// The values of `stream`, to change the view of readers.
     pub(super) fn values_mut(&mut self, stream: Stream) -> &mut StreamValues {
         match stream {
             Stream::Catalogue => &mut self.catalogue,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Publishes a catalogue, whatever its text says.
+    /// Publishes a catalogue without validating its text.
     pub(super) fn publish_catalogue(
         &mut self,
         text: Bytes,
@@ -124,7 +124,7 @@
         self.catalogue.publish(text, forced, now, Duration::ZERO)
     }
 
-    /// Publishes an instance list.
+    /// Publishes an instance list, visible after the lag.
     pub(super) fn publish_instances(
         &mut self,
         list: Vec<Instance>,
@@ -133,7 +133,7 @@
     ) -> Result<Revision, Refusal> {
         let body = ListBody::encode(&list)?;
         let revision = self.instances.publish(body, forced, now, self.list_lag)?;
-        // INVARIANT: The value just published was encoded from this list.
+        // INVARIANT: The newest value was encoded from this list.
         self.list = list;
         Ok(revision)
     }
@@ -150,7 +150,7 @@
         self.publish_instances(list, None, now)
     }
 
-    /// Switches staleness of both streams.
+    /// Switches stale reads of both streams on or off.
     pub(super) fn set_stale(&mut self, stale: bool, now: Instant) {
         for values in [&mut self.catalogue, &mut self.instances] {
             match stale {
--- a/crates/standin/src/platform/stream_values.rs
+++ b/crates/standin/src/platform/stream_values.rs
@@ -1,4 +1,4 @@
-//! The values of one stream, and which of them readers see.
+//! The published values of one stream and the value that readers see.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,7 +11,8 @@
 use super::published_value::PublishedValue;
 use super::refusal::Refusal;
 
-/// The values that are kept for [`StreamValues::freeze_at`].
+/// The number of values kept for [`StreamValues::freeze_at`]. More are kept only
+/// while the lag leaves the newer ones invisible.
 const MAX_KEPT_VALUES: usize = 16;
 
 /// The published values of one stream.
@@ -25,13 +26,13 @@
     view: View,
 }
 
-/// Which values readers are shown.
+/// The value that readers see.
 #[derive(Debug, Default)]
 enum View {
-    /// The newest that is visible by now.
+    /// The newest value that is visible now.
     #[default]
     Live,
-    /// One value, or none, whatever is published meanwhile.
+    /// A fixed value, or none, regardless of later publications.
     Frozen(Option<PublishedValue>),
 }
 
@@ -40,7 +41,7 @@
     ///
     /// # Errors
     ///
-    /// Refuses values over the size limit and a forced revision that isn't
+    /// Rejects a value over the size limit, and a forced revision that isn't
     /// above the newest one.
     pub(super) fn publish(
         &mut self,
@@ -53,7 +54,7 @@
             return Err(Refusal::TooLarge(body.len()));
         }
         let revision = self.next_revision(forced)?;
-        // INVARIANT: The revision was found to be above the newest one.
+        // INVARIANT: `next_revision` returns only revisions above the newest one.
         self.values.push_back(PublishedValue {
             revision,
             body,
@@ -63,7 +64,7 @@
         Ok(revision)
     }
 
-    /// What readers see at `now`.
+    /// The value that readers see at `now`.
     pub(super) fn visible(&self, now: Instant) -> Option<&PublishedValue> {
         match &self.view {
             View::Live => self
@@ -75,7 +76,7 @@
         }
     }
 
-    /// When readers will see something else than at `now`, as far as known.
+    /// When the next value already published becomes visible after `now`.
     pub(super) fn next_visible_at(&self, now: Instant) -> Option<Instant> {
         match self.view {
             View::Live => self
@@ -88,17 +89,17 @@
         }
     }
 
-    /// Goes on showing what is visible at `now`.
+    /// Fixes the view to the value that is visible at `now`.
     pub(super) fn freeze(&mut self, now: Instant) {
         let value = self.visible(now).cloned();
         self.view = View::Frozen(value);
     }
 
-    /// Goes back to an older revision and shows only that.
+    /// Fixes the view to an older revision.
     ///
     /// # Errors
     ///
-    /// Refuses a revision that isn't among those kept.
+    /// Rejects a revision that is no longer kept.
     pub(super) fn freeze_at(&mut self, revision: Revision) -> Result<(), Refusal> {
         let value = self.values.iter().find(|value| value.revision == revision);
         let value = value.ok_or(Refusal::UnknownRevision(revision))?;
@@ -106,7 +107,7 @@
         Ok(())
     }
 
-    /// Shows the newest values again.
+    /// Returns the view to the newest visible value.
     pub(super) fn unfreeze(&mut self) {
         self.view = View::Live;
     }
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Forgets values beyond those kept, but none that readers still see.
+    /// Drops the oldest values beyond [`MAX_KEPT_VALUES`]. A value that is still the
+    /// newest visible one stays.
     fn evict_oldest(&mut self, now: Instant) {
         while self.values.len() > MAX_KEPT_VALUES && self.values[1].visible_at <= now {
             self.values.pop_front();
--- a/crates/standin/src/platform/switches.rs
+++ b/crates/standin/src/platform/switches.rs
@@ -1,22 +1,22 @@
-//! The faults that can be switched on.
+//! The switches that simulate faults of the platform.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A change of switches: those that are absent stay as they are.
+/// A change of switches; absent ones stay unchanged.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformSwitches {
-    /// Answers every read with 503, the waiting ones at once.
+    /// Answers every read with 503, and waiting ones immediately.
     pub outage: Option<bool>,
-    /// Takes reads and never answers them, also when it is switched off; watches that
-    /// waited before are answered then.
+    /// Accepts reads and never answers them, not even after it is switched off. Watches
+    /// that were already waiting are answered after it is switched off.
     pub silent: Option<bool>,
-    /// Serves what is visible at this moment until it is switched off.
+    /// Serves only the values visible now, until it is switched off.
     pub stale: Option<bool>,
-    /// Milliseconds after which instance lists published from now on are seen.
+    /// Milliseconds until instance lists published from now on become visible.
     pub list_lag_ms: Option<u64>,
-    /// Milliseconds that each answer is held back after it was determined, so
-    /// that answers can cross newer ones.
+    /// Milliseconds between determining an answer and sending it, so that a
+    /// newer answer can overtake an older one.
     pub answer_delay_ms: Option<u64>,
 }
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Listening, and serving a router until a token is cancelled.
+//! Binds listeners and serves routers until a token is cancelled.
 
 use std::net::SocketAddr;
 
@@ -19,15 +19,15 @@
     Ok((listener, bound))
 }
 
-/// The error of a listener that could not be opened.
+/// The error for a listener that could not be bound.
 pub(crate) fn listen_error(addr: SocketAddr, cause: std::io::Error) -> Error {
     Error::new(Step::Connect, format!("cannot listen on {addr}")).with_cause(cause)
 }
 
-/// Serves `router` until `cancel` is cancelled and the answers under way are
-/// given.
+/// Serves `router` until `cancel` is cancelled, and then completes the requests
+/// in flight.
 pub(crate) async fn serve(listener: TcpListener, router: Router, cancel: CancellationToken) {
-    // Small answers must not wait for an acknowledgement of the one before.
+    // Nagle's algorithm would delay a small answer until the previous one is acknowledged.
     let listener = listener.tap_io(|io| {
         let _ = io.set_nodelay(true);
     });
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reading settings files, which are YAML as everywhere in the system.
+//! Reads settings files, which are YAML as in the rest of the system.
 
 use std::fs::File;
 use std::io::Read;
@@ -16,8 +16,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the file can't be read, is larger than 64 KiB or isn't YAML of
-/// the shape that `T` asks for.
+/// Fails if the file can't be read, is larger than 64 KiB or isn't YAML that
+/// deserializes into `T`.
 pub fn read_settings<T: DeserializeOwned>(path: &Path) -> Result<T> {
     let fail = |what: &str| Error::new(Step::Settings, format!("{what} {}", path.display()));
     let file = File::open(path).map_err(|e| fail("cannot open").with_cause(e))?;
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -1,5 +1,5 @@
-//! The target stand-in: a back end with few slots and a ledger, so that the
-//! system can be shown what real back ends do at their worst.
+//! The target stand-in: a back end with few slots and a ledger, which
+//! simulates the faults of real back ends.
 
 mod admin_api;
 mod answer;
@@ -53,13 +53,15 @@
 use self::supervisor::Supervisor;
 use crate::serve;
 
-/// Says in answers how many bytes the request's body had.
+/// Header of answers with the length of the request body in bytes.
 pub const RECEIVED_BYTES_HEADER: HeaderName = HeaderName::from_static("x-received-bytes");
 
-/// Answers 200 if the target takes work, 503 if not, unless it lies.
+/// The path of the health probe. It answers 200 if the target accepts work and
+/// 503 otherwise, unless a [`HealthReport`] overrides that.
 pub const HEALTH_PATH: &str = "/healthz";
 
-/// Answers with a [`Load`] as JSON, unless it lies.
+/// The path of the load probe. It answers with a [`Load`] as JSON, which a
+/// [`HealthReport`] may override.
 pub const LOAD_PATH: &str = "/load";
 
 /// A running target stand-in; it stops when dropped.
@@ -90,11 +92,11 @@
 }
 
 impl Target {
-    /// Opens both ports and begins the first cold start.
+    /// Binds both ports and begins the first cold start.
     ///
     /// # Errors
     ///
-    /// Fails if a port can't be opened.
+    /// Fails if a port can't be bound.
     pub async fn start(cfg: TargetSettings, cancel: CancellationToken) -> Result<Target> {
         let cancel = cancel.child_token();
         let (admin, admin_addr) = serve::bind(cfg.admin).await?;
@@ -119,48 +121,48 @@
         })
     }
 
-    /// Where the target serves.
+    /// The address at which the target serves requests.
     pub fn addr(&self) -> SocketAddr {
         self.supervisor.addr()
     }
 
-    /// Where the admin port listens.
+    /// The address of the admin port.
     pub fn admin_addr(&self) -> SocketAddr {
         self.admin_addr
     }
 
-    /// A copy of the ledger over all lives, also of runs that never finished.
+    /// A copy of the ledger over all generations, including unfinished runs.
     pub fn ledger(&self) -> LedgerPages {
         self.supervisor.shared().ledger.copy()
     }
 
-    /// What it did so far.
+    /// Counts since the first start.
     pub fn stats(&self) -> TargetStats {
         self.supervisor.shared().stats()
     }
 
-    /// Turns switches, as the admin port does.
+    /// Applies the switches that are present, as the admin port does.
     pub async fn apply_switches(&self, switches: &TargetSwitches) {
         self.supervisor.apply_switches(switches).await;
     }
 
-    /// Drops all connections at once, with resets, and refuses new ones. What
-    /// ran is over when this returns.
+    /// Resets all connections and refuses new ones. All runs have ended when
+    /// this returns.
     pub async fn crash(&self) {
         self.supervisor.crash().await;
     }
 
-    /// Starts again on the same port, with a cold start; crashes first if it
-    /// still runs. The switches and the ledger stay.
+    /// Starts the next generation on the same port, with a cold start. A running
+    /// generation is crashed first. The switches and the ledger are kept.
     ///
     /// # Errors
     ///
-    /// Fails if the port can't be opened again.
+    /// Fails if the port can't be listened on again.
     pub async fn restart(&self) -> Result<()> {
         self.supervisor.restart().await
     }
 
-    /// Begins or ends refusing new work, finishing what runs.
+    /// Begins or ends draining: new work is refused, and runs in progress finish.
     pub async fn set_drain(&self, drain: bool) {
         self.apply_switches(&TargetSwitches {
             drain: Some(drain),
@@ -179,8 +181,8 @@
         .await;
     }
 
-    /// Makes one answer in `every` late `by` so much, in whole milliseconds;
-    /// none if `every` is 0. The work is done in time.
+    /// Delays one answer in `every` by `by`, in whole milliseconds; none if
+    /// `every` is 0. The work itself isn't delayed.
     pub async fn late_answers(&self, every: u64, by: Duration) {
         let late = Some(LateAnswers {
             every,
@@ -193,7 +195,7 @@
         .await;
     }
 
-    /// Sets what the health and load endpoints say.
+    /// Sets what the health and load endpoints report.
     pub async fn lie_about_health(&self, report: HealthReport) {
         let health = Some(report);
         self.apply_switches(&TargetSwitches {
@@ -203,7 +205,7 @@
         .await;
     }
 
-    /// Begins or ends doing the work and never answering.
+    /// Begins or ends completing the work without ever answering.
     pub async fn set_hang_after_run(&self, hang: bool) {
         let hang_after_run = Some(hang);
         self.apply_switches(&TargetSwitches {
@@ -213,7 +215,7 @@
         .await;
     }
 
-    /// Begins or ends breaking off in the middle of each answer.
+    /// Begins or ends cutting each answer off after half of its body.
     pub async fn set_cut_body(&self, cut: bool) {
         self.apply_switches(&TargetSwitches {
             cut_body: Some(cut),
@@ -222,7 +224,8 @@
         .await;
     }
 
-    /// Stops: takes no more connections, finishes what runs and closes.
+    /// Stops gracefully: accepts no more connections, finishes runs in progress
+    /// and closes.
     pub async fn stop(self) {
         let Target {
             supervisor,
@@ -235,7 +238,7 @@
         tasks.wait().await;
     }
 
-    /// Waits until it was stopped by the token that it was started with.
+    /// Waits until the token passed to [`Target::start`] has stopped the target.
     pub async fn stopped(&self) {
         self.tasks.wait().await;
         self.supervisor.stopped().await;
--- a/crates/standin/src/target/admin_api.rs
+++ b/crates/standin/src/target/admin_api.rs
@@ -1,5 +1,5 @@
-//! The admin port: switches, the ledger and figures. It stays up when the
-//! target has crashed.
+//! The admin port: switches, the ledger and statistics. It stays open while the
+//! target is crashed.
 
 use std::sync::Arc;
 
--- a/crates/standin/src/target/answer.rs
+++ b/crates/standin/src/target/answer.rs
@@ -1,12 +1,12 @@
-//! What an answer consists of, so that a caller can check that it got the
-//! whole answer to its own request.
+//! The body of an answer, by which a caller checks that it received the
+//! complete answer to its own request.
 
 use blake3::Hasher;
 use bytes::Bytes;
 
-/// `len` bytes that follow from the request id alone. No two places of one
-/// pattern and no two ids share a run of bytes, so that a cut, crossed or
-/// repeated piece shows.
+/// Returns `len` bytes that only the request id determines. No two places of one
+/// pattern and no two ids share a sequence of bytes, so that cut, swapped or
+/// repeated chunks are detected.
 ///
 /// # Example
 ///
@@ -23,8 +23,8 @@
     buf
 }
 
-/// The whole body that answers request `id` when `len` bytes of pattern were
-/// asked for: the id, a line feed and the pattern.
+/// Returns the complete answer body for request `id` with `len` bytes of pattern:
+/// the id, a line feed and the pattern.
 pub fn answer_body(id: &str, len: usize) -> Bytes {
     let mut buf = Vec::with_capacity(id.len() + 1 + len);
     buf.extend_from_slice(id.as_bytes());
--- a/crates/standin/src/target/answer_stream.rs
+++ b/crates/standin/src/target/answer_stream.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, handed over in pieces.
+//! The body of an answer, streamed in chunks.
 
 use std::io;
 use std::pin::Pin;
@@ -13,8 +13,8 @@
 
 use super::run_guard::RunGuard;
 
-/// The size of a piece in bytes. A run only counts as finished with its last
-/// piece, so that a caller who hangs up amid a long answer is seen.
+/// The size of a chunk in bytes. A run counts as finished only with its last
+/// chunk, so that a caller's disconnect during a long answer is recorded.
 const CHUNK_BYTES: usize = 16 * 1024;
 
 /// The body of an answer or a refusal.
@@ -26,17 +26,17 @@
     _slot: Option<OwnedSemaphorePermit>,
 }
 
-/// A cut that is to come.
+/// A planned cut of the body.
 #[derive(Debug, Clone, Copy)]
 struct Cut {
-    /// Bytes that are never handed over.
+    /// The number of bytes that are never sent.
     missing: usize,
-    /// Whether what came before was given time to be sent.
+    /// Whether the connection had a chance to flush the bytes before the cut.
     flushed: bool,
 }
 
 impl AnswerStream {
-    /// The text of a refusal or probe.
+    /// The body of a refusal or probe.
     pub(super) fn text(text: impl Into<Bytes>) -> AnswerStream {
         AnswerStream {
             remaining: text.into(),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The answer to a run, which holds its slot until it is handed over.
+    /// The answer to a run, which holds its slot until the body is dropped.
     pub(super) fn answer(body: Bytes, run: RunGuard, slot: OwnedSemaphorePermit) -> AnswerStream {
         AnswerStream {
             remaining: body,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The same answer, breaking off in the middle.
+    /// Fails the answer after half of its body.
     pub(super) fn cut_in_half(mut self) -> AnswerStream {
         self.cut = Some(Cut {
             missing: self.remaining.len().div_ceil(2),
@@ -99,13 +99,13 @@
         match &mut self.cut {
             None => Poll::Ready(None),
             Some(cut) if !cut.flushed => {
-                // The connection flushes when its body is pending; failing at
-                // once would throw away the first half unsent.
+                // The connection flushes when its body is pending. Failing
+                // immediately would discard the first half unsent.
                 cut.flushed = true;
                 cx.waker().wake_by_ref();
                 Poll::Pending
             }
-            Some(_) => Poll::Ready(Some(Err(io::Error::other("cut on purpose")))),
+            Some(_) => Poll::Ready(Some(Err(io::Error::other("answer cut by a switch")))),
         }
     }
 
--- a/crates/standin/src/target/clock.rs
+++ b/crates/standin/src/target/clock.rs
@@ -1,11 +1,11 @@
-//! Time stamps that can be compared between processes on one machine.
+//! Timestamps that are comparable between processes on one machine.
 
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
 use tokio::time::Instant;
 
-/// A clock that never goes back.
+/// A wall clock that never goes back.
 #[derive(Debug)]
 pub(super) struct Clock {
     origin: Instant,
@@ -13,8 +13,8 @@
 }
 
 impl Clock {
-    /// A clock that begins at the wall clock's time and doesn't follow its
-    /// later steps.
+    /// A clock that starts at the system time and doesn't follow later steps of
+    /// the system time.
     pub(super) fn new() -> Clock {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/standin/src/target/counters.rs
+++ b/crates/standin/src/target/counters.rs
@@ -1,4 +1,4 @@
-//! Counting what a target does.
+//! Counts the connections and requests of a target.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -6,26 +6,26 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a target did since its first start.
+/// Counts of a target since its first start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetStats {
-    /// Slots in use right now.
+    /// Slots in use now.
     pub inflight: u64,
-    /// Connections open right now.
+    /// Connections open now.
     pub connections: u64,
-    /// The most connections open at once.
+    /// The maximum number of connections open at the same time.
     pub connections_peak: u64,
-    /// Connections closed on arrival since there were too many.
+    /// Connections over the limit, which were closed on arrival.
     pub connections_refused: u64,
-    /// Requests taken into a slot, malformed ones among them.
+    /// Requests admitted to a slot, including malformed ones.
     pub taken: u64,
-    /// Requests refused since no slot was free.
+    /// Requests refused because no slot was free.
     pub shed: u64,
     /// Requests refused during a cold start.
     pub cold_refused: u64,
     /// Requests refused while draining.
     pub drain_refused: u64,
-    /// Requests refused since their head could not be understood.
+    /// Requests refused because their head was invalid.
     pub malformed: u64,
     /// Probes of health or load.
     pub probes: u64,
@@ -46,7 +46,7 @@
 }
 
 impl Counters {
-    /// All counts beside the slots in use.
+    /// All counts, with `inflight` slots in use.
     pub(super) fn stats(&self, inflight: u64) -> TargetStats {
         TargetStats {
             inflight,
@@ -63,12 +63,12 @@
     }
 }
 
-/// Counts one more and gives the new count.
+/// Increments a counter and returns its new value.
 pub(super) fn increment(counter: &AtomicU64) -> u64 {
     counter.fetch_add(1, Ordering::Relaxed) + 1
 }
 
-/// The count so far.
+/// The value of a counter.
 pub(super) fn get(counter: &AtomicU64) -> u64 {
     counter.load(Ordering::Relaxed)
 }
--- a/crates/standin/src/target/crash_on.rs
+++ b/crates/standin/src/target/crash_on.rs
@@ -1,30 +1,30 @@
-//! Requests that crash the target.
+//! The setting for requests that crash the target.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// Which requests crash the target as soon as they run, and for how long it is
-/// down then.
+/// The requests that crash the target when they run, and the downtime after such
+/// a crash.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CrashOn {
-    /// The path that they ask for.
+    /// The path of these requests.
     pub path: String,
-    /// Milliseconds for which such a request runs before the crash.
+    /// Milliseconds from the start of such a request to the crash.
     pub after_ms: u64,
     /// Milliseconds from the crash to the next start.
     pub down_ms: u64,
 }
 
 impl CrashOn {
-    /// For how long a request for `path` runs before it crashes the target, if it
-    /// does.
+    /// The time from the start of a request for `path` to the crash; `None` if it
+    /// doesn't crash the target.
     pub(super) fn crash_delay(&self, path: &str) -> Option<Duration> {
         (self.path == path).then_some(Duration::from_millis(self.after_ms))
     }
 
-    /// How long the target is down then.
+    /// The time from the crash to the next start.
     pub(super) fn down(&self) -> Duration {
         Duration::from_millis(self.down_ms)
     }
--- a/crates/standin/src/target/generation.rs
+++ b/crates/standin/src/target/generation.rs
@@ -1,4 +1,4 @@
-//! One life of a target, from a start to the next crash.
+//! One generation of a target, from a start to the next crash.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -14,23 +14,23 @@
 use super::health::Readiness;
 use super::shared::Shared;
 
-/// What belongs to one start of the target.
+/// The state of one generation of the target.
 #[derive(Debug)]
 pub(super) struct Generation {
     pub(super) shared: Arc<Shared>,
-    /// Which start this is, from 1.
+    /// The number of this start, from 1.
     pub(super) number: u32,
     /// Cancelled when the target crashes.
     pub(super) crash: CancellationToken,
-    /// Its listener, its connections and the work that outlives them.
+    /// The listener, the connections and the work that outlives a connection.
     pub(super) tasks: TaskTracker,
-    /// Whether a request crashed it.
+    /// Whether a request crashed this generation.
     crashed_by_request: AtomicBool,
     warm_at: Instant,
 }
 
 impl Generation {
-    /// A life that begins now, with a cold start.
+    /// A generation that starts now, with a cold start.
     pub(super) fn new(shared: Arc<Shared>, number: u32) -> Generation {
         let warm_at = Instant::now() + shared.cfg.cold_start();
         Generation {
@@ -43,18 +43,18 @@
         }
     }
 
-    /// Crashes by a request that it runs.
+    /// Crashes this generation on behalf of a request that it runs.
     pub(super) fn crash_by_request(&self) {
         self.crashed_by_request.store(true, Ordering::Relaxed);
         self.crash.cancel();
     }
 
-    /// Whether a request crashed it.
+    /// Whether a request crashed this generation.
     pub(super) fn was_crashed_by_request(&self) -> bool {
         self.crashed_by_request.load(Ordering::Relaxed)
     }
 
-    /// Whether work is taken now.
+    /// Whether work is accepted now.
     pub(super) fn readiness(&self) -> Readiness {
         if self.shared.switches().drain {
             return Readiness::Draining;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// What is so, whatever is reported.
+    /// The actual health, regardless of a `HealthReport` override.
     pub(super) fn actual_health(&self) -> Health {
         let load = Load {
             inflight: self.shared.inflight(),
--- a/crates/standin/src/target/health.rs
+++ b/crates/standin/src/target/health.rs
@@ -1,23 +1,23 @@
-//! The target's health, and what it says of it.
+//! The target's actual and reported health.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use super::switches::HealthReport;
 
-/// Whether a target takes work.
+/// Whether a target accepts work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Readiness {
-    /// It takes work.
+    /// The target accepts work.
     Ready,
-    /// It is starting.
+    /// The target is in its cold start.
     Cold,
-    /// It finishes what it has.
+    /// The target finishes runs in progress and refuses new work.
     Draining,
 }
 
 impl Readiness {
-    /// The text of refusals and probes.
+    /// The answer text of refusals and probes.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             Readiness::Ready => "ok",
@@ -32,7 +32,7 @@
 pub struct Load {
     /// Slots in use.
     pub inflight: u32,
-    /// All slots.
+    /// The number of slots, free or in use.
     pub slots: u32,
     /// Open connections.
     pub connections: u64,
@@ -45,33 +45,33 @@
     pub(super) load: Load,
 }
 
-/// What is reported in place of the truth.
+/// The override of the reported health.
 #[derive(Debug, Default)]
 pub(super) enum HealthOverride {
     #[default]
-    Truth,
-    Well,
-    Ill,
+    Actual,
+    Healthy,
+    Unhealthy,
     Frozen(Health),
 }
 
 impl HealthOverride {
-    /// The switch for `report`, turned while `actual` is so.
+    /// The override for `report`, set while the actual health is `actual`.
     pub(super) fn new(report: HealthReport, actual: Health) -> HealthOverride {
         match report {
-            HealthReport::Truth => HealthOverride::Truth,
-            HealthReport::Well => HealthOverride::Well,
-            HealthReport::Ill => HealthOverride::Ill,
+            HealthReport::Truth => HealthOverride::Actual,
+            HealthReport::Well => HealthOverride::Healthy,
+            HealthReport::Ill => HealthOverride::Unhealthy,
             HealthReport::Frozen => HealthOverride::Frozen(actual),
         }
     }
 
-    /// What is reported when `actual` is so.
+    /// The health reported when the actual health is `actual`.
     pub(super) fn report(&self, actual: Health) -> Health {
         let slots = actual.load.slots;
         match self {
-            HealthOverride::Truth => actual,
-            HealthOverride::Well => Health {
+            HealthOverride::Actual => actual,
+            HealthOverride::Healthy => Health {
                 readiness: Readiness::Ready,
                 load: Load {
                     inflight: 0,
@@ -79,14 +79,14 @@
                     connections: 0,
                 },
             },
-            HealthOverride::Ill => Health {
+            HealthOverride::Unhealthy => Health {
                 readiness: Readiness::Draining,
                 load: Load {
                     inflight: slots,
                     ..actual.load
                 },
             },
-            HealthOverride::Frozen(then) => *then,
+            HealthOverride::Frozen(health) => *health,
         }
     }
 }
--- a/crates/standin/src/target/ledger.rs
+++ b/crates/standin/src/target/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of every request that a target took into a slot.
+//! The ledger of every request that a target admitted to a slot.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -10,25 +10,25 @@
 use super::clock::Clock;
 use super::run::Run;
 
-/// The place of a run in its ledger.
+/// The index of a run in its ledger.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RunIndex(usize);
 
-/// All runs in the order in which they were taken.
+/// Records the runs of a target in the order of admission.
 #[derive(Debug)]
 pub(super) struct Ledger {
-    /// Stamps the runs.
+    /// The clock of the timestamps of runs.
     pub(super) clock: Clock,
     max_runs: usize,
     entries: Mutex<LedgerPages>,
 }
 
-/// A copy of a ledger.
+/// The entries of a ledger.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct LedgerPages {
-    /// The runs in the order in which they were taken.
+    /// The runs in the order of admission.
     pub runs: Vec<Run>,
-    /// Runs that came after the ledger was full; it is whole if this is zero.
+    /// The number of runs after the ledger was full; it is complete if this is zero.
     pub unrecorded: u64,
 }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Enters a run; `None` if the ledger is full.
+    /// Records a run; `None` if the ledger is full.
     pub(super) fn record(&self, run: Run) -> Option<RunIndex> {
         let mut entries = self.lock_entries();
         if entries.runs.len() >= self.max_runs {
@@ -53,7 +53,7 @@
         Some(RunIndex(entries.runs.len() - 1))
     }
 
-    /// Changes an entry.
+    /// Updates the entry of a run.
     pub(super) fn update(&self, index: RunIndex, f: impl FnOnce(&mut Run)) {
         f(&mut self.lock_entries().runs[index.0]);
     }
--- a/crates/standin/src/target/listener.rs
+++ b/crates/standin/src/target/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting and serving connections until a crash or the end.
+//! Accepts and serves connections until the target crashes or stops.
 
 use std::net::Shutdown;
 use std::net::SocketAddr;
@@ -20,18 +20,18 @@
 use super::work;
 use crate::serve::listen_error;
 
-/// Connections that may wait to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1_024;
 
-/// How long to wait after a failure to accept, which is mostly a lack of file
-/// descriptors and would otherwise spin.
+/// The delay after a failed accept. The usual cause is a lack of file
+/// descriptors; retrying without a delay would spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A bound port that nobody listens on.
+/// A bound port without a listener.
 ///
-/// A crashed target must refuse connections and then come back on the same
-/// port. This socket keeps the port taken in between, so that no other
-/// process is given it; as it doesn't listen, connecting is refused.
+/// A crashed target must refuse connections and later restart on the same port.
+/// This socket keeps the port bound in between, so that the system gives it to no
+/// other process. It doesn't listen, so connection attempts are refused.
 #[derive(Debug)]
 pub(super) struct PortReservation {
     _socket: TcpSocket,
@@ -39,7 +39,7 @@
 }
 
 impl PortReservation {
-    /// Takes the port of `addr`; any free one if it is 0.
+    /// Reserves the port of `addr`; any free one if it is 0.
     pub(super) fn reserve(addr: SocketAddr) -> Result<PortReservation> {
         let bound =
             bind_reusable_socket(addr).and_then(|socket| Ok((socket.local_addr()?, socket)));
@@ -50,7 +50,7 @@
         })
     }
 
-    /// The address with its port.
+    /// The address with the reserved port.
     pub(super) fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -94,12 +94,12 @@
     }
 }
 
-/// Ends listening at once, which closing alone does not always do.
+/// Ends listening immediately, which closing the socket doesn't always do.
 ///
-/// A program that starts a process shares its sockets with the child until
-/// that has replaced its image. A listener that is closed in between goes on
-/// listening for the child, so that callers connect to a target that has
-/// crashed. Shutting the socket down ends listening for all that share it.
+/// A process that starts a child shares its sockets with the child until the
+/// child executes its program. A listener that is closed in between stays open in
+/// the child, so callers could still connect to a crashed target. Shutting the
+/// socket down ends listening in every process that shares it.
 fn stop_listening(listener: &TcpListener) {
     let _ = SockRef::from(listener).shutdown(Shutdown::Both);
 }
@@ -115,7 +115,7 @@
     }
 }
 
-/// Closes so that the peer gets a reset, whatever is still to be sent.
+/// Closes the connection with a reset and discards unsent data.
 fn close_with_reset(io: TcpStream) {
     let _ = io.set_zero_linger();
 }
--- a/crates/standin/src/target/open_connection.rs
+++ b/crates/standin/src/target/open_connection.rs
@@ -1,4 +1,4 @@
-//! Counting open connections against their limit.
+//! Counts open connections and enforces their limit.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -6,12 +6,12 @@
 use super::counters::increment;
 use super::shared::Shared;
 
-/// A connection within the limit, counted until this is dropped.
+/// Counts one open connection until it is dropped.
 #[derive(Debug)]
 pub(super) struct OpenConnection(Arc<Shared>);
 
 impl OpenConnection {
-    /// Counts one more connection; `None` if there are too many.
+    /// Counts one more connection; `None` if that is over the limit.
     pub(super) fn open(shared: &Arc<Shared>) -> Option<OpenConnection> {
         let counters = &shared.counters;
         let open = increment(&counters.connections);
--- a/crates/standin/src/target/refusal.rs
+++ b/crates/standin/src/target/refusal.rs
@@ -1,23 +1,23 @@
-//! Why work was not taken.
+//! The reasons for refusing work.
 
 use std::sync::atomic::AtomicU64;
 
 use super::counters::Counters;
 use super::health::Readiness;
 
-/// Work that was refused with 503 before any of it was done.
+/// Work refused with 503 before any of it was done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Refusal {
     /// No slot is free.
     Shed,
-    /// The target is starting.
+    /// The target is in its cold start.
     Cold,
-    /// The target finishes what it has.
+    /// The target drains.
     Draining,
 }
 
 impl Refusal {
-    /// The body of the answer.
+    /// The answer body.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             Refusal::Shed => "shed",
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Whether the caller should leave the connection.
+    /// Whether the answer asks the caller to close the connection.
     pub(super) fn closes_connection(self) -> bool {
         self != Refusal::Shed
     }
 
-    /// Where such refusals are counted.
+    /// The counter of these refusals.
     pub(super) fn counter(self, counters: &Counters) -> &AtomicU64 {
         match self {
             Refusal::Shed => &counters.shed,
--- a/crates/standin/src/target/run.rs
+++ b/crates/standin/src/target/run.rs
@@ -1,35 +1,35 @@
-//! One entry of the ledger.
+//! An entry of the ledger.
 
 use sassafrasspool_core::KindName;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A request that was taken into a slot.
+/// A request that was admitted to a slot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// The request id, or one that the target made up.
+    /// The request id, or one that the target generated.
     pub id: String,
     /// The idempotency key, if the request had one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// The path that was asked for.
+    /// The requested path.
     pub path: String,
-    /// The kind that decided its service time.
+    /// The kind that determined the service time.
     pub kind: Option<KindName>,
-    /// Which start of the target ran it, from 1.
+    /// The number of the target's start that ran it, from 1.
     pub incarnation: u32,
-    /// When the work began, or the request's head came if it never began, in
-    /// microseconds since the Unix epoch.
+    /// When the work began, or when the request's head was received if the work
+    /// never began, in microseconds since the Unix epoch.
     pub started_us: u64,
-    /// When it came to its end, on the same clock.
+    /// When the run ended, on the same clock.
     pub ended_us: Option<u64>,
-    /// Whether the work was done to its end, so that its effect is in force.
+    /// Whether the work was completed, so that its effect is in force.
     pub finished: bool,
     /// The status of the answer, if there was one.
     pub status: Option<u16>,
-    /// Bytes of the request's body.
+    /// The length of the request body in bytes.
     pub received_bytes: u64,
-    /// How it ended.
+    /// How the run ended, or its current state.
     pub end: RunEnd,
 }
 
@@ -40,27 +40,27 @@
     }
 }
 
-/// How a run ended, or how far it is.
+/// How a run ended, or its current state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunEnd {
-    /// Its request body is still coming in; the work hasn't begun.
+    /// The request body is being received; the work hasn't begun.
     Receiving,
-    /// Its work is under way.
+    /// The work is in progress.
     Running,
-    /// The work is done, the answer not yet handed over.
+    /// The work is done; the answer isn't completely handed to the connection yet.
     Answering,
-    /// The work was done and the whole answer handed to the connection.
+    /// The work was done and the complete answer was handed to the connection.
     Finished,
-    /// The request body never came whole; the work didn't begin.
+    /// The request body was never completely received; the work didn't begin.
     RequestCut,
-    /// The caller hung up during the work.
+    /// The caller disconnected during the work.
     Cancelled,
-    /// The request's time was over during the work.
+    /// The request's timeout expired during the work.
     TimedOut,
     /// The target crashed during the work.
     Crashed,
-    /// The work was done, but not all of the answer was handed over.
+    /// The work was done, but only part of the answer was handed to the connection.
     AnswerCut,
     /// The work was done, and the target never answers.
     Hung,
--- a/crates/standin/src/target/run_guard.rs
+++ b/crates/standin/src/target/run_guard.rs
@@ -1,4 +1,4 @@
-//! A run under way, which ends in the ledger however it ends.
+//! Records the end of a run in the ledger, also if its future is dropped.
 
 use std::sync::Arc;
 
@@ -9,11 +9,11 @@
 use super::run::Run;
 use super::run::RunEnd;
 
-/// Keeps one entry of the ledger up to date.
+/// Updates the ledger entry of one run.
 ///
-/// A caller that hangs up and a target that crashes both drop the future that
-/// serves the request. The entry would then stay open for ever; dropping this
-/// guard closes it with what is known.
+/// The future that serves a request is dropped when the caller disconnects and
+/// when the target crashes. The entry would then stay open for ever. Dropping this
+/// guard closes it with the end that follows from the last state.
 #[derive(Debug)]
 pub(super) struct RunGuard {
     ledger: Arc<Ledger>,
@@ -23,7 +23,7 @@
 }
 
 impl RunGuard {
-    /// Enters a run whose request body is coming in. `crash` is cancelled
+    /// Records a run whose request body is being received. `crash` is cancelled
     /// when the target crashes.
     pub(super) fn start(ledger: Arc<Ledger>, run: Run, crash: CancellationToken) -> RunGuard {
         let index = ledger.record(run);
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The whole request is here, the work begins.
+    /// Records that the request is completely received and the work begins.
     pub(super) fn begin_work(&mut self, received_bytes: u64) {
         let now_us = self.ledger.clock.now_us();
         self.set_state(RunEnd::Running, |run| {
@@ -44,27 +44,27 @@
         });
     }
 
-    /// The work is done to its end.
+    /// Records that the work is completed.
     pub(super) fn finish_work(&mut self) {
         self.set_state(RunEnd::Answering, |run| run.finished = true);
     }
 
-    /// The work is done and will never be answered.
+    /// Records that the work is completed and will never be answered.
     pub(super) fn record_hang(&mut self) {
         self.close(RunEnd::Hung, None);
     }
 
-    /// The request's time was over during the work.
+    /// Records that the request's timeout expired during the work.
     pub(super) fn record_timeout(&mut self, status: u16) {
         self.close(RunEnd::TimedOut, Some(status));
     }
 
-    /// The head of the answer is given.
+    /// Records the status of the answer.
     pub(super) fn begin_answer(&mut self, status: u16) {
         self.set_state(RunEnd::Answering, |run| run.status = Some(status));
     }
 
-    /// The last byte of the answer is handed over.
+    /// Records that the last byte of the answer is handed to the connection.
     pub(super) fn finish(&mut self) {
         self.close(RunEnd::Finished, None);
     }
--- a/crates/standin/src/target/run_request.rs
+++ b/crates/standin/src/target/run_request.rs
@@ -1,4 +1,4 @@
-//! What a request asks of the target.
+//! The parameters of a request to the target.
 
 use std::time::Duration;
 
@@ -15,19 +15,20 @@
 use super::run::Run;
 use super::run::RunEnd;
 
-/// Names the request's kind, which decides its service time.
+/// Request header with the kind, which determines the service time.
 pub const KIND_HEADER: HeaderName = HeaderName::from_static("x-kind");
 
-/// Asks for so many bytes of pattern in the answer.
+/// Request header with the number of pattern bytes in the answer.
 pub const ANSWER_BYTES_HEADER: HeaderName = HeaderName::from_static("x-answer-bytes");
 
-/// The longest request id, key or kind in bytes.
+/// The maximum length of a header value that is read, such as a request id, key or
+/// kind, in bytes.
 const MAX_HEADER_VALUE_BYTES: usize = 256;
 
-/// The longest pattern in bytes.
+/// The maximum length of the pattern in an answer, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// A request's wishes, checked.
+/// The validated parameters of a request.
 #[derive(Debug)]
 pub(super) struct RunRequest {
     pub(super) id: String,
@@ -40,7 +41,7 @@
 }
 
 impl RunRequest {
-    /// Reads a request's head; `n` makes up an id for one that has none.
+    /// Parses a request's head. A request without an id gets one made from `n`.
     pub(super) fn parse(generation: &Generation, head: &Parts, n: u64) -> Result<RunRequest> {
         let headers = &head.headers;
         let times = &generation.shared.cfg.service;
@@ -62,7 +63,7 @@
         })
     }
 
-    /// The ledger's entry for this request, before its body has come.
+    /// The ledger entry of this request before its body is received.
     pub(super) fn ledger_entry(&self, generation: &Generation) -> Run {
         Run {
             id: self.id.clone(),
--- a/crates/standin/src/target/service_times.rs
+++ b/crates/standin/src/target/service_times.rs
@@ -1,4 +1,4 @@
-//! How long a request runs, by its kind.
+//! The service time of a request, by its kind.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,24 +11,24 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceTimes {
-    /// Microseconds for a kind that isn't in `kinds_us`.
+    /// Microseconds for requests without a kind, or of a kind that isn't in `kinds_us`.
     pub default_us: u64,
     /// Microseconds by kind.
     pub kinds_us: BTreeMap<KindName, u64>,
-    /// Kinds by path, for requests that name no kind; the longest path that
-    /// takes the request decides.
+    /// Kinds by path, for requests without a kind header; the longest matching
+    /// path wins.
     pub paths: BTreeMap<RoutePath, KindName>,
 }
 
 impl ServiceTimes {
-    /// The kind of requests for `path` that name none.
+    /// The kind of requests for `path` without a kind header.
     pub(super) fn kind_of_path(&self, path: &str) -> Option<&KindName> {
-        let taking = self.paths.iter().filter(|(route, _)| route.matches(path));
-        let longest = taking.max_by_key(|(route, _)| route.as_str().len())?;
+        let matching = self.paths.iter().filter(|(route, _)| route.matches(path));
+        let longest = matching.max_by_key(|(route, _)| route.as_str().len())?;
         Some(longest.1)
     }
 
-    /// How long a request of `kind` runs.
+    /// The service time of a request of `kind`.
     pub(super) fn time(&self, kind: Option<&KindName>) -> Duration {
         let us = kind.and_then(|kind| self.kinds_us.get(kind));
         Duration::from_micros(*us.unwrap_or(&self.default_us))
--- a/crates/standin/src/target/settings.rs
+++ b/crates/standin/src/target/settings.rs
@@ -1,4 +1,4 @@
-//! What a target stand-in starts with.
+//! The settings of a target stand-in.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -14,42 +14,42 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetSettings {
-    /// Where it serves; port 0 takes any free port.
+    /// The address at which it serves requests; port 0 takes any free port.
     pub listen: SocketAddr,
-    /// Where it is switched and its ledger is read.
+    /// The address of the admin port, which takes switches and serves the ledger.
     pub admin: SocketAddr,
-    /// Requests that it runs at once; more are shed.
+    /// The maximum number of concurrent requests; more are shed.
     pub slots: NonZeroU32,
-    /// Connections that it holds at once; more are closed on arrival.
+    /// The maximum number of open connections; more are closed on arrival.
     pub connections: NonZeroU32,
-    /// Milliseconds after each start in which it refuses all work.
+    /// The length of the cold start, in which it refuses all work, in milliseconds.
     pub cold_start_ms: u64,
-    /// Milliseconds that a new connection takes before it is served.
+    /// The delay before a new connection is served, in milliseconds.
     pub connect_ms: u64,
-    /// Milliseconds that a probe of its health or load takes.
+    /// The delay of answers to health and load probes, in milliseconds.
     pub probe_ms: u64,
-    /// How long a request runs.
+    /// The service times of requests.
     pub service: ServiceTimes,
-    /// Requests that crash it, if there are any.
+    /// The requests that crash it, if any.
     pub crash_on: Option<CrashOn>,
-    /// Whether work stops when the caller hangs up. Otherwise it goes on,
-    /// with its slot, and nobody gets the answer.
+    /// Whether work stops when the caller disconnects. Otherwise it continues and
+    /// holds its slot, and the answer is discarded.
     pub honours_cancellation: bool,
-    /// Runs that the ledger keeps; later ones are only counted.
+    /// The maximum number of runs in the ledger; later ones are only counted.
     pub ledger_runs: usize,
 }
 
-/// Slots if the settings name none.
+/// The default number of slots.
 const DEFAULT_SLOTS: NonZeroU32 = NonZeroU32::new(10).unwrap();
 
-/// Connections if the settings name none.
+/// The default maximum of open connections.
 const DEFAULT_CONNECTIONS: NonZeroU32 = NonZeroU32::new(120).unwrap();
 
-/// Runs kept if the settings name no number.
+/// The default maximum of runs in the ledger.
 const DEFAULT_LEDGER_RUNS: usize = 1_000_000;
 
 impl TargetSettings {
-    /// The cold start as a duration.
+    /// The length of the cold start.
     pub(super) fn cold_start(&self) -> Duration {
         Duration::from_millis(self.cold_start_ms)
     }
--- a/crates/standin/src/target/shared.rs
+++ b/crates/standin/src/target/shared.rs
@@ -1,4 +1,4 @@
-//! What the handle, the ports and all lives of a target stand-in share.
+//! The state shared by the handle, the ports and all generations of a target.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -17,21 +17,21 @@
 use super::switches::HealthReport;
 use super::switches::TargetSwitches;
 
-/// Settings, switches, slots, counts and the ledger.
+/// The settings, switches, slots, counters and ledger of a target.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) cfg: TargetSettings,
     pub(super) counters: Counters,
     pub(super) ledger: Arc<Ledger>,
     pub(super) slots: Arc<Semaphore>,
-    /// Cancelled when the stand-in stops for good.
+    /// Cancelled when the stand-in stops and won't restart.
     pub(super) cancel: CancellationToken,
     switches: Mutex<ActiveSwitches>,
     health: Mutex<HealthOverride>,
 }
 
 impl Shared {
-    /// No fault switched on, nothing run.
+    /// The state before the first run, with all faults switched off.
     pub(super) fn new(cfg: TargetSettings, cancel: CancellationToken) -> Shared {
         let slots = usize::try_from(cfg.slots.get()).unwrap_or(Semaphore::MAX_PERMITS);
         Shared {
@@ -45,12 +45,13 @@
         }
     }
 
-    /// The switches as they stand.
+    /// The current switches.
     pub(super) fn switches(&self) -> ActiveSwitches {
         *self.switches.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Turns switches; `actual` is the target's true health.
+    /// Applies the switches that are present; `actual` is the target's actual
+    /// health.
     pub(super) fn apply_switches(&self, switches: &TargetSwitches, actual: Health) {
         self.switches
             .lock()
@@ -62,7 +63,7 @@
         tracing::info!(?switches, "switched");
     }
 
-    /// What the health endpoint reports when `actual` is so.
+    /// The health to report when the actual health is `actual`.
     pub(super) fn reported_health(&self, actual: Health) -> Health {
         self.health
             .lock()
@@ -70,7 +71,7 @@
             .report(actual)
     }
 
-    /// Slots in use.
+    /// The number of slots in use.
     pub(super) fn inflight(&self) -> u32 {
         let free = u32::try_from(self.slots.available_permits()).unwrap_or(u32::MAX);
         self.cfg.slots.get().saturating_sub(free)
--- a/crates/standin/src/target/supervisor.rs
+++ b/crates/standin/src/target/supervisor.rs
@@ -1,4 +1,4 @@
-//! Starting, crashing and restarting a target.
+//! Starts, crashes and restarts a target.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use super::shared::Shared;
 use super::switches::TargetSwitches;
 
-/// How often a life that was crashed from outside is looked at.
+/// The interval of checks for a restart after a crash that no request caused.
 const CRASH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The target's lives, of which at most one runs.
+/// Runs at most one generation of the target at a time.
 #[derive(Debug)]
 pub(super) struct Supervisor {
     shared: Arc<Shared>,
@@ -27,7 +27,7 @@
 }
 
 impl Supervisor {
-    /// Starts the first life.
+    /// Starts the first generation.
     pub(super) async fn start(
         cfg: TargetSettings,
         cancel: CancellationToken,
@@ -42,34 +42,34 @@
         })
     }
 
-    /// What all lives share.
+    /// The state shared by all generations.
     pub(super) fn shared(&self) -> &Shared {
         &self.shared
     }
 
-    /// Where the target serves.
+    /// The address at which the target serves requests.
     pub(super) fn addr(&self) -> SocketAddr {
         self.port.addr()
     }
 
-    /// Turns switches.
+    /// Applies the switches that are present.
     pub(super) async fn apply_switches(&self, switches: &TargetSwitches) {
         let actual = self.current.lock().await.actual_health();
         self.shared.apply_switches(switches, actual);
     }
 
-    /// Drops all connections and refuses new ones; done when it returns.
+    /// Resets all connections and refuses new ones; complete when it returns.
     pub(super) async fn crash(&self) {
         crash(&*self.current.lock().await).await;
     }
 
-    /// Starts the next life, after a crash of the one that runs.
+    /// Crashes the current generation and starts the next one.
     pub(super) async fn restart(&self) -> Result<()> {
         let mut current = self.current.lock().await;
         self.start_next(&mut current).await
     }
 
-    /// Starts the next life whenever a request has crashed the newest.
+    /// Starts the next generation whenever a request has crashed the current one.
     pub(super) async fn restart_after_crashes(&self) {
         let Some(crash_on) = &self.shared.cfg.crash_on else {
             return;
@@ -78,17 +78,17 @@
             let generation = Arc::clone(&*self.current.lock().await);
             generation.crash.cancelled().await;
             if !generation.was_crashed_by_request() {
-                // Whoever crashed it starts it again.
+                // The caller of `crash` is responsible for the restart.
                 tokio::time::sleep(CRASH_POLL_INTERVAL).await;
                 continue;
             }
             tokio::time::sleep(crash_on.down()).await;
             let mut current = self.current.lock().await;
-            // Unless somebody else has started the next meanwhile.
+            // Another task may have started the next generation in the meantime.
             if Arc::ptr_eq(&current, &generation)
                 && let Err(err) = self.start_next(&mut current).await
             {
-                tracing::warn!(%err, "not started again");
+                tracing::warn!(%err, "cannot restart the target after a crash");
             }
         }
     }
@@ -99,7 +99,7 @@
         Ok(())
     }
 
-    /// Waits until the newest life has ended.
+    /// Waits until the current generation has ended.
     pub(super) async fn stopped(&self) {
         let tasks = self.current.lock().await.tasks.clone();
         tasks.wait().await;
--- a/crates/standin/src/target/switches.rs
+++ b/crates/standin/src/target/switches.rs
@@ -1,40 +1,40 @@
-//! The faults that can be switched on.
+//! The switches that simulate faults of a target.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A change of switches: those that are absent stay as they are.
+/// A change of switches; absent ones stay unchanged.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetSwitches {
-    /// Refuses new work; what runs is finished.
+    /// Refuses new work and finishes runs in progress.
     pub drain: Option<bool>,
-    /// Milliseconds that each run takes longer.
+    /// The extra service time of each run in milliseconds.
     pub slow_ms: Option<u64>,
-    /// Holds answers back after their work was done.
+    /// Delays answers after their work is done.
     pub late: Option<LateAnswers>,
-    /// What the health and load endpoints say.
+    /// What the health and load endpoints report.
     pub health: Option<HealthReport>,
-    /// Does the work and never answers.
+    /// Completes the work and never answers.
     pub hang_after_run: Option<bool>,
-    /// Breaks off in the middle of each answer's body.
+    /// Cuts each answer off after half of its body.
     pub cut_body: Option<bool>,
 }
 
-/// Which answers come late.
+/// The answers to delay.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LateAnswers {
-    /// One in how many is late; 0 for none.
+    /// Every how many runs an answer is delayed; 0 for none.
     pub every: u64,
-    /// By how many milliseconds.
+    /// The delay in milliseconds.
     pub by_ms: u64,
 }
 
 impl LateAnswers {
-    /// How late the answer to the `n`th run is.
+    /// The delay of the answer to the `n`th run.
     pub(super) fn delay(self, n: u64) -> Duration {
         match self.every != 0 && n.is_multiple_of(self.every) {
             true => Duration::from_millis(self.by_ms),
@@ -43,22 +43,22 @@
     }
 }
 
-/// What the health and load endpoints say.
+/// What the health and load endpoints report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HealthReport {
-    /// What is so.
+    /// The actual state.
     #[default]
     Truth,
-    /// Healthy and idle, whatever is so.
+    /// Healthy and idle, regardless of the actual state.
     Well,
-    /// Unhealthy and full, whatever is so.
+    /// Unhealthy and full, regardless of the actual state.
     Ill,
-    /// What was so when this was switched on.
+    /// The actual state when this was switched on.
     Frozen,
 }
 
-/// The switches as they stand.
+/// The current switches.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ActiveSwitches {
     pub(super) drain: bool,
@@ -69,7 +69,7 @@
 }
 
 impl ActiveSwitches {
-    /// Takes over the switches that are present.
+    /// Applies the switches that are present.
     pub(super) fn apply(&mut self, switches: &TargetSwitches) {
         self.drain = switches.drain.unwrap_or(self.drain);
         self.slow = switches.slow_ms.map_or(self.slow, Duration::from_millis);
--- a/crates/standin/src/target/work.rs
+++ b/crates/standin/src/target/work.rs
@@ -1,4 +1,4 @@
-//! Serving one request: a probe, a refusal or a run.
+//! Serves one request: answers a probe, refuses work or runs it.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -150,7 +150,7 @@
     Ok(received)
 }
 
-/// A request that is here whole and has its slot.
+/// A completely received request that holds a slot.
 #[derive(Debug)]
 struct Job {
     generation: Arc<Generation>,
@@ -162,8 +162,8 @@
 }
 
 impl Job {
-    /// Runs and answers. If the target doesn't honour cancellation, the work
-    /// goes on when this future is dropped.
+    /// Runs the request and answers it. If the target doesn't honour cancellation,
+    /// the work continues when this future is dropped.
     async fn run_to_end(self) -> Answer {
         if self.generation.shared.cfg.honours_cancellation {
             return self.work().await;
@@ -184,7 +184,7 @@
         if let Some(after) = crash_after {
             sleep_unless_zero(after).await;
             self.generation.crash_by_request();
-            // The crash drops this future with its connection.
+            // The crash drops this future together with its connection or task.
             std::future::pending::<()>().await;
         }
         let work = sleep_unless_zero(self.request.service_time);
@@ -225,8 +225,8 @@
     }
 }
 
-/// Waits, unless there is nothing to wait for: the runtime's timer would make
-/// a millisecond of that, more than what a call through two nodes takes.
+/// Sleeps, unless `time` is zero. The runtime's timer would round zero up to a
+/// millisecond, which is more than a call through two nodes takes.
 async fn sleep_unless_zero(time: Duration) {
     if !time.is_zero() {
         tokio::time::sleep(time).await;
