--- a/crates/standin/src/target/answer.rs
+++ b/crates/standin/src/target/answer.rs
@@ -11,11 +11,11 @@
 /// # Example
 ///
 /// ```
-/// use sassafrasspool_standin::target::pattern;
+/// use sassafrasspool_standin::target::answer_pattern;
 ///
-/// let whole = pattern("r-1", 100);
-/// assert_eq!(pattern("r-1", 40), whole[..40]);
-/// assert_ne!(pattern("r-2", 100), whole);
+/// let whole = answer_pattern("r-1", 100);
+/// assert_eq!(answer_pattern("r-1", 40), whole[..40]);
+/// assert_ne!(answer_pattern("r-2", 100), whole);
 /// ```
 pub fn answer_pattern(id: &str, len: usize) -> Vec<u8> {
     let mut buf = vec![0; len];
