--- a/crates/standin/src/platform/tests.rs
+++ b/crates/standin/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! Reads and watches over the routers, in paused time and without sockets.
+//! Tests reads and watches through the routers, in paused time and without sockets.
 
 mod changes;
 mod faults;
@@ -33,17 +33,17 @@
     "region":"ulaanbaatar","domain":"bayanzurkh","traffic":"127.0.0.1:9001",
     "control":"127.0.0.1:9002","slots":10,"connections":120,"state":"live"}]}"#;
 
-/// A platform without ports.
+/// A platform stand-in without ports.
 #[derive(Debug, Clone)]
-struct Rig {
+struct Fixture {
     shared: Arc<Shared>,
     reads: Router,
     admin: Router,
 }
 
-/// What a call was answered with.
+/// The answer to a call, and the time that it took.
 #[derive(Debug, PartialEq, Eq)]
-struct Got {
+struct Answer {
     status: StatusCode,
     revision: Option<u64>,
     retry_after: Option<u64>,
@@ -51,41 +51,41 @@
     elapsed: Duration,
 }
 
-impl Rig {
-    fn new(cfg: &PlatformSettings, cancel: &CancellationToken) -> Rig {
+impl Fixture {
+    fn new(cfg: &PlatformSettings, cancel: &CancellationToken) -> Fixture {
         let shared = Arc::new(Shared::new(cfg, cancel.clone()));
         let reads = read_api::router(Arc::clone(&shared));
         let admin = admin_api::router(Arc::clone(&shared));
-        Rig {
+        Fixture {
             shared,
             reads,
             admin,
         }
     }
 
-    /// A platform with the catalogue `one` at revision 1.
-    async fn published() -> Rig {
-        let rig = Rig::default();
-        rig.put("/catalogue", "one").await;
-        rig
+    /// Creates a platform with the catalogue `one` at revision 1.
+    async fn published() -> Fixture {
+        let fixture = Fixture::default();
+        fixture.put("/catalogue", "one").await;
+        fixture
     }
 
-    async fn get(&self, uri: &str) -> Got {
+    async fn get(&self, uri: &str) -> Answer {
         call(&self.reads, "GET", uri, "").await
     }
 
-    async fn put(&self, uri: &str, body: impl Into<Bytes>) -> Got {
+    async fn put(&self, uri: &str, body: impl Into<Bytes>) -> Answer {
         call(&self.admin, "PUT", uri, body).await
     }
 
-    async fn post(&self, uri: &str, body: &'static str) -> Got {
+    async fn post(&self, uri: &str, body: &'static str) -> Answer {
         call(&self.admin, "POST", uri, body).await
     }
 
-    /// Starts a watch and returns once it waits.
-    async fn watch(&self, uri: &'static str) -> JoinHandle<Got> {
-        let rig = self.clone();
-        let task = tokio::spawn(async move { rig.get(uri).await });
+    /// Starts a watch and returns when it waits.
+    async fn watch(&self, uri: &'static str) -> JoinHandle<Answer> {
+        let fixture = self.clone();
+        let task = tokio::spawn(async move { fixture.get(uri).await });
         while self.shared.stats().waiting == 0 {
             tokio::task::yield_now().await;
         }
@@ -93,13 +93,13 @@
     }
 }
 
-impl Default for Rig {
-    fn default() -> Rig {
-        Rig::new(&PlatformSettings::default(), &CancellationToken::new())
+impl Default for Fixture {
+    fn default() -> Fixture {
+        Fixture::new(&PlatformSettings::default(), &CancellationToken::new())
     }
 }
 
-async fn call(router: &Router, method: &str, uri: &str, body: impl Into<Bytes>) -> Got {
+async fn call(router: &Router, method: &str, uri: &str, body: impl Into<Bytes>) -> Answer {
     let started = Instant::now();
     let req = Request::builder()
         .method(method)
@@ -107,13 +107,13 @@
         .header("content-type", "application/json")
         .body(Body::from(body.into()))
         .unwrap();
-    let answer = router.clone().oneshot(req).await.unwrap();
-    let revision = number(answer.headers(), REVISION_HEADER);
-    let retry_after = number(answer.headers(), RETRY_AFTER);
-    let status = answer.status();
-    let body = to_bytes(answer.into_body(), MAX_VALUE_BYTES).await.unwrap();
+    let res = router.clone().oneshot(req).await.unwrap();
+    let revision = header_number(res.headers(), REVISION_HEADER);
+    let retry_after = header_number(res.headers(), RETRY_AFTER);
+    let status = res.status();
+    let body = to_bytes(res.into_body(), MAX_VALUE_BYTES).await.unwrap();
     let text = String::from_utf8(body.to_vec()).unwrap();
-    Got {
+    Answer {
         status,
         revision,
         retry_after,
@@ -122,7 +122,7 @@
     }
 }
 
-fn number(headers: &HeaderMap, name: HeaderName) -> Option<u64> {
+fn header_number(headers: &HeaderMap, name: HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().unwrap().parse().ok()
 }
 
@@ -135,53 +135,53 @@
 }
 
 #[rstest]
-#[case::nothing(ReadCase { published: false, query: "", status: 404, revision: None, elapsed_ms: 0 })]
-#[case::nothing_in_time(ReadCase { published: false, query: "?wait_ms=500", status: 404, revision: None, elapsed_ms: 500 })]
-#[case::plain(ReadCase { published: true, query: "", status: 200, revision: Some(1), elapsed_ms: 0 })]
-#[case::plain_never_waits(ReadCase { published: true, query: "?wait_ms=500", status: 200, revision: Some(1), elapsed_ms: 0 })]
+#[case::nothing_published(ReadCase { published: false, query: "", status: 404, revision: None, elapsed_ms: 0 })]
+#[case::nothing_published_in_time(ReadCase { published: false, query: "?wait_ms=500", status: 404, revision: None, elapsed_ms: 500 })]
+#[case::plain_read(ReadCase { published: true, query: "", status: 200, revision: Some(1), elapsed_ms: 0 })]
+#[case::plain_read_ignores_wait(ReadCase { published: true, query: "?wait_ms=500", status: 200, revision: Some(1), elapsed_ms: 0 })]
 #[case::after_older(ReadCase { published: true, query: "?after=0&wait_ms=500", status: 200, revision: Some(1), elapsed_ms: 0 })]
 #[case::after_same(ReadCase { published: true, query: "?after=1", status: 304, revision: Some(1), elapsed_ms: 0 })]
-#[case::watch_in_vain(ReadCase { published: true, query: "?after=1&wait_ms=500", status: 304, revision: Some(1), elapsed_ms: 500 })]
+#[case::watch_times_out(ReadCase { published: true, query: "?after=1&wait_ms=500", status: 304, revision: Some(1), elapsed_ms: 500 })]
 #[case::after_newer(ReadCase { published: true, query: "?after=9&wait_ms=30000", status: 304, revision: Some(1), elapsed_ms: 30_000 })]
 #[case::wait_too_long(ReadCase { published: true, query: "?after=1&wait_ms=30001", status: 400, revision: None, elapsed_ms: 0 })]
-#[case::no_number(ReadCase { published: true, query: "?after=one", status: 400, revision: None, elapsed_ms: 0 })]
+#[case::after_is_no_number(ReadCase { published: true, query: "?after=one", status: 400, revision: None, elapsed_ms: 0 })]
 #[tokio::test(start_paused = true)]
-async fn reads(#[case] case: ReadCase) {
-    let rig = Rig::default();
+async fn reads_and_watches_answer_as_expected(#[case] case: ReadCase) {
+    let fixture = Fixture::default();
     if case.published {
-        rig.put("/catalogue", "one").await;
+        fixture.put("/catalogue", "one").await;
     }
-    let got = rig.get(&format!("/v1/catalogue{}", case.query)).await;
-    assert_eq!(got.status, case.status);
-    assert_eq!(got.revision, case.revision);
-    assert_eq!(got.text == "one", case.status == 200);
-    assert_eq!(got.elapsed.as_millis(), u128::from(case.elapsed_ms));
-    assert_eq!(rig.shared.stats().waiting, 0);
+    let answer = fixture.get(&format!("/v1/catalogue{}", case.query)).await;
+    assert_eq!(answer.status, case.status);
+    assert_eq!(answer.revision, case.revision);
+    assert_eq!(answer.text == "one", case.status == 200);
+    assert_eq!(answer.elapsed.as_millis(), u128::from(case.elapsed_ms));
+    assert_eq!(fixture.shared.stats().waiting, 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_watch_wakes_when_something_is_published() {
-    let rig = Rig::published().await;
-    let watch = rig.watch("/v1/catalogue?after=1&wait_ms=30000").await;
-    rig.put("/instances", LIST).await;
-    rig.put("/catalogue", "two").await;
-    let got = watch.await.unwrap();
-    assert_eq!((got.status, got.revision), (StatusCode::OK, Some(2)));
-    assert_eq!(got.text, "two");
-    assert_eq!(got.elapsed, Duration::ZERO);
-    assert_eq!(rig.shared.stats().reads, 1);
+async fn a_watch_returns_when_its_stream_gets_a_new_value() {
+    let fixture = Fixture::published().await;
+    let watch = fixture.watch("/v1/catalogue?after=1&wait_ms=30000").await;
+    fixture.put("/instances", LIST).await;
+    fixture.put("/catalogue", "two").await;
+    let answer = watch.await.unwrap();
+    assert_eq!((answer.status, answer.revision), (StatusCode::OK, Some(2)));
+    assert_eq!(answer.text, "two");
+    assert_eq!(answer.elapsed, Duration::ZERO);
+    assert_eq!(fixture.shared.stats().reads, 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_reader_that_hangs_up_no_longer_waits() {
-    let rig = Rig::published().await;
-    let watch = rig.watch("/v1/catalogue?after=1&wait_ms=30000").await;
+async fn a_disconnected_reader_is_not_counted_as_waiting() {
+    let fixture = Fixture::published().await;
+    let watch = fixture.watch("/v1/catalogue?after=1&wait_ms=30000").await;
     watch.abort();
     assert!(watch.await.unwrap_err().is_cancelled());
-    assert_eq!(rig.shared.stats().waiting, 0);
+    assert_eq!(fixture.shared.stats().waiting, 0);
 }
 
-/// Guards against a stand-in that serves reads beyond its budget.
+/// Guards against a stand-in that serves reads over its budget.
 #[tokio::test(start_paused = true)]
 async fn reads_over_the_budget_are_refused() {
     let cfg = PlatformSettings {
@@ -189,31 +189,31 @@
         read_burst: Some(5),
         ..Default::default()
     };
-    let rig = Rig::new(&cfg, &CancellationToken::new());
-    rig.put("/catalogue", "one").await;
+    let fixture = Fixture::new(&cfg, &CancellationToken::new());
+    fixture.put("/catalogue", "one").await;
     for _ in 0..5 {
-        assert_eq!(rig.get("/v1/catalogue").await.status, StatusCode::OK);
+        assert_eq!(fixture.get("/v1/catalogue").await.status, StatusCode::OK);
     }
-    let refused = rig.get("/v1/catalogue").await;
+    let refused = fixture.get("/v1/catalogue").await;
     assert_eq!(refused.status, StatusCode::TOO_MANY_REQUESTS);
     assert_eq!(refused.retry_after, Some(1));
     tokio::time::advance(Duration::from_millis(100)).await;
-    assert_eq!(rig.get("/v1/catalogue").await.status, StatusCode::OK);
+    assert_eq!(fixture.get("/v1/catalogue").await.status, StatusCode::OK);
     assert_eq!(
-        rig.get("/v1/instances").await.status,
+        fixture.get("/v1/instances").await.status,
         StatusCode::TOO_MANY_REQUESTS
     );
-    let stats = rig.shared.stats();
+    let stats = fixture.shared.stats();
     assert_eq!(
         (stats.reads, stats.refused, stats.reads_peak_per_s),
         (8, 2, 8)
     );
-    rig.post("/stats/reset", "").await;
-    assert_eq!(rig.shared.stats().reads, 0);
+    fixture.post("/stats/reset", "").await;
+    assert_eq!(fixture.shared.stats().reads, 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_peak_is_over_any_second() {
+async fn the_peak_covers_any_window_of_one_second() {
     let start = Instant::now();
     let mut reads = ReadCounter::new(start);
     for ms in [0, 900, 950, 1_050, 1_950, 5_000] {
--- a/crates/standin/tests/standin/ledger.rs
+++ b/crates/standin/tests/standin/ledger.rs
@@ -1,4 +1,4 @@
-//! How runs end in the ledger, also those that are never finished.
+//! Tests how the ledger records the ends of runs, including unfinished ones.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
 use tokio::task::JoinHandle;
 
 use crate::support::Caller;
-use crate::support::keep_busy;
 use crate::support::request;
+use crate::support::spawn_running_request;
 use crate::support::start;
-use crate::support::until;
-use crate::support::working_for;
+use crate::support::wait_until;
+use crate::support::with_service_time_us;
 
 /// Longer than any test runs, in microseconds.
 const HOUR_US: u64 = 3_600_000_000;
@@ -32,12 +32,12 @@
 const HANG: &str = r#"{"hang_after_run":true}"#;
 const CUT: &str = r#"{"cut_body":true}"#;
 
-/// What brings a run to its end.
+/// The event that ends a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Deed {
+enum Trigger {
     /// The caller waits for the answer.
     Wait,
-    /// The caller hangs up.
+    /// The caller disconnects.
     HangUp,
     /// The target crashes.
     Crash,
@@ -47,9 +47,9 @@
     service_us: u64,
     switches: TargetSwitches,
     timeout_ms: Option<u64>,
-    /// How far the run is when the deed is done.
-    at: RunEnd,
-    deed: Deed,
+    /// The state of the run when the trigger happens.
+    state: RunEnd,
+    trigger: Trigger,
     end: RunEnd,
     finished: bool,
     status: Option<u16>,
@@ -57,43 +57,43 @@
 
 impl EndCase {
     /// A run without work or faults, which finishes.
-    fn plain() -> EndCase {
+    fn finished() -> EndCase {
         EndCase {
             service_us: 0,
             switches: TargetSwitches::default(),
             timeout_ms: None,
-            at: RunEnd::Finished,
-            deed: Deed::Wait,
+            state: RunEnd::Finished,
+            trigger: Trigger::Wait,
             end: RunEnd::Finished,
             finished: true,
             status: Some(200),
         }
     }
 
-    /// A run that works for an hour until something is done to it.
-    fn broken(deed: Deed, end: RunEnd) -> EndCase {
+    /// A run of an hour that the trigger interrupts.
+    fn interrupted(trigger: Trigger, end: RunEnd) -> EndCase {
         EndCase {
             service_us: HOUR_US,
-            at: RunEnd::Running,
-            deed,
+            state: RunEnd::Running,
+            trigger,
             end,
             finished: false,
             status: None,
-            ..EndCase::plain()
+            ..EndCase::finished()
         }
     }
 
-    /// A run whose work is done under a fault, and that is at `at` then.
-    fn faulty(switches: &str, at: RunEnd, deed: Deed, end: RunEnd) -> EndCase {
+    /// A run whose work completes under a fault, and that is then in `state`.
+    fn with_fault(switches: &str, state: RunEnd, trigger: Trigger, end: RunEnd) -> EndCase {
         let switches = serde_json::from_str(switches).unwrap();
-        let status = (at == end && end == RunEnd::AnswerCut).then_some(200);
+        let status = (state == end && end == RunEnd::AnswerCut).then_some(200);
         EndCase {
             switches,
-            at,
-            deed,
+            state,
+            trigger,
             end,
             status,
-            ..EndCase::plain()
+            ..EndCase::finished()
         }
     }
 
@@ -101,16 +101,16 @@
         EndCase {
             service_us: HOUR_US,
             timeout_ms: Some(1),
-            at: RunEnd::TimedOut,
+            state: RunEnd::TimedOut,
             end: RunEnd::TimedOut,
             finished: false,
             status: Some(504),
-            ..EndCase::plain()
+            ..EndCase::finished()
         }
     }
 
     async fn start(&self) -> Target {
-        let target = start(working_for(self.service_us)).await;
+        let target = start(with_service_time_us(self.service_us)).await;
         target.apply_switches(&self.switches).await;
         target
     }
@@ -121,7 +121,7 @@
             req = req.header("x-request-timeout-ms", ms);
         }
         let caller = Caller::connect(target.addr()).await;
-        caller.send_apart(req.body(Full::default()).unwrap())
+        caller.spawn_send(req.body(Full::default()).unwrap())
     }
 }
 
@@ -131,88 +131,102 @@
     runs.into_iter().next()
 }
 
-async fn run_at(target: &Target, at: RunEnd) -> Run {
-    until(|| only_run(target).is_some_and(|run| run.end == at)).await;
+async fn wait_for_run(target: &Target, state: RunEnd) -> Run {
+    wait_until(|| only_run(target).is_some_and(|run| run.end == state)).await;
     only_run(target).unwrap()
 }
 
 #[rstest]
-#[case::finished(EndCase::plain())]
-#[case::cancelled(EndCase::broken(Deed::HangUp, RunEnd::Cancelled))]
-#[case::crashed(EndCase::broken(Deed::Crash, RunEnd::Crashed))]
-#[case::late_and_left(EndCase::faulty(LATE, RunEnd::Answering, Deed::HangUp, RunEnd::AnswerCut))]
-#[case::late_and_crashed(EndCase::faulty(LATE, RunEnd::Answering, Deed::Crash, RunEnd::AnswerCut))]
-#[case::hung(EndCase::faulty(HANG, RunEnd::Hung, Deed::HangUp, RunEnd::Hung))]
-#[case::cut(EndCase::faulty(CUT, RunEnd::AnswerCut, Deed::Wait, RunEnd::AnswerCut))]
+#[case::finished(EndCase::finished())]
+#[case::cancelled(EndCase::interrupted(Trigger::HangUp, RunEnd::Cancelled))]
+#[case::crashed(EndCase::interrupted(Trigger::Crash, RunEnd::Crashed))]
+#[case::late_and_cancelled(EndCase::with_fault(
+    LATE,
+    RunEnd::Answering,
+    Trigger::HangUp,
+    RunEnd::AnswerCut
+))]
+#[case::late_and_crashed(EndCase::with_fault(
+    LATE,
+    RunEnd::Answering,
+    Trigger::Crash,
+    RunEnd::AnswerCut
+))]
+#[case::hung(EndCase::with_fault(HANG, RunEnd::Hung, Trigger::HangUp, RunEnd::Hung))]
+#[case::cut(EndCase::with_fault(CUT, RunEnd::AnswerCut, Trigger::Wait, RunEnd::AnswerCut))]
 #[case::timed_out(EndCase::timed_out())]
 #[tokio::test]
-async fn every_run_ends_in_the_ledger(#[case] case: EndCase) {
+async fn the_ledger_records_the_end_of_every_run(#[case] case: EndCase) {
     let target = case.start().await;
     let answer = case.send(&target).await;
-    run_at(&target, case.at).await;
-    match case.deed {
-        Deed::Wait => {
+    wait_for_run(&target, case.state).await;
+    match case.trigger {
+        Trigger::Wait => {
             let answered = answer.await.unwrap();
             assert_eq!(answered.is_ok(), case.end != RunEnd::AnswerCut);
         }
-        Deed::HangUp => answer.abort(),
-        Deed::Crash => target.crash().await,
+        Trigger::HangUp => answer.abort(),
+        Trigger::Crash => target.crash().await,
     }
-    let run = run_at(&target, case.end).await;
+    let run = wait_for_run(&target, case.end).await;
     assert_eq!((run.id.as_str(), run.path.as_str()), ("r-1", "/a"));
     assert_eq!((run.finished, run.status), (case.finished, case.status));
     assert!(run.began());
     assert!(run.ended_us.unwrap() >= run.started_us);
-    until(|| target.stats().inflight == 0).await;
+    wait_until(|| target.stats().inflight == 0).await;
 }
 
-/// A caller's connection breaks while it still sends its request. The work
-/// hasn't begun, so nothing was done; the ledger says so.
+/// Guards against a run recorded as begun although the caller's connection
+/// broke before the request was completely received.
 #[tokio::test]
-async fn a_request_that_never_comes_whole_does_not_begin() {
+async fn an_incomplete_request_does_not_begin() {
     let target = start(TargetSettings::default()).await;
     let mut io = TcpStream::connect(target.addr()).await.unwrap();
     let head =
         "POST /a HTTP/1.1\r\nhost: t\r\nx-request-id: r-1\r\ncontent-length: 100\r\n\r\nhalf";
     io.write_all(head.as_bytes()).await.unwrap();
-    run_at(&target, RunEnd::Receiving).await;
+    wait_for_run(&target, RunEnd::Receiving).await;
     drop(io);
-    let run = run_at(&target, RunEnd::RequestCut).await;
+    let run = wait_for_run(&target, RunEnd::RequestCut).await;
     assert!(!run.began() && !run.finished);
 }
 
-/// A target breaks off in the middle of an answer. The caller has the first
-/// half of the right bytes and then the end of the connection.
+/// Guards against a cut that loses the first half of the answer. The caller must
+/// receive that half and then the end of the connection.
 #[tokio::test]
-async fn a_cut_answer_is_half_an_answer() {
+async fn a_cut_answer_contains_the_first_half() {
     let target = start(TargetSettings::default()).await;
     target.set_cut_body(true).await;
     let mut io = TcpStream::connect(target.addr()).await.unwrap();
     let head = "GET /a HTTP/1.1\r\nhost: t\r\nx-request-id: r-1\r\nx-answer-bytes: 996\r\n\r\n";
     io.write_all(head.as_bytes()).await.unwrap();
-    let mut got = Vec::new();
-    io.read_to_end(&mut got).await.unwrap();
-    let head_len = got.windows(4).position(|four| four == b"\r\n\r\n").unwrap() + 4;
-    assert!(got.starts_with(b"HTTP/1.1 200 OK\r\n"));
-    assert_eq!(got[head_len..], answer_body("r-1", 996)[..500]);
+    let mut received = Vec::new();
+    io.read_to_end(&mut received).await.unwrap();
+    let head_len = received
+        .windows(4)
+        .position(|four| four == b"\r\n\r\n")
+        .unwrap()
+        + 4;
+    assert!(received.starts_with(b"HTTP/1.1 200 OK\r\n"));
+    assert_eq!(received[head_len..], answer_body("r-1", 996)[..500]);
 }
 
-/// A back end that doesn't notice that its caller left goes on to the end:
-/// the effect is in force although nobody got an answer.
+/// Guards against work that ends with its caller's connection. A back end that
+/// doesn't honour cancellation completes it, so its effect is in force without an answer.
 #[tokio::test]
-async fn work_goes_on_where_cancellation_is_not_honoured() {
+async fn work_continues_where_cancellation_is_not_honoured() {
     let cfg = TargetSettings {
         honours_cancellation: false,
-        ..working_for(100_000)
+        ..with_service_time_us(100_000)
     };
     let target = start(cfg).await;
-    let caller = keep_busy(&target).await;
+    let caller = spawn_running_request(&target).await;
     caller.abort();
-    until(|| only_run(&target).is_some_and(|run| run.finished)).await;
+    wait_until(|| only_run(&target).is_some_and(|run| run.finished)).await;
 }
 
 #[tokio::test]
-async fn a_full_ledger_counts_what_it_cannot_keep() {
+async fn a_full_ledger_counts_unrecorded_runs() {
     let target = start(TargetSettings {
         ledger_runs: 1,
         ..TargetSettings::default()
@@ -226,7 +240,7 @@
 }
 
 #[tokio::test]
-async fn service_time_follows_the_kind() {
+async fn the_kind_determines_the_service_time() {
     let service: ServiceTimes = serde_json::from_str(
         r#"{"default_us":0,"kinds_us":{"approval":30000},
             "paths":{"/adjuster":"lookup","/adjuster/approvals":"approval"}}"#,
--- a/crates/standin/tests/standin/main.rs
+++ b/crates/standin/tests/standin/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins over real connections.
+//! Tests the stand-ins over real connections.
 
 mod ledger;
 mod process;
--- a/crates/standin/tests/standin/process.rs
+++ b/crates/standin/tests/standin/process.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes: settings, addresses and signals.
+//! Tests the subcommand-ins as processes: settings, addresses and signals.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -22,9 +22,9 @@
     admin: SocketAddr,
 }
 
-fn standin(stand: &str, settings: &Path) -> Command {
+fn standin(subcommand: &str, settings: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_sassafrasspool-standin"));
-    command.arg(stand).arg("--settings").arg(settings);
+    command.arg(subcommand).arg("--settings").arg(settings);
     command
         .stdin(Stdio::null())
         .stdout(Stdio::piped())
@@ -32,7 +32,7 @@
     command
 }
 
-fn settings(name: &str, text: &str) -> PathBuf {
+fn write_settings(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path
@@ -46,7 +46,7 @@
     line
 }
 
-fn signal(child: &Child, name: &str) {
+fn send_signal(child: &Child, name: &str) {
     let status = Command::new("kill")
         .args(["-s", name, &child.id().to_string()])
         .status();
@@ -54,7 +54,7 @@
 }
 
 struct ProcessCase {
-    stand: &'static str,
+    subcommand: &'static str,
     settings: &'static str,
     path: &'static str,
     status: StatusCode,
@@ -62,12 +62,12 @@
 }
 
 #[rstest]
-#[case::platform(ProcessCase { stand: "platform", settings: "reads_per_s: 100\n", path: "/v1/catalogue", status: StatusCode::NOT_FOUND, signal: "TERM" })]
-#[case::target(ProcessCase { stand: "target", settings: "slots: 6\nservice: {kinds_us: {approval: 20}, paths: {/adjuster: approval}}\n", path: "/healthz", status: StatusCode::OK, signal: "INT" })]
+#[case::platform(ProcessCase { subcommand: "platform", settings: "reads_per_s: 100\n", path: "/v1/catalogue", status: StatusCode::NOT_FOUND, signal: "TERM" })]
+#[case::target(ProcessCase { subcommand: "target", settings: "slots: 6\nservice: {kinds_us: {approval: 20}, paths: {/adjuster: approval}}\n", path: "/healthz", status: StatusCode::OK, signal: "INT" })]
 #[tokio::test]
-async fn runs_until_it_is_told_to_stop(#[case] case: ProcessCase) {
-    let path = settings(&format!("{}.yaml", case.stand), case.settings);
-    let mut child = standin(case.stand, &path)
+async fn runs_until_a_signal_stops_it(#[case] case: ProcessCase) {
+    let path = write_settings(&format!("{}.yaml", case.subcommand), case.settings);
+    let mut child = standin(case.subcommand, &path)
         .arg("--print-addrs")
         .spawn()
         .unwrap();
@@ -84,22 +84,29 @@
         .await
         .unwrap();
     assert_eq!(stats.status(), StatusCode::OK);
-    signal(&child, case.signal);
+    send_signal(&child, case.signal);
     assert!(child.wait().unwrap().success());
 }
 
 #[rstest]
 #[case::unknown_field("platform", "reeds_per_s: 100\n", "reeds_per_s")]
 #[case::no_slots("target", "slots: 0\n", "slots")]
-#[case::no_file_to_publish(
+#[case::missing_file_to_publish(
     "platform",
     "catalogue: /nowhere/catalogue.yaml\n",
     "/nowhere/catalogue.yaml"
 )]
-fn bad_settings_are_named(#[case] stand: &str, #[case] text: &str, #[case] reason: &str) {
-    let path = settings(&format!("bad-{reason}.yaml").replace('/', "-"), text);
-    let Output { status, stderr, .. } = standin(stand, &path).output().unwrap();
+fn an_error_names_the_invalid_setting(
+    #[case] subcommand: &str,
+    #[case] text: &str,
+    #[case] reason: &str,
+) {
+    let path = write_settings(&format!("bad-{reason}.yaml").replace('/', "-"), text);
+    let Output { status, stderr, .. } = standin(subcommand, &path).output().unwrap();
     assert!(!status.success());
-    let said = String::from_utf8(stderr).unwrap();
-    assert!(said.contains("settings") && said.contains(reason), "{said}");
+    let message = String::from_utf8(stderr).unwrap();
+    assert!(
+        message.contains("settings") && message.contains(reason),
+        "{message}"
+    );
 }
--- a/crates/standin/tests/standin/reader.rs
+++ b/crates/standin/tests/standin/reader.rs
@@ -1,4 +1,4 @@
-//! The nodes' client of the platform, against the stand-in.
+//! Tests the nodes' platform client against the stand-in.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use sassafrasspool_wire::platform::PlatformClient;
 use tokio_util::sync::CancellationToken;
 
-/// What the platform does, and the most bytes that a read may then take.
+/// Whether the platform compresses, and the maximum size of a read in bytes.
 #[derive(Debug)]
-struct Coding {
+struct CodingCase {
     compress: bool,
-    at_most: u64,
+    max_bytes: u64,
 }
 
 #[rstest]
-#[case::whole(Coding { compress: false, at_most: 102_000 })]
-#[case::compressed(Coding { compress: true, at_most: 2_000 })]
+#[case::uncompressed(CodingCase { compress: false, max_bytes: 102_000 })]
+#[case::compressed(CodingCase { compress: true, max_bytes: 2_000 })]
 #[tokio::test]
-async fn a_value_arrives_the_same_in_either_coding(#[case] case: Coding) {
+async fn a_value_is_the_same_with_and_without_compression(#[case] case: CodingCase) {
     let cfg = PlatformSettings {
         compress: case.compress,
         ..PlatformSettings::default()
@@ -41,6 +41,6 @@
         panic!("{read:?}");
     };
     assert_eq!(text, published);
-    assert!(bytes.read() <= case.at_most, "{} bytes", bytes.read());
+    assert!(bytes.read() <= case.max_bytes, "{} bytes", bytes.read());
     platform.stop().await;
 }
--- a/crates/standin/tests/standin/support.rs
+++ b/crates/standin/tests/standin/support.rs
@@ -1,4 +1,4 @@
-//! A caller with one connection of its own, and waiting for conditions.
+//! A caller with a connection of its own, and helpers that wait for conditions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,19 +20,19 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-/// How long a condition may take to become true; far more than it needs.
-const MOST_WAIT: Duration = Duration::from_secs(20);
+/// The maximum time for a condition to become true, which is far more than any needs.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// How often a condition is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+/// The interval of checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Starts a target on free ports.
 pub(crate) async fn start(cfg: TargetSettings) -> Target {
     Target::start(cfg, CancellationToken::new()).await.unwrap()
 }
 
-/// The settings of a target whose runs take `us` microseconds.
-pub(crate) fn working_for(us: u64) -> TargetSettings {
+/// The settings of a target with a service time of `us` microseconds.
+pub(crate) fn with_service_time_us(us: u64) -> TargetSettings {
     let service = ServiceTimes {
         default_us: us,
         ..ServiceTimes::default()
@@ -43,27 +43,29 @@
     }
 }
 
-/// Sends a request that `target` has begun to work on when this returns.
-pub(crate) async fn keep_busy(target: &Target) -> JoinHandle<hyper::Result<Response<Bytes>>> {
+/// Sends a request from a task and returns when `target` has begun to run it.
+pub(crate) async fn spawn_running_request(
+    target: &Target,
+) -> JoinHandle<hyper::Result<Response<Bytes>>> {
     let req = request("/a").body(Full::default()).unwrap();
-    let answer = Caller::connect(target.addr()).await.send_apart(req);
-    until(|| target.ledger().runs.iter().any(Run::began)).await;
+    let answer = Caller::connect(target.addr()).await.spawn_send(req);
+    wait_until(|| target.ledger().runs.iter().any(Run::began)).await;
     answer
 }
 
 /// Waits until `condition` is true.
-pub(crate) async fn until(mut condition: impl FnMut() -> bool) {
+pub(crate) async fn wait_until(mut condition: impl FnMut() -> bool) {
     let wait = async {
         while !condition() {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(MOST_WAIT, wait)
+    tokio::time::timeout(MAX_WAIT, wait)
         .await
-        .expect("the condition became true");
+        .expect("the condition becomes true in time");
 }
 
-/// A caller with one connection, which closes when it is dropped.
+/// A caller with one connection, which is closed on drop.
 #[derive(Debug)]
 pub(crate) struct Caller {
     sender: SendRequest<Full<Bytes>>,
@@ -81,7 +83,7 @@
         Caller { sender, conn }
     }
 
-    /// Sends a request and takes its whole answer.
+    /// Sends a request and receives the complete answer.
     pub(crate) async fn send(
         &mut self,
         req: Request<Full<Bytes>>,
@@ -92,14 +94,14 @@
         Ok(Response::from_parts(head, body))
     }
 
-    /// Asks for `path` and takes the whole answer.
+    /// Requests `path` and receives the complete answer.
     pub(crate) async fn get(&mut self, path: &str) -> hyper::Result<Response<Bytes>> {
         self.send(request(path).body(Full::default()).unwrap())
             .await
     }
 
-    /// Sends a request from a task, which closes the connection when aborted.
-    pub(crate) fn send_apart(
+    /// Sends a request from a task. Aborting the task closes the connection.
+    pub(crate) fn spawn_send(
         mut self,
         req: Request<Full<Bytes>>,
     ) -> JoinHandle<hyper::Result<Response<Bytes>>> {
@@ -113,12 +115,12 @@
     }
 }
 
-/// Whether a new connection is closed before anything is sent over it.
+/// Whether a new connection is refused, or closed before anything is sent over it.
 pub(crate) async fn is_closed_on_arrival(addr: SocketAddr) -> bool {
     let Ok(mut io) = TcpStream::connect(addr).await else {
         return true;
     };
-    let read = tokio::time::timeout(MOST_WAIT, io.read(&mut [0])).await;
+    let read = tokio::time::timeout(MAX_WAIT, io.read(&mut [0])).await;
     matches!(read, Ok(Ok(0) | Err(_)))
 }
 
--- a/crates/standin/tests/standin/target.rs
+++ b/crates/standin/tests/standin/target.rs
@@ -1,4 +1,4 @@
-//! A target stand-in over real connections: slots, limits, lives and lies.
+//! Tests a target stand-in over real connections: slots, limits, restarts and faults.
 
 use std::num::NonZeroU32;
 use std::time::Duration;
@@ -18,11 +18,11 @@
 
 use crate::support::Caller;
 use crate::support::is_closed_on_arrival;
-use crate::support::keep_busy;
 use crate::support::request;
+use crate::support::spawn_running_request;
 use crate::support::start;
-use crate::support::until;
-use crate::support::working_for;
+use crate::support::wait_until;
+use crate::support::with_service_time_us;
 
 /// Longer than any test runs, in milliseconds.
 const HOUR_MS: u64 = 3_600_000;
@@ -35,7 +35,7 @@
     }
 }
 
-fn plain(path: &str) -> http::Request<Full<Bytes>> {
+fn empty_request(path: &str) -> http::Request<Full<Bytes>> {
     request(path).body(Full::default()).unwrap()
 }
 
@@ -46,23 +46,23 @@
 
 struct AnswerCase {
     sent: usize,
-    asked: Option<&'static str>,
+    answer_bytes: Option<&'static str>,
     status: u16,
     body: Bytes,
 }
 
 #[rstest]
-#[case::nothing_asked(AnswerCase { sent: 0, asked: None, status: 200, body: answer_body("r-1", 0) })]
-#[case::small(AnswerCase { sent: 5, asked: Some("10"), status: 200, body: answer_body("r-1", 10) })]
-#[case::large(AnswerCase { sent: 300_000, asked: Some("1000000"), status: 200, body: answer_body("r-1", 1_000_000) })]
-#[case::too_large(AnswerCase { sent: 0, asked: Some("67108865"), status: 400, body: "check: x-answer-bytes is at most 64 MiB".into() })]
-#[case::no_number(AnswerCase { sent: 0, asked: Some("-1"), status: 400, body: "check: x-answer-bytes must be a whole number".into() })]
+#[case::no_size_requested(AnswerCase { sent: 0, answer_bytes: None, status: 200, body: answer_body("r-1", 0) })]
+#[case::small(AnswerCase { sent: 5, answer_bytes: Some("10"), status: 200, body: answer_body("r-1", 10) })]
+#[case::large(AnswerCase { sent: 300_000, answer_bytes: Some("1000000"), status: 200, body: answer_body("r-1", 1_000_000) })]
+#[case::too_large(AnswerCase { sent: 0, answer_bytes: Some("67108865"), status: 400, body: "check: x-answer-bytes is at most 64 MiB".into() })]
+#[case::no_number(AnswerCase { sent: 0, answer_bytes: Some("-1"), status: 400, body: "check: x-answer-bytes must be a whole number".into() })]
 #[tokio::test]
-async fn answers(#[case] case: AnswerCase) {
+async fn answers_follow_the_request_headers(#[case] case: AnswerCase) {
     let target = start(TargetSettings::default()).await;
     let mut req = request("/claims");
-    if let Some(asked) = case.asked {
-        req = req.header("x-answer-bytes", asked);
+    if let Some(answer_bytes) = case.answer_bytes {
+        req = req.header("x-answer-bytes", answer_bytes);
     }
     let sent = Full::from(vec![b'x'; case.sent]);
     let mut caller = Caller::connect(target.addr()).await;
@@ -84,15 +84,19 @@
     assert_eq!(target.ledger().runs.len(), usize::from(ran));
 }
 
-/// Two requests hold both slots for as long as they like. A third is told at
-/// once that it was shed; it doesn't run and isn't in the ledger.
+/// Guards against a target that queues or runs a request without a free slot.
+/// Two hanging requests hold both slots; the third must be shed immediately.
 #[tokio::test]
-async fn more_requests_than_slots_are_shed() {
+async fn requests_without_a_free_slot_are_shed() {
     let target = start(limited(2, 10)).await;
     target.set_hang_after_run(true).await;
-    let first = Caller::connect(target.addr()).await.send_apart(plain("/a"));
-    let _second = Caller::connect(target.addr()).await.send_apart(plain("/b"));
-    until(|| target.stats().inflight == 2).await;
+    let first = Caller::connect(target.addr())
+        .await
+        .spawn_send(empty_request("/a"));
+    let _second = Caller::connect(target.addr())
+        .await
+        .spawn_send(empty_request("/b"));
+    wait_until(|| target.stats().inflight == 2).await;
     let mut third = Caller::connect(target.addr()).await;
     let shed = third.get("/c").await.unwrap();
     assert_refused(&shed, "shed");
@@ -100,13 +104,13 @@
     assert!(target.ledger().runs.iter().all(|run| run.path != "/c"));
 
     first.abort();
-    until(|| target.stats().inflight == 1).await;
+    wait_until(|| target.stats().inflight == 1).await;
     target.set_hang_after_run(false).await;
     assert_eq!(third.get("/c").await.unwrap().status(), StatusCode::OK);
 }
 
-/// A caller opens more connections than the target holds. The one too many
-/// is closed on arrival; as soon as another is closed, there is room again.
+/// Guards against a connection limit that isn't enforced or never frees a place.
+/// A connection over the limit is closed on arrival until another one is closed.
 #[tokio::test]
 async fn connections_over_the_limit_are_refused() {
     let target = start(limited(10, 2)).await;
@@ -119,14 +123,14 @@
     assert_eq!((stats.connections_peak, stats.connections_refused), (2, 1));
 
     drop(first);
-    until(|| target.stats().connections == 1).await;
+    wait_until(|| target.stats().connections == 1).await;
     let mut fourth = Caller::connect(target.addr()).await;
     assert!(fourth.get("/d").await.is_ok());
     assert_eq!(target.ledger().runs.len(), 3);
 }
 
-/// A target that has just started refuses its first callers and its probe.
-/// A caller that tries again until it is warm is served.
+/// Guards against a cold target that accepts work or reports itself ready, and
+/// against one that never warms up.
 #[tokio::test]
 async fn a_cold_target_refuses_until_it_is_warm() {
     let cfg = TargetSettings {
@@ -152,28 +156,28 @@
     assert_eq!(caller.get("/a").await.unwrap().status(), StatusCode::OK);
 }
 
-/// A target is told to leave while it works. What it has is answered whole;
-/// what comes after is refused and doesn't run.
+/// Guards against a drain that cuts off a run in progress, or that admits a
+/// request which arrives later.
 #[tokio::test]
-async fn a_draining_target_finishes_what_it_has() {
-    let target = start(working_for(200_000)).await;
-    let under_way = keep_busy(&target).await;
+async fn a_draining_target_finishes_runs_and_refuses_new_ones() {
+    let target = start(with_service_time_us(200_000)).await;
+    let in_flight = spawn_running_request(&target).await;
 
     target.set_drain(true).await;
     let mut late = Caller::connect(target.addr()).await;
     let refused = late.get("/b").await.unwrap();
     assert_refused(&refused, "draining");
-    assert_eq!(under_way.await.unwrap().unwrap().status(), StatusCode::OK);
+    assert_eq!(in_flight.await.unwrap().unwrap().status(), StatusCode::OK);
     assert_eq!(target.stats().drain_refused, 1);
     assert_eq!(target.ledger().runs.len(), 1);
 }
 
-/// A target dies amid its work and is replaced on the same port. Its caller's
-/// connection breaks, new ones are refused, and the next life serves again.
+/// Guards against a crash that leaves connections open or the port unusable. The
+/// caller's connection breaks, new ones are refused, and the restart serves again.
 #[tokio::test]
 async fn a_crashed_target_refuses_until_it_is_restarted() {
-    let target = start(working_for(HOUR_MS * 1_000)).await;
-    let lost = keep_busy(&target).await;
+    let target = start(with_service_time_us(HOUR_MS * 1_000)).await;
+    let lost = spawn_running_request(&target).await;
 
     target.crash().await;
     assert!(lost.await.unwrap().is_err());
@@ -185,23 +189,25 @@
     );
 
     target.restart().await.unwrap();
-    let _next = Caller::connect(target.addr()).await.send_apart(plain("/b"));
-    until(|| target.ledger().runs.iter().any(|run| run.incarnation == 2)).await;
+    let _next = Caller::connect(target.addr())
+        .await
+        .spawn_send(empty_request("/b"));
+    wait_until(|| target.ledger().runs.iter().any(|run| run.incarnation == 2)).await;
 }
 
-/// The target is stopped as planned while it works: the answer still comes.
+/// Guards against a graceful stop that cuts off a run in progress.
 #[tokio::test]
-async fn a_planned_stop_cuts_nothing() {
-    let target = start(working_for(200_000)).await;
+async fn a_graceful_stop_finishes_runs() {
+    let target = start(with_service_time_us(200_000)).await;
     let addr = target.addr();
-    let under_way = keep_busy(&target).await;
+    let in_flight = spawn_running_request(&target).await;
     let _idle = Caller::connect(addr).await;
     target.stop().await;
-    assert_eq!(under_way.await.unwrap().unwrap().status(), StatusCode::OK);
+    assert_eq!(in_flight.await.unwrap().unwrap().status(), StatusCode::OK);
     assert!(TcpStream::connect(addr).await.is_err());
 }
 
-struct LieCase {
+struct HealthCase {
     report: HealthReport,
     drained: bool,
     status: u16,
@@ -209,18 +215,20 @@
 }
 
 #[rstest]
-#[case::truth(LieCase { report: HealthReport::Truth, drained: false, status: 200, inflight: 1 })]
-#[case::truth_drained(LieCase { report: HealthReport::Truth, drained: true, status: 503, inflight: 1 })]
-#[case::well(LieCase { report: HealthReport::Well, drained: true, status: 200, inflight: 0 })]
-#[case::ill(LieCase { report: HealthReport::Ill, drained: false, status: 503, inflight: 10 })]
-#[case::frozen(LieCase { report: HealthReport::Frozen, drained: true, status: 200, inflight: 0 })]
+#[case::truth(HealthCase { report: HealthReport::Truth, drained: false, status: 200, inflight: 1 })]
+#[case::truth_drained(HealthCase { report: HealthReport::Truth, drained: true, status: 503, inflight: 1 })]
+#[case::well(HealthCase { report: HealthReport::Well, drained: true, status: 200, inflight: 0 })]
+#[case::ill(HealthCase { report: HealthReport::Ill, drained: false, status: 503, inflight: 10 })]
+#[case::frozen(HealthCase { report: HealthReport::Frozen, drained: true, status: 200, inflight: 0 })]
 #[tokio::test]
-async fn health_and_load_can_lie(#[case] case: LieCase) {
+async fn health_and_load_follow_the_configured_report(#[case] case: HealthCase) {
     let target = start(TargetSettings::default()).await;
     target.lie_about_health(case.report).await;
     target.set_hang_after_run(true).await;
-    let _busy = Caller::connect(target.addr()).await.send_apart(plain("/a"));
-    until(|| target.stats().inflight == 1).await;
+    let _busy = Caller::connect(target.addr())
+        .await
+        .spawn_send(empty_request("/a"));
+    wait_until(|| target.stats().inflight == 1).await;
     target.set_drain(case.drained).await;
     let mut caller = Caller::connect(target.addr()).await;
     assert_eq!(caller.get("/healthz").await.unwrap().status(), case.status);
@@ -231,7 +239,7 @@
 }
 
 #[tokio::test]
-async fn late_answers_are_late_but_whole() {
+async fn late_answers_are_delayed_and_complete() {
     let target = start(TargetSettings::default()).await;
     let late_by = Duration::from_millis(50);
     target.late_answers(1, late_by).await;
@@ -242,27 +250,27 @@
     assert!(run.ended_us.unwrap() - run.started_us >= 50_000);
 }
 
-// A request for a certain path crashes the target under everything that it runs, and the
-// target comes back by itself.
+// Guards against a crashing request that fails alone, and against a target that doesn't
+// restart by itself. The crash must end every run.
 #[tokio::test]
-async fn a_request_crashes_it_and_it_comes_back() {
+async fn a_crashing_request_ends_all_runs_and_the_target_restarts() {
     let target = start(TargetSettings {
         crash_on: Some(CrashOn {
             path: "/crashing".to_owned(),
             after_ms: 20,
             down_ms: 50,
         }),
-        ..working_for(500_000)
+        ..with_service_time_us(500_000)
     })
     .await;
     let mut other = Caller::connect(target.addr()).await;
     let mut crashing = Caller::connect(target.addr()).await;
     let (other, crashing) = tokio::join!(
-        other.send(plain("/claims")),
-        crashing.send(plain("/crashing")),
+        other.send(empty_request("/claims")),
+        crashing.send(empty_request("/crashing")),
     );
     assert!(other.is_err() && crashing.is_err());
-    until(|| {
+    wait_until(|| {
         target
             .ledger()
             .runs
@@ -270,9 +278,9 @@
             .all(|run| run.end == RunEnd::Crashed)
     })
     .await;
-    until(|| std::net::TcpStream::connect(target.addr()).is_ok()).await;
+    wait_until(|| std::net::TcpStream::connect(target.addr()).is_ok()).await;
     let mut again = Caller::connect(target.addr()).await;
-    let answered = again.send(plain("/claims")).await.unwrap();
+    let answered = again.send(empty_request("/claims")).await.unwrap();
     assert_eq!(answered.status(), StatusCode::OK);
     assert_eq!(target.ledger().runs.last().unwrap().incarnation, 2);
 }
