--- a/crates/standin/src/platform/admin_api.rs
+++ b/crates/standin/src/platform/admin_api.rs
@@ -1,4 +1,4 @@
-//! The admin port: publishing, switches and figures.
+//! The admin port: publications, switches and statistics.
 
 use std::sync::Arc;
 
@@ -23,19 +23,19 @@
 use super::MAX_VALUE_BYTES;
 use super::instance_list::InstanceChange;
 use super::instance_list::ListBody;
-use super::reads::Reads;
+use super::read_counter::ReadCounter;
 use super::refusal::Refusal;
 use super::shared::Shared;
 use super::stats::PlatformStats;
 use super::switches::PlatformSwitches;
 
-/// Above the size of a value, so that one that is too large gets an answer
-/// that says so.
+/// The maximum request body in bytes. It is above the maximum value, so that a
+/// value that is somewhat too large is answered with the reason.
 const MAX_BODY_BYTES: usize = 4 * MAX_VALUE_BYTES;
 
 #[derive(Debug, Deserialize)]
 struct PublishQuery {
-    /// A revision to publish at; the next one if absent.
+    /// The revision to publish at; the next one if absent.
     revision: Option<Revision>,
 }
 
@@ -93,7 +93,7 @@
     State(shared): State<Arc<Shared>>,
     Json(switches): Json<PlatformSwitches>,
 ) -> Json<PlatformSwitches> {
-    shared.switch(&switches);
+    shared.apply_switches(&switches);
     Json(switches)
 }
 
@@ -102,7 +102,7 @@
 }
 
 async fn reset_stats(State(shared): State<Arc<Shared>>) -> Json<PlatformStats> {
-    shared.state().reads = Reads::new(Instant::now());
+    shared.state().reads = ReadCounter::new(Instant::now());
     Json(shared.stats())
 }
 
--- a/crates/standin/src/platform/budget.rs
+++ b/crates/standin/src/platform/read_budget.rs
@@ -1,27 +1,27 @@
-//! The read budget over all readers: a token bucket.
+//! Limits the read rate over all readers with a token bucket.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// A token bucket that is refilled as time passes.
+/// A token bucket that is refilled continuously.
 ///
 /// # Invariants
 ///
 /// `tokens` is between zero and `burst`.
 #[derive(Debug)]
-pub(super) struct Budget {
+pub(super) struct ReadBudget {
     per_s: f64,
     burst: f64,
     tokens: f64,
     filled_at: Instant,
 }
 
-impl Budget {
+impl ReadBudget {
     /// A full bucket of `burst` reads, refilled at `per_s` reads per second.
-    pub(super) fn new(per_s: u32, burst: u32, now: Instant) -> Budget {
-        // INVARIANT: A full bucket holds just `burst`.
-        Budget {
+    pub(super) fn new(per_s: u32, burst: u32, now: Instant) -> ReadBudget {
+        // INVARIANT: The bucket starts with exactly `burst` tokens.
+        ReadBudget {
             per_s: f64::from(per_s),
             burst: f64::from(burst),
             tokens: f64::from(burst),
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Takes one read.
+    /// Takes the token for one read.
     ///
     /// # Errors
     ///
-    /// Gives how long to wait for the next one if none is left.
-    pub(super) fn take(&mut self, now: Instant) -> Result<(), Duration> {
+    /// Returns the time until the next token if none is available.
+    pub(super) fn try_take(&mut self, now: Instant) -> Result<(), Duration> {
         let passed = now.saturating_duration_since(self.filled_at).as_secs_f64();
         self.filled_at = now;
         // INVARIANT: Refilling stops at `burst`.
--- a/crates/standin/src/platform/shared.rs
+++ b/crates/standin/src/platform/shared.rs
@@ -1,4 +1,4 @@
-//! What the handle and both ports of a platform stand-in share.
+//! The state shared by the handle and both ports of a platform stand-in.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -11,91 +11,98 @@
 use tokio_util::sync::CancellationToken;
 
 use super::settings::PlatformSettings;
-use super::state::Found;
+use super::state::ReadResult;
 use super::state::State;
 use super::stats::PlatformStats;
 use super::switches::PlatformSwitches;
-use super::waiting::Waiting;
+use super::waiter_count::WaiterCount;
 
-/// The state, and the news that it changed.
+/// The state, and the channel that signals its changes.
 #[derive(Debug)]
 pub(super) struct Shared {
     state: Mutex<State>,
     changed: watch::Sender<()>,
-    waiting: Waiting,
-    /// Whether readers may have values compressed.
+    waiters: WaiterCount,
+    /// Whether values are compressed for readers that accept it.
     pub(super) compress: bool,
     cancel: CancellationToken,
 }
 
 impl Shared {
-    /// Nothing published; `cancel` ends every waiting watch.
+    /// The state before any publication; `cancel` ends every waiting watch.
     pub(super) fn new(cfg: &PlatformSettings, cancel: CancellationToken) -> Shared {
         Shared {
             state: Mutex::new(State::new(cfg, Instant::now())),
             changed: watch::Sender::new(()),
-            waiting: Waiting::default(),
+            waiters: WaiterCount::default(),
             compress: cfg.compress,
             cancel,
         }
     }
 
-    /// The state, to look at or to count in.
+    /// Locks the state, for reads and counts. [`Shared::change`] also wakes watches.
     pub(super) fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the state and wakes all that wait.
+    /// Changes the state and wakes all watches.
     pub(super) fn change<T>(&self, f: impl FnOnce(&mut State, Instant) -> T) -> T {
         let result = f(&mut self.state(), Instant::now());
         self.changed.send_replace(());
         result
     }
 
-    /// Waits up to `wait` for something that a reader with `after` lacks.
-    pub(super) async fn watch(&self, stream: Stream, after: Option<u64>, wait: Duration) -> Found {
+    /// Waits up to `wait` for a value newer than `after`, or for an outage. A silent
+    /// platform prolongs the wait until it answers again.
+    pub(super) async fn watch(
+        &self,
+        stream: Stream,
+        after: Option<u64>,
+        wait: Duration,
+    ) -> ReadResult {
         let end = Instant::now() + wait;
         let mut changed = self.changed.subscribe();
-        let _guard = self.waiting.enter();
+        let _guard = self.waiters.enter();
         loop {
             if self.state().silent {
                 tokio::select! {
                     _ = changed.changed() => continue,
-                    () = self.cancel.cancelled() => return Found::Outage,
+                    () = self.cancel.cancelled() => return ReadResult::Outage,
                 }
             }
             let now = Instant::now();
-            let (found, next) = self.look(stream, after, now);
-            let settled = matches!(found, Found::Value(_) | Found::Outage);
-            if settled || now >= end {
+            let (found, next) = self.find_and_next_change(stream, after, now);
+            let is_final = matches!(found, ReadResult::Value(_) | ReadResult::Outage);
+            if is_final || now >= end {
                 return found;
             }
             let until = next.map_or(end, |next| next.min(end));
             tokio::select! {
                 _ = changed.changed() => {}
                 () = tokio::time::sleep_until(until) => {}
-                () = self.cancel.cancelled() => return Found::Outage,
+                () = self.cancel.cancelled() => return ReadResult::Outage,
             }
         }
     }
 
-    /// Takes a read in if the platform answers any; else it has none until the end.
-    pub(super) async fn take_in(&self) {
+    /// Blocks a read that arrives while the platform is silent until the platform
+    /// stops.
+    pub(super) async fn hang_if_silent(&self) {
         let silent = self.state().silent;
         if silent {
             self.cancel.cancelled().await;
         }
     }
 
-    /// Holds an answer back for the delay that is set, but not beyond the end.
-    pub(super) async fn hold_back(&self) {
+    /// Delays an answer by the configured delay, or until the platform stops.
+    pub(super) async fn delay_answer(&self) {
         let delay = self.state().answer_delay;
         let sleep = tokio::time::sleep(delay);
         self.cancel.run_until_cancelled(sleep).await;
     }
 
-    /// Turns switches.
-    pub(super) fn switch(&self, switches: &PlatformSwitches) {
+    /// Applies the switches that are present.
+    pub(super) fn apply_switches(&self, switches: &PlatformSwitches) {
         self.change(|state, now| {
             if let Some(outage) = switches.outage {
                 state.outage = outage;
@@ -116,21 +123,26 @@
         tracing::info!(?switches, "switched");
     }
 
-    /// The figures so far.
+    /// The counts so far.
     pub(super) fn stats(&self) -> PlatformStats {
         let state = self.state();
         PlatformStats {
             reads: state.reads.total(),
             reads_peak_per_s: state.reads.peak(),
             refused: state.reads.refused(),
-            waiting: self.waiting.count(),
+            waiting: self.waiters.count(),
         }
     }
 
-    fn look(&self, stream: Stream, after: Option<u64>, now: Instant) -> (Found, Option<Instant>) {
+    fn find_and_next_change(
+        &self,
+        stream: Stream,
+        after: Option<u64>,
+        now: Instant,
+    ) -> (ReadResult, Option<Instant>) {
         let state = self.state();
         let found = state.find(stream, after, now);
-        let next = state.channel(stream).next_visible_at(now);
+        let next = state.values(stream).next_visible_at(now);
         (found, next)
     }
 }
--- a/crates/standin/src/platform/state.rs
+++ b/crates/standin/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! All that a platform stand-in holds, behind one lock.
+//! The state of a platform stand-in, which one lock guards.
 
 use std::time::Duration;
 
@@ -9,60 +9,60 @@
 use sassafrasspool_core::Stream;
 use tokio::time::Instant;
 
-use super::budget::Budget;
-use super::channel::Channel;
 use super::instance_list::InstanceChange;
 use super::instance_list::ListBody;
-use super::published::Published;
-use super::reads::Reads;
+use super::published_value::PublishedValue;
+use super::read_budget::ReadBudget;
+use super::read_counter::ReadCounter;
 use super::refusal::Refusal;
 use super::settings::PlatformSettings;
+use super::stream_values::StreamValues;
 
-/// What is published, switched and counted.
+/// The published values, the switches and the counts.
 ///
 /// # Invariants
 ///
 /// `list` is the content of the newest value in `instances`.
 #[derive(Debug)]
 pub(super) struct State {
-    catalogue: Channel,
-    instances: Channel,
+    catalogue: StreamValues,
+    instances: StreamValues,
     list: Vec<Instance>,
-    budget: Budget,
-    /// Calls so far.
-    pub(super) reads: Reads,
-    /// Whether every read fails.
+    budget: ReadBudget,
+    /// Counts the calls on the read port.
+    pub(super) reads: ReadCounter,
+    /// Whether every read is answered with 503.
     pub(super) outage: bool,
-    /// Whether nothing is answered.
+    /// Whether reads stay unanswered.
     pub(super) silent: bool,
-    /// How long each answer is held back.
+    /// The delay between determining an answer and sending it.
     pub(super) answer_delay: Duration,
-    /// When lists that are published from now on are seen.
+    /// The delay until lists published from now on become visible.
     pub(super) list_lag: Duration,
 }
 
-/// What a read finds at one moment.
+/// The result of a read at one moment.
 #[derive(Debug)]
-pub(super) enum Found {
-    /// The source is out.
+pub(super) enum ReadResult {
+    /// An outage is switched on, or the platform stops.
     Outage,
-    /// Nothing was published yet.
-    Nothing,
-    /// A value that the reader doesn't have.
-    Value(Published),
-    /// Nothing newer than what the reader has.
+    /// No value is visible yet.
+    NothingPublished,
+    /// A value newer than the reader's revision.
+    Value(PublishedValue),
+    /// The visible value, of this revision, isn't newer than the reader's.
     Unchanged(Revision),
 }
 
 impl State {
-    /// Nothing published, no fault switched on.
+    /// The state without values and with all faults switched off.
     pub(super) fn new(cfg: &PlatformSettings, now: Instant) -> State {
         State {
-            catalogue: Channel::default(),
-            instances: Channel::default(),
+            catalogue: StreamValues::default(),
+            instances: StreamValues::default(),
             list: Vec::new(),
-            budget: Budget::new(cfg.reads_per_s, cfg.burst(), now),
-            reads: Reads::new(now),
+            budget: ReadBudget::new(cfg.reads_per_s, cfg.burst(), now),
+            reads: ReadCounter::new(now),
             outage: false,
             silent: false,
             answer_delay: Duration::ZERO,
@@ -70,51 +70,51 @@
         }
     }
 
-    /// Counts a call and takes it from the budget.
+    /// Counts a call and takes a token for it from the budget.
     ///
     /// # Errors
     ///
-    /// Gives how long to wait if the budget is spent.
+    /// Returns the time until the next token if the budget is exhausted.
     pub(super) fn admit(&mut self, now: Instant) -> Result<(), Duration> {
         self.reads.count(now);
-        let taken = self.budget.take(now);
-        if taken.is_err() {
+        let admitted = self.budget.try_take(now);
+        if admitted.is_err() {
             self.reads.count_refused();
         }
-        taken
+        admitted
     }
 
-    /// What a reader that has `after` finds.
-    pub(super) fn find(&self, stream: Stream, after: Option<u64>, now: Instant) -> Found {
+    /// The result of a read by a reader that has revision `after`.
+    pub(super) fn find(&self, stream: Stream, after: Option<u64>, now: Instant) -> ReadResult {
         if self.outage {
-            return Found::Outage;
+            return ReadResult::Outage;
         }
-        let Some(value) = self.channel(stream).visible(now) else {
-            return Found::Nothing;
+        let Some(value) = self.values(stream).visible(now) else {
+            return ReadResult::NothingPublished;
         };
         match after {
-            Some(after) if value.revision.get() <= after => Found::Unchanged(value.revision),
-            _ => Found::Value(value.clone()),
+            Some(after) if value.revision.get() <= after => ReadResult::Unchanged(value.revision),
+            _ => ReadResult::Value(value.clone()),
         }
     }
 
     /// The values of `stream`.
-    pub(super) fn channel(&self, stream: Stream) -> &Channel {
+    pub(super) fn values(&self, stream: Stream) -> &StreamValues {
         match stream {
             Stream::Catalogue => &self.catalogue,
             Stream::Instances => &self.instances,
         }
     }
 
-    /// The values of `stream`, to switch what readers see.
-    pub(super) fn channel_mut(&mut self, stream: Stream) -> &mut Channel {
+    /// The values of `stream`, to change the view of readers.
+    pub(super) fn values_mut(&mut self, stream: Stream) -> &mut StreamValues {
         match stream {
             Stream::Catalogue => &mut self.catalogue,
             Stream::Instances => &mut self.instances,
         }
     }
 
-    /// Publishes a catalogue, whatever its text says.
+    /// Publishes a catalogue without validating its text.
     pub(super) fn publish_catalogue(
         &mut self,
         text: Bytes,
@@ -124,7 +124,7 @@
         self.catalogue.publish(text, forced, now, Duration::ZERO)
     }
 
-    /// Publishes an instance list.
+    /// Publishes an instance list, visible after the lag.
     pub(super) fn publish_instances(
         &mut self,
         list: Vec<Instance>,
@@ -133,7 +133,7 @@
     ) -> Result<Revision, Refusal> {
         let body = ListBody::encode(&list)?;
         let revision = self.instances.publish(body, forced, now, self.list_lag)?;
-        // INVARIANT: The value just published was encoded from this list.
+        // INVARIANT: The newest value was encoded from this list.
         self.list = list;
         Ok(revision)
     }
@@ -150,12 +150,12 @@
         self.publish_instances(list, None, now)
     }
 
-    /// Switches staleness of both streams.
+    /// Switches stale reads of both streams on or off.
     pub(super) fn set_stale(&mut self, stale: bool, now: Instant) {
-        for channel in [&mut self.catalogue, &mut self.instances] {
+        for values in [&mut self.catalogue, &mut self.instances] {
             match stale {
-                true => channel.freeze(now),
-                false => channel.thaw(),
+                true => values.freeze(now),
+                false => values.unfreeze(),
             }
         }
     }
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -1,25 +1,25 @@
-//! The target stand-in: a back end with few slots and a ledger, so that the
-//! system can be shown what real back ends do at their worst.
+//! The target stand-in: a back end with few slots and a ledger, which
+//! simulates the faults of real back ends.
 
 mod admin_api;
 mod answer;
 mod answer_stream;
 mod clock;
-mod control;
 mod counters;
 mod crash_on;
+mod generation;
 mod health;
 mod ledger;
-mod life;
 mod listener;
 mod open_connection;
-mod order;
 mod refusal;
 mod run;
 mod run_guard;
+mod run_request;
 mod service_times;
 mod settings;
 mod shared;
+mod supervisor;
 mod switches;
 mod work;
 
@@ -34,32 +34,34 @@
 use tokio_util::task::TaskTracker;
 
 pub use self::answer::answer_body;
-pub use self::answer::pattern;
+pub use self::answer::answer_pattern;
 pub use self::counters::TargetStats;
 pub use self::crash_on::CrashOn;
 pub use self::health::Load;
 pub use self::ledger::LedgerPages;
-pub use self::order::ANSWER_BYTES_HEADER;
-pub use self::order::KIND_HEADER;
-pub use self::order::MAX_ANSWER_BYTES;
 pub use self::run::Run;
 pub use self::run::RunEnd;
+pub use self::run_request::ANSWER_BYTES_HEADER;
+pub use self::run_request::KIND_HEADER;
+pub use self::run_request::MAX_ANSWER_BYTES;
 pub use self::service_times::ServiceTimes;
 pub use self::settings::TargetSettings;
 pub use self::switches::HealthReport;
 pub use self::switches::LateAnswers;
 pub use self::switches::TargetSwitches;
 
-use self::control::Control;
+use self::supervisor::Supervisor;
 use crate::serve;
 
-/// Says in answers how many bytes the request's body had.
+/// Header of answers with the length of the request body in bytes.
 pub const RECEIVED_BYTES_HEADER: HeaderName = HeaderName::from_static("x-received-bytes");
 
-/// Answers 200 if the target takes work, 503 if not, unless it lies.
+/// The path of the health probe. It answers 200 if the target accepts work and
+/// 503 otherwise, unless a [`HealthReport`] overrides that.
 pub const HEALTH_PATH: &str = "/healthz";
 
-/// Answers with a [`Load`] as JSON, unless it lies.
+/// The path of the load probe. It answers with a [`Load`] as JSON, which a
+/// [`HealthReport`] may override.
 pub const LOAD_PATH: &str = "/load";
 
 /// A running target stand-in; it stops when dropped.
@@ -83,84 +85,86 @@
 /// ```
 #[derive(Debug)]
 pub struct Target {
-    control: Arc<Control>,
+    supervisor: Arc<Supervisor>,
     admin_addr: SocketAddr,
     tasks: TaskTracker,
     guard: DropGuard,
 }
 
 impl Target {
-    /// Opens both ports and begins the first cold start.
+    /// Binds both ports and begins the first cold start.
     ///
     /// # Errors
     ///
-    /// Fails if a port can't be opened.
+    /// Fails if a port can't be bound.
     pub async fn start(cfg: TargetSettings, cancel: CancellationToken) -> Result<Target> {
         let cancel = cancel.child_token();
         let (admin, admin_addr) = serve::bind(cfg.admin).await?;
-        let control = Arc::new(Control::start(cfg, cancel.clone()).await?);
+        let supervisor = Arc::new(Supervisor::start(cfg, cancel.clone()).await?);
         let tasks = TaskTracker::new();
-        let router = admin_api::router(Arc::clone(&control));
+        let router = admin_api::router(Arc::clone(&supervisor));
         tasks.spawn(serve::serve(admin, router, cancel.clone()));
-        let kept = Arc::clone(&control);
+        let supervised = Arc::clone(&supervisor);
         let until = cancel.clone();
         tasks.spawn(async move {
-            until.run_until_cancelled(kept.keep_up()).await;
+            until
+                .run_until_cancelled(supervised.restart_after_crashes())
+                .await;
         });
         tasks.close();
         let guard = cancel.drop_guard();
         Ok(Target {
-            control,
+            supervisor,
             admin_addr,
             tasks,
             guard,
         })
     }
 
-    /// Where the target serves.
+    /// The address at which the target serves requests.
     pub fn addr(&self) -> SocketAddr {
-        self.control.addr()
+        self.supervisor.addr()
     }
 
-    /// Where the admin port listens.
+    /// The address of the admin port.
     pub fn admin_addr(&self) -> SocketAddr {
         self.admin_addr
     }
 
-    /// A copy of the ledger over all lives, also of runs that never finished.
+    /// A copy of the ledger over all generations, including unfinished runs.
     pub fn ledger(&self) -> LedgerPages {
-        self.control.shared().ledger.copy()
+        self.supervisor.shared().ledger.copy()
     }
 
-    /// What it did so far.
+    /// Counts since the first start.
     pub fn stats(&self) -> TargetStats {
-        self.control.shared().stats()
+        self.supervisor.shared().stats()
     }
 
-    /// Turns switches, as the admin port does.
-    pub async fn switch(&self, switches: &TargetSwitches) {
-        self.control.switch(switches).await;
+    /// Applies the switches that are present, as the admin port does.
+    pub async fn apply_switches(&self, switches: &TargetSwitches) {
+        self.supervisor.apply_switches(switches).await;
     }
 
-    /// Drops all connections at once, with resets, and refuses new ones. What
-    /// ran is over when this returns.
+    /// Resets all connections and refuses new ones. All runs have ended when
+    /// this returns.
     pub async fn crash(&self) {
-        self.control.crash().await;
+        self.supervisor.crash().await;
     }
 
-    /// Starts again on the same port, with a cold start; crashes first if it
-    /// still runs. The switches and the ledger stay.
+    /// Starts the next generation on the same port, with a cold start. A running
+    /// generation is crashed first. The switches and the ledger are kept.
     ///
     /// # Errors
     ///
-    /// Fails if the port can't be opened again.
+    /// Fails if the port can't be listened on again.
     pub async fn restart(&self) -> Result<()> {
-        self.control.restart().await
+        self.supervisor.restart().await
     }
 
-    /// Begins or ends refusing new work, finishing what runs.
+    /// Begins or ends draining: new work is refused, and runs in progress finish.
     pub async fn set_drain(&self, drain: bool) {
-        self.switch(&TargetSwitches {
+        self.apply_switches(&TargetSwitches {
             drain: Some(drain),
             ..TargetSwitches::default()
         })
@@ -170,73 +174,74 @@
     /// Makes each run take longer by `extra`, in whole milliseconds.
     pub async fn set_slow(&self, extra: Duration) {
         let slow_ms = Some(whole_ms(extra));
-        self.switch(&TargetSwitches {
+        self.apply_switches(&TargetSwitches {
             slow_ms,
             ..TargetSwitches::default()
         })
         .await;
     }
 
-    /// Makes one answer in `every` late `by` so much, in whole milliseconds;
-    /// none if `every` is 0. The work is done in time.
+    /// Delays one answer in `every` by `by`, in whole milliseconds; none if
+    /// `every` is 0. The work itself isn't delayed.
     pub async fn late_answers(&self, every: u64, by: Duration) {
         let late = Some(LateAnswers {
             every,
             by_ms: whole_ms(by),
         });
-        self.switch(&TargetSwitches {
+        self.apply_switches(&TargetSwitches {
             late,
             ..TargetSwitches::default()
         })
         .await;
     }
 
-    /// Sets what the health and load endpoints say.
+    /// Sets what the health and load endpoints report.
     pub async fn lie_about_health(&self, report: HealthReport) {
         let health = Some(report);
-        self.switch(&TargetSwitches {
+        self.apply_switches(&TargetSwitches {
             health,
             ..TargetSwitches::default()
         })
         .await;
     }
 
-    /// Begins or ends doing the work and never answering.
+    /// Begins or ends completing the work without ever answering.
     pub async fn set_hang_after_run(&self, hang: bool) {
         let hang_after_run = Some(hang);
-        self.switch(&TargetSwitches {
+        self.apply_switches(&TargetSwitches {
             hang_after_run,
             ..TargetSwitches::default()
         })
         .await;
     }
 
-    /// Begins or ends breaking off in the middle of each answer.
+    /// Begins or ends cutting each answer off after half of its body.
     pub async fn set_cut_body(&self, cut: bool) {
-        self.switch(&TargetSwitches {
+        self.apply_switches(&TargetSwitches {
             cut_body: Some(cut),
             ..TargetSwitches::default()
         })
         .await;
     }
 
-    /// Stops: takes no more connections, finishes what runs and closes.
+    /// Stops gracefully: accepts no more connections, finishes runs in progress
+    /// and closes.
     pub async fn stop(self) {
         let Target {
-            control,
+            supervisor,
             tasks,
             guard,
             ..
         } = self;
         drop(guard);
-        control.stopped().await;
+        supervisor.stopped().await;
         tasks.wait().await;
     }
 
-    /// Waits until it was stopped by the token that it was started with.
+    /// Waits until the token passed to [`Target::start`] has stopped the target.
     pub async fn stopped(&self) {
         self.tasks.wait().await;
-        self.control.stopped().await;
+        self.supervisor.stopped().await;
     }
 }
 
--- a/crates/standin/src/target/answer_stream.rs
+++ b/crates/standin/src/target/answer_stream.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, handed over in pieces.
+//! The body of an answer, streamed in chunks.
 
 use std::io;
 use std::pin::Pin;
@@ -13,69 +13,69 @@
 
 use super::run_guard::RunGuard;
 
-/// The size of a piece in bytes. A run only counts as finished with its last
-/// piece, so that a caller who hangs up amid a long answer is seen.
-const PIECE_BYTES: usize = 16 * 1024;
+/// The size of a chunk in bytes. A run counts as finished only with its last
+/// chunk, so that a caller's disconnect during a long answer is recorded.
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// The body of an answer or a refusal.
 #[derive(Debug)]
 pub(super) struct AnswerStream {
-    rest: Bytes,
+    remaining: Bytes,
     cut: Option<Cut>,
     run: Option<RunGuard>,
     _slot: Option<OwnedSemaphorePermit>,
 }
 
-/// A cut that is to come.
+/// A planned cut of the body.
 #[derive(Debug, Clone, Copy)]
 struct Cut {
-    /// Bytes that are never handed over.
+    /// The number of bytes that are never sent.
     missing: usize,
-    /// Whether what came before was given time to be sent.
+    /// Whether the connection had a chance to flush the bytes before the cut.
     flushed: bool,
 }
 
 impl AnswerStream {
-    /// The text of a refusal or probe.
+    /// The body of a refusal or probe.
     pub(super) fn text(text: impl Into<Bytes>) -> AnswerStream {
         AnswerStream {
-            rest: text.into(),
+            remaining: text.into(),
             cut: None,
             run: None,
             _slot: None,
         }
     }
 
-    /// The answer to a run, which holds its slot until it is handed over.
+    /// The answer to a run, which holds its slot until the body is dropped.
     pub(super) fn answer(body: Bytes, run: RunGuard, slot: OwnedSemaphorePermit) -> AnswerStream {
         AnswerStream {
-            rest: body,
+            remaining: body,
             cut: None,
             run: Some(run),
             _slot: Some(slot),
         }
     }
 
-    /// The same answer, breaking off in the middle.
+    /// Fails the answer after half of its body.
     pub(super) fn cut_in_half(mut self) -> AnswerStream {
         self.cut = Some(Cut {
-            missing: self.rest.len().div_ceil(2),
+            missing: self.remaining.len().div_ceil(2),
             flushed: false,
         });
         self
     }
 
-    fn next_piece(&mut self) -> Option<Bytes> {
+    fn next_chunk(&mut self) -> Option<Bytes> {
         let missing = self.cut.map_or(0, |cut| cut.missing);
-        let len = (self.rest.len() - missing).min(PIECE_BYTES);
+        let len = (self.remaining.len() - missing).min(CHUNK_BYTES);
         if len == 0 {
             return None;
         }
-        let piece = self.rest.split_to(len);
-        if self.rest.is_empty() {
+        let chunk = self.remaining.split_to(len);
+        if self.remaining.is_empty() {
             self.finish();
         }
-        Some(piece)
+        Some(chunk)
     }
 
     fn finish(&mut self) {
@@ -93,28 +93,28 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        if let Some(piece) = self.next_piece() {
-            return Poll::Ready(Some(Ok(Frame::data(piece))));
+        if let Some(chunk) = self.next_chunk() {
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         match &mut self.cut {
             None => Poll::Ready(None),
             Some(cut) if !cut.flushed => {
-                // The connection flushes when its body is pending; failing at
-                // once would throw away the first half unsent.
+                // The connection flushes when its body is pending. Failing
+                // immediately would discard the first half unsent.
                 cut.flushed = true;
                 cx.waker().wake_by_ref();
                 Poll::Pending
             }
-            Some(_) => Poll::Ready(Some(Err(io::Error::other("cut on purpose")))),
+            Some(_) => Poll::Ready(Some(Err(io::Error::other("answer cut by a switch")))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.rest.is_empty()
+        self.remaining.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let len = u64::try_from(self.rest.len()).unwrap_or(u64::MAX);
+        let len = u64::try_from(self.remaining.len()).unwrap_or(u64::MAX);
         SizeHint::with_exact(len)
     }
 }
--- a/crates/standin/src/target/health.rs
+++ b/crates/standin/src/target/health.rs
@@ -1,23 +1,23 @@
-//! The target's health, and what it says of it.
+//! The target's actual and reported health.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use super::switches::HealthReport;
 
-/// Whether a target takes work.
+/// Whether a target accepts work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Readiness {
-    /// It takes work.
+    /// The target accepts work.
     Ready,
-    /// It is starting.
+    /// The target is in its cold start.
     Cold,
-    /// It finishes what it has.
+    /// The target finishes runs in progress and refuses new work.
     Draining,
 }
 
 impl Readiness {
-    /// The text of refusals and probes.
+    /// The answer text of refusals and probes.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             Readiness::Ready => "ok",
@@ -32,7 +32,7 @@
 pub struct Load {
     /// Slots in use.
     pub inflight: u32,
-    /// All slots.
+    /// The number of slots, free or in use.
     pub slots: u32,
     /// Open connections.
     pub connections: u64,
@@ -45,33 +45,33 @@
     pub(super) load: Load,
 }
 
-/// What is reported in place of the truth.
+/// The override of the reported health.
 #[derive(Debug, Default)]
-pub(super) enum HealthSwitch {
+pub(super) enum HealthOverride {
     #[default]
-    Truth,
-    Well,
-    Ill,
+    Actual,
+    Healthy,
+    Unhealthy,
     Frozen(Health),
 }
 
-impl HealthSwitch {
-    /// The switch for `report`, turned while `so` is so.
-    pub(super) fn new(report: HealthReport, so: Health) -> HealthSwitch {
+impl HealthOverride {
+    /// The override for `report`, set while the actual health is `actual`.
+    pub(super) fn new(report: HealthReport, actual: Health) -> HealthOverride {
         match report {
-            HealthReport::Truth => HealthSwitch::Truth,
-            HealthReport::Well => HealthSwitch::Well,
-            HealthReport::Ill => HealthSwitch::Ill,
-            HealthReport::Frozen => HealthSwitch::Frozen(so),
+            HealthReport::Truth => HealthOverride::Actual,
+            HealthReport::Well => HealthOverride::Healthy,
+            HealthReport::Ill => HealthOverride::Unhealthy,
+            HealthReport::Frozen => HealthOverride::Frozen(actual),
         }
     }
 
-    /// What is reported when `so` is so.
-    pub(super) fn report(&self, so: Health) -> Health {
-        let slots = so.load.slots;
+    /// The health reported when the actual health is `actual`.
+    pub(super) fn report(&self, actual: Health) -> Health {
+        let slots = actual.load.slots;
         match self {
-            HealthSwitch::Truth => so,
-            HealthSwitch::Well => Health {
+            HealthOverride::Actual => actual,
+            HealthOverride::Healthy => Health {
                 readiness: Readiness::Ready,
                 load: Load {
                     inflight: 0,
@@ -79,14 +79,14 @@
                     connections: 0,
                 },
             },
-            HealthSwitch::Ill => Health {
+            HealthOverride::Unhealthy => Health {
                 readiness: Readiness::Draining,
                 load: Load {
                     inflight: slots,
-                    ..so.load
+                    ..actual.load
                 },
             },
-            HealthSwitch::Frozen(then) => *then,
+            HealthOverride::Frozen(health) => *health,
         }
     }
 }
--- a/crates/standin/src/target/ledger.rs
+++ b/crates/standin/src/target/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of every request that a target took into a slot.
+//! The ledger of every request that a target admitted to a slot.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -10,60 +10,60 @@
 use super::clock::Clock;
 use super::run::Run;
 
-/// The place of a run in its ledger.
+/// The index of a run in its ledger.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct RunKey(usize);
+pub(super) struct RunIndex(usize);
 
-/// All runs in the order in which they were taken.
+/// Records the runs of a target in the order of admission.
 #[derive(Debug)]
 pub(super) struct Ledger {
-    /// Stamps the runs.
+    /// The clock of the timestamps of runs.
     pub(super) clock: Clock,
-    most: usize,
-    pages: Mutex<LedgerPages>,
+    max_runs: usize,
+    entries: Mutex<LedgerPages>,
 }
 
-/// A copy of a ledger.
+/// The entries of a ledger.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct LedgerPages {
-    /// The runs in the order in which they were taken.
+    /// The runs in the order of admission.
     pub runs: Vec<Run>,
-    /// Runs that came after the ledger was full; it is whole if this is zero.
+    /// The number of runs after the ledger was full; it is complete if this is zero.
     pub unrecorded: u64,
 }
 
 impl Ledger {
     /// An empty ledger that keeps at most `most` runs.
-    pub(super) fn new(most: usize) -> Ledger {
+    pub(super) fn new(max_runs: usize) -> Ledger {
         Ledger {
             clock: Clock::new(),
-            most,
-            pages: Mutex::default(),
+            max_runs,
+            entries: Mutex::default(),
         }
     }
 
-    /// Enters a run; `None` if the ledger is full.
-    pub(super) fn enter(&self, run: Run) -> Option<RunKey> {
-        let mut pages = self.pages();
-        if pages.runs.len() >= self.most {
-            pages.unrecorded += 1;
+    /// Records a run; `None` if the ledger is full.
+    pub(super) fn record(&self, run: Run) -> Option<RunIndex> {
+        let mut entries = self.lock_entries();
+        if entries.runs.len() >= self.max_runs {
+            entries.unrecorded += 1;
             return None;
         }
-        pages.runs.push(run);
-        Some(RunKey(pages.runs.len() - 1))
+        entries.runs.push(run);
+        Some(RunIndex(entries.runs.len() - 1))
     }
 
-    /// Changes an entry.
-    pub(super) fn update(&self, key: RunKey, f: impl FnOnce(&mut Run)) {
-        f(&mut self.pages().runs[key.0]);
+    /// Updates the entry of a run.
+    pub(super) fn update(&self, index: RunIndex, f: impl FnOnce(&mut Run)) {
+        f(&mut self.lock_entries().runs[index.0]);
     }
 
     /// A copy of all entries.
     pub(super) fn copy(&self) -> LedgerPages {
-        self.pages().clone()
+        self.lock_entries().clone()
     }
 
-    fn pages(&self) -> MutexGuard<'_, LedgerPages> {
-        self.pages.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_entries(&self) -> MutexGuard<'_, LedgerPages> {
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/standin/src/target/open_connection.rs
+++ b/crates/standin/src/target/open_connection.rs
@@ -1,23 +1,23 @@
-//! Counting open connections against their limit.
+//! Counts open connections and enforces their limit.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use super::counters::count;
+use super::counters::increment;
 use super::shared::Shared;
 
-/// A connection within the limit, counted until this is dropped.
+/// Counts one open connection until it is dropped.
 #[derive(Debug)]
 pub(super) struct OpenConnection(Arc<Shared>);
 
 impl OpenConnection {
-    /// Counts one more connection; `None` if there are too many.
+    /// Counts one more connection; `None` if that is over the limit.
     pub(super) fn open(shared: &Arc<Shared>) -> Option<OpenConnection> {
         let counters = &shared.counters;
-        let open = count(&counters.connections);
+        let open = increment(&counters.connections);
         let connection = OpenConnection(Arc::clone(shared));
         if open > u64::from(shared.cfg.connections.get()) {
-            count(&counters.connections_refused);
+            increment(&counters.connections_refused);
             return None;
         }
         counters.connections_peak.fetch_max(open, Ordering::Relaxed);
--- a/crates/standin/src/target/order.rs
+++ b/crates/standin/src/target/run_request.rs
@@ -1,4 +1,4 @@
-//! What a request asks of the target.
+//! The parameters of a request to the target.
 
 use std::time::Duration;
 
@@ -11,25 +11,26 @@
 use sassafrasspool_core::Step;
 use sassafrasspool_wire::header;
 
-use super::life::Life;
+use super::generation::Generation;
 use super::run::Run;
 use super::run::RunEnd;
 
-/// Names the request's kind, which decides its service time.
+/// Request header with the kind, which determines the service time.
 pub const KIND_HEADER: HeaderName = HeaderName::from_static("x-kind");
 
-/// Asks for so many bytes of pattern in the answer.
+/// Request header with the number of pattern bytes in the answer.
 pub const ANSWER_BYTES_HEADER: HeaderName = HeaderName::from_static("x-answer-bytes");
 
-/// The longest request id, key or kind in bytes.
-const MAX_TEXT_BYTES: usize = 256;
+/// The maximum length of a header value that is read, such as a request id, key or
+/// kind, in bytes.
+const MAX_HEADER_VALUE_BYTES: usize = 256;
 
-/// The longest pattern in bytes.
+/// The maximum length of the pattern in an answer, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// A request's wishes, checked.
+/// The validated parameters of a request.
 #[derive(Debug)]
-pub(super) struct Order {
+pub(super) struct RunRequest {
     pub(super) id: String,
     pub(super) key: Option<String>,
     pub(super) kind: Option<KindName>,
@@ -39,37 +40,38 @@
     pub(super) service_time: Duration,
 }
 
-impl Order {
-    /// Reads a request's head; `n` makes up an id for one that has none.
-    pub(super) fn read(life: &Life, head: &Parts, n: u64) -> Result<Order> {
+impl RunRequest {
+    /// Parses a request's head. A request without an id gets one made from `n`.
+    pub(super) fn parse(generation: &Generation, head: &Parts, n: u64) -> Result<RunRequest> {
         let headers = &head.headers;
-        let times = &life.shared.cfg.service;
+        let times = &generation.shared.cfg.service;
         let path = head.uri.path();
-        let kind = match text(headers, &KIND_HEADER)? {
+        let kind = match header_text(headers, &KIND_HEADER)? {
             Some(named) => Some(KindName::new(named)?),
             None => times.kind_of_path(path).cloned(),
         };
-        let id = text(headers, &header::REQUEST_ID)?.map(str::to_owned);
-        Ok(Order {
+        let id = header_text(headers, &header::REQUEST_ID)?.map(str::to_owned);
+        Ok(RunRequest {
             id: id.unwrap_or_else(|| format!("unnamed-{n}")),
-            key: text(headers, &header::IDEMPOTENCY_KEY)?.map(str::to_owned),
+            key: header_text(headers, &header::IDEMPOTENCY_KEY)?.map(str::to_owned),
             path: path.to_owned(),
             answer_bytes: answer_bytes(headers)?,
-            timeout: number(headers, &header::REQUEST_TIMEOUT_MS)?.map(Duration::from_millis),
-            service_time: times.time(kind.as_ref()) + life.shared.switched().slow,
+            timeout: header_number(headers, &header::REQUEST_TIMEOUT_MS)?
+                .map(Duration::from_millis),
+            service_time: times.time(kind.as_ref()) + generation.shared.switches().slow,
             kind,
         })
     }
 
-    /// The ledger's entry for this request, before its body has come.
-    pub(super) fn run(&self, life: &Life) -> Run {
+    /// The ledger entry of this request before its body is received.
+    pub(super) fn ledger_entry(&self, generation: &Generation) -> Run {
         Run {
             id: self.id.clone(),
             key: self.key.clone(),
             path: self.path.clone(),
             kind: self.kind.clone(),
-            incarnation: life.incarnation,
-            started_us: life.shared.ledger.clock.now_us(),
+            incarnation: generation.number,
+            started_us: generation.shared.ledger.clock.now_us(),
             ended_us: None,
             finished: false,
             status: None,
@@ -80,15 +82,15 @@
 }
 
 fn answer_bytes(headers: &HeaderMap) -> Result<usize> {
-    let len = number(headers, &ANSWER_BYTES_HEADER)?.unwrap_or(0);
+    let len = header_number(headers, &ANSWER_BYTES_HEADER)?.unwrap_or(0);
     match usize::try_from(len) {
         Ok(len) if len <= MAX_ANSWER_BYTES => Ok(len),
         _ => Err(malformed(&ANSWER_BYTES_HEADER, "is at most 64 MiB")),
     }
 }
 
-fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>> {
-    let Some(text) = text(headers, name)? else {
+fn header_number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>> {
+    let Some(text) = header_text(headers, name)? else {
         return Ok(None);
     };
     let n = text
@@ -97,14 +99,14 @@
     Ok(Some(n))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     let text = value
         .to_str()
         .map_err(|_| malformed(name, "must be visible ASCII"))?;
-    if text.is_empty() || text.len() > MAX_TEXT_BYTES {
+    if text.is_empty() || text.len() > MAX_HEADER_VALUE_BYTES {
         return Err(malformed(name, "must have 1 to 256 bytes"));
     }
     Ok(Some(text))
--- a/crates/standin/src/target/shared.rs
+++ b/crates/standin/src/target/shared.rs
@@ -1,4 +1,4 @@
-//! What the handle, the ports and all lives of a target stand-in share.
+//! The state shared by the handle, the ports and all generations of a target.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -10,28 +10,28 @@
 use super::counters::Counters;
 use super::counters::TargetStats;
 use super::health::Health;
-use super::health::HealthSwitch;
+use super::health::HealthOverride;
 use super::ledger::Ledger;
 use super::settings::TargetSettings;
+use super::switches::ActiveSwitches;
 use super::switches::HealthReport;
-use super::switches::Switched;
 use super::switches::TargetSwitches;
 
-/// Settings, switches, slots, counts and the ledger.
+/// The settings, switches, slots, counters and ledger of a target.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) cfg: TargetSettings,
     pub(super) counters: Counters,
     pub(super) ledger: Arc<Ledger>,
     pub(super) slots: Arc<Semaphore>,
-    /// Cancelled when the stand-in stops for good.
+    /// Cancelled when the stand-in stops and won't restart.
     pub(super) cancel: CancellationToken,
-    switched: Mutex<Switched>,
-    health: Mutex<HealthSwitch>,
+    switches: Mutex<ActiveSwitches>,
+    health: Mutex<HealthOverride>,
 }
 
 impl Shared {
-    /// No fault switched on, nothing run.
+    /// The state before the first run, with all faults switched off.
     pub(super) fn new(cfg: TargetSettings, cancel: CancellationToken) -> Shared {
         let slots = usize::try_from(cfg.slots.get()).unwrap_or(Semaphore::MAX_PERMITS);
         Shared {
@@ -39,38 +39,39 @@
             ledger: Arc::new(Ledger::new(cfg.ledger_runs)),
             slots: Arc::new(Semaphore::new(slots)),
             cancel,
-            switched: Mutex::default(),
+            switches: Mutex::default(),
             health: Mutex::default(),
             cfg,
         }
     }
 
-    /// The switches as they stand.
-    pub(super) fn switched(&self) -> Switched {
-        *self.switched.lock().unwrap_or_else(PoisonError::into_inner)
+    /// The current switches.
+    pub(super) fn switches(&self) -> ActiveSwitches {
+        *self.switches.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Turns switches; `so` is the target's true health.
-    pub(super) fn switch(&self, switches: &TargetSwitches, so: Health) {
-        self.switched
+    /// Applies the switches that are present; `actual` is the target's actual
+    /// health.
+    pub(super) fn apply_switches(&self, switches: &TargetSwitches, actual: Health) {
+        self.switches
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .turn(switches);
+            .apply(switches);
         if let Some(report) = switches.health {
-            self.set_health(report, so);
+            self.set_health(report, actual);
         }
         tracing::info!(?switches, "switched");
     }
 
-    /// What the health endpoint reports when `so` is so.
-    pub(super) fn reported(&self, so: Health) -> Health {
+    /// The health to report when the actual health is `actual`.
+    pub(super) fn reported_health(&self, actual: Health) -> Health {
         self.health
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .report(so)
+            .report(actual)
     }
 
-    /// Slots in use.
+    /// The number of slots in use.
     pub(super) fn inflight(&self) -> u32 {
         let free = u32::try_from(self.slots.available_permits()).unwrap_or(u32::MAX);
         self.cfg.slots.get().saturating_sub(free)
@@ -81,8 +82,8 @@
         self.counters.stats(u64::from(self.inflight()))
     }
 
-    fn set_health(&self, report: HealthReport, so: Health) {
+    fn set_health(&self, report: HealthReport, actual: Health) {
         let mut health = self.health.lock().unwrap_or_else(PoisonError::into_inner);
-        *health = HealthSwitch::new(report, so);
+        *health = HealthOverride::new(report, actual);
     }
 }
