--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,5 +1,5 @@
-//! Callers as processes: each makes its part of the calls and writes what it
-//! saw, one line of JSON for each attempt.
+//! Callers that run as processes of their own. Each process makes its share of the
+//! calls and writes its records, one line of JSON for each attempt.
 
 use std::ffi::OsString;
 use std::fs::File;
@@ -36,30 +36,30 @@
 mod crashing;
 mod rude;
 
-/// The verb by which this program makes calls.
+/// The subcommand with which this program makes calls.
 pub const CALL: &str = "call";
 
-/// What one process of callers is told.
+/// The job of one caller process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Part {
-    /// Which part of the calls it makes, from 0.
+    /// The number of the process, from 0.
     pub number: u64,
     /// The seed of the run.
     pub seed: u64,
-    /// Calls a second.
+    /// Calls per second.
     pub rate_per_s: f64,
-    /// How long, in milliseconds.
+    /// How long calls are made, in milliseconds.
     pub length_ms: u64,
-    /// Where the nodes take calls.
+    /// The addresses at which nodes accept calls.
     pub entries: Vec<SocketAddr>,
-    /// Where the records go.
+    /// The file for the call records.
     pub records: PathBuf,
-    /// Where goes what callers saw that leave or send several requests at once.
+    /// The file for the counts of abandoned and pipelined requests.
     pub rude: PathBuf,
 }
 
 impl Part {
-    /// The arguments by which this program makes these calls.
+    /// Writes the job to `file` and returns the arguments with which this program runs it.
     ///
     /// # Errors
     ///
@@ -71,7 +71,7 @@
     }
 }
 
-/// Makes the calls that `file` tells of and writes the records.
+/// Runs the job in `file` and writes the records.
 ///
 /// # Errors
 ///
@@ -80,7 +80,7 @@
     let text = std::fs::read(file).into_diagnostic()?;
     let part: Part = serde_json::from_slice(&text).into_diagnostic()?;
     let length = Duration::from_millis(part.length_ms);
-    // Parts of one run draw different calls, and the same ones each time.
+    // Each process of a run draws different calls, and the same ones in each repetition.
     let seed = part.seed.wrapping_mul(1_000).wrapping_add(part.number);
     let plan = Plan::new(&KINDS, part.rate_per_s, length, seed);
     let run = format!("s{}-{}", part.seed, part.number);
@@ -108,7 +108,7 @@
     out.flush().into_diagnostic()
 }
 
-/// Reads what callers saw that leave or send several requests at once.
+/// Reads the counts of abandoned and pipelined requests that a caller process wrote.
 ///
 /// # Errors
 ///
@@ -118,7 +118,7 @@
     serde_json::from_slice(&text).into_diagnostic()
 }
 
-/// A record as it lies in the file.
+/// A call record as it is stored in the file.
 #[derive(Debug, Deserialize)]
 struct Written {
     id: String,
@@ -134,11 +134,11 @@
     detail: String,
 }
 
-/// Reads the records that a process of callers wrote.
+/// Reads the call records that a caller process wrote.
 ///
 /// # Errors
 ///
-/// Fails if the file can't be read, or a line is no record.
+/// Fails if the file can't be read, or a line isn't a valid record.
 pub fn read_records(file: &Path) -> miette::Result<Vec<CallRecord>> {
     let lines = BufReader::new(File::open(file).into_diagnostic()?).lines();
     let records = lines.map(|line| {
@@ -151,7 +151,7 @@
 
 fn record(written: Written) -> miette::Result<CallRecord> {
     let kind = KINDS.iter().find(|kind| kind.name == written.kind);
-    let kind = kind.ok_or_else(|| miette!("there is no kind {}", written.kind))?;
+    let kind = kind.ok_or_else(|| miette!("unknown call kind {}", written.kind))?;
     Ok(CallRecord {
         id: written.id,
         key: written.key,
--- a/crates/soak/src/callers/crashing.rs
+++ b/crates/soak/src/callers/crashing.rs
@@ -1,4 +1,4 @@
-//! Callers that send one and the same request again and again, under which targets crash.
+//! Callers that repeat one request that crashes each target running it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,25 +12,25 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// What they ask for, by a route of lookups.
+/// The path of the request. It matches a route for lookups.
 pub const CRASHING_PATH: &str = "/workshop/policies/crashing";
 
-/// What they are drawn from, beside the seed.
+/// Combined with the seed of the run, so that these draws have a generator of their own.
 const CRASHING: u64 = 0xc7a5_4173;
 
-/// One run in so many has such callers.
+/// One run in this many has such callers.
 const ONE_IN: u32 = 2;
 
-/// When the first comes, in milliseconds.
+/// When the first request is sent, in milliseconds after the start of the calls.
 const FIRST_MS: std::ops::Range<u64> = 500..2_500;
 
-/// From one to the next, in milliseconds.
+/// The time between two requests, in milliseconds.
 const EVERY_MS: std::ops::Range<u64> = 20..200;
 
-/// How long an answer is waited for.
+/// How long a caller waits for an answer.
 const PATIENCE: Duration = Duration::from_secs(2);
 
-/// Calls until `length` is over, in the runs whose seed says so.
+/// Sends such requests for `length`, if the seed selects this run.
 pub(super) async fn call(entries: &[SocketAddr], run: &str, length: Duration, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed ^ CRASHING);
     if entries.is_empty() || rng.random_range(0..ONE_IN) != 0 {
@@ -46,7 +46,7 @@
         let entry = entries[rng.random_range(0..entries.len())];
         let id = format!("{run}-crashing-{n}");
         calls.spawn(async move {
-            // Whatever it is told, it comes again.
+            // The result is ignored: the caller repeats the request after any answer.
             let _ = tokio::time::timeout(PATIENCE, ask(entry, &id)).await;
         });
         let pause = Duration::from_millis(rng.random_range(EVERY_MS));
--- a/crates/soak/src/callers/rude.rs
+++ b/crates/soak/src/callers/rude.rs
@@ -1,5 +1,5 @@
-//! Callers that leave before their answer, and callers that send several
-//! requests at once over one connection.
+//! Callers that close their connection before the answer, and callers that pipeline
+//! several requests over one connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,31 +20,31 @@
 #[cfg(test)]
 mod tests;
 
-/// How often such a caller comes.
+/// The time between two such callers.
 const EVERY: Duration = Duration::from_millis(50);
 
-/// Requests that are sent at once.
+/// Requests that are pipelined over one connection.
 const TOGETHER: usize = 4;
 
-/// How long the answers to these are read.
+/// How long a caller waits for the answers to pipelined requests.
 const PATIENCE: Duration = Duration::from_secs(5);
 
-/// When callers leave, in milliseconds.
+/// How long after connecting a caller abandons its request, in milliseconds.
 const LEAVE_MS: std::ops::Range<u64> = 1..100;
 
-/// What these callers saw.
+/// Counts of abandoned and pipelined requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rude {
-    /// Callers that left.
+    /// Callers that abandoned their request.
     pub left: u64,
-    /// Connections with several requests at once.
+    /// Connections with pipelined requests.
     pub together: u64,
-    /// Of those, the ones whose answers came in another order.
+    /// Connections with pipelined requests whose answers arrived in another order.
     pub out_of_order: u64,
 }
 
 impl Rude {
-    /// What both saw.
+    /// Adds up two counts.
     pub fn and(self, other: Rude) -> Rude {
         Rude {
             left: self.left + other.left,
@@ -54,7 +54,8 @@
     }
 }
 
-/// Calls for `length`; `run` tells the requests from others'.
+/// Sends such requests for `length`; their ids begin with `run`, which tells them from
+/// those of other processes.
 pub(super) async fn call(entries: &[SocketAddr], run: &str, length: Duration, seed: u64) -> Rude {
     let mut rng = SmallRng::seed_from_u64(seed);
     let end = Instant::now() + length;
@@ -78,7 +79,7 @@
     seen.into_iter().fold(Rude::default(), Rude::and)
 }
 
-/// Asks and leaves.
+/// Sends one request and closes the connection after `after`.
 async fn leave(entry: SocketAddr, id: &str, after: Duration) -> Rude {
     let ids = [id.to_owned()];
     let _ = tokio::time::timeout(after, ask(entry, &ids)).await;
@@ -88,11 +89,11 @@
     }
 }
 
-/// Asks for several things at once.
+/// Sends several requests at once and checks the order of their answers.
 async fn together(entry: SocketAddr, id: &str) -> Rude {
     let ids: Vec<String> = (0..TOGETHER).map(|n| format!("{id}-{n}")).collect();
     let answers = tokio::time::timeout(PATIENCE, ask(entry, &ids)).await;
-    // What breaks off under faults may lack answers, and never disorders them.
+    // Under faults a connection may break before all answers, but never reorders them.
     let text = answers.unwrap_or_default();
     Rude {
         together: 1,
@@ -113,21 +114,21 @@
         .map(|(n, id)| request(n + 1 == ids.len(), id))
         .collect();
     if io.write_all(requests.as_bytes()).await.is_ok() {
-        // An error leaves what was read before it.
+        // After an error, `text` holds what was read before it.
         let _ = io.read_to_string(&mut text).await;
     }
     text
 }
 
 fn request(is_last: bool, id: &str) -> String {
-    // Lookups may be repeated, so that nodes begin them before their turn.
+    // Lookups are idempotent, so nodes start them before earlier requests are answered.
     let CallKind { name, path, .. } = &KINDS[2];
     let close = if is_last { "connection: close\r\n" } else { "" };
     format!("GET {path} HTTP/1.1\r\nhost: a\r\nx-request-id: {id}\r\nx-kind: {name}\r\n{close}\r\n")
 }
 
-/// Whether the answers that are there stand in the order of their requests. An
-/// answer's body begins with the id of its request.
+/// Whether the answers that arrived are in the order of their requests. The body of an
+/// answer begins with the id of its request.
 fn is_in_order(answers: &str, ids: &[String]) -> bool {
     let place = |id: &String| answers.find(&format!("\r\n\r\n{id}\n"));
     let places: Vec<usize> = ids.iter().filter_map(place).collect();
--- a/crates/soak/src/callers/rude/tests.rs
+++ b/crates/soak/src/callers/rude/tests.rs
@@ -2,15 +2,15 @@
 
 use super::is_in_order;
 
-/// Answers to r-0, r-1 and r-2 as they came.
+/// Answers to r-0, r-1 and r-2 in the order of their arrival.
 #[derive(Debug)]
 struct Case {
     came: &'static [&'static str],
     in_order: bool,
 }
 
-// Three files are asked for at once, and the second answer comes first. A caller
-// that goes by the order takes one file for another.
+// A caller pipelines three requests and matches answers by their order. If the second
+// answer arrives first, the caller assigns answers to the wrong requests.
 #[rstest]
 #[case::all(Case { came: &["r-0", "r-1", "r-2"], in_order: true })]
 #[case::broken_off(Case { came: &["r-0"], in_order: true })]
--- a/crates/soak/src/child.rs
+++ b/crates/soak/src/child.rs
@@ -1,4 +1,4 @@
-//! Processes that end when the one that started them does.
+//! Child processes that are killed when their parent process ends.
 
 use std::ffi::OsString;
 use std::fs::File;
@@ -14,27 +14,28 @@
 use tokio::process::Child as Process;
 use tokio::process::Command;
 
-/// The verb by which this program becomes another one; see [`become_program`].
+/// The subcommand with which this program replaces itself by another one; see
+/// [`become_program`].
 pub const UNDER: &str = "under";
 
 /// A running program.
 ///
-/// It is killed when this is dropped, and by the system when the process that
-/// started it ends in any way: a soak that is killed leaves nothing behind.
+/// The process is killed when this value is dropped. The system kills it when its parent
+/// process ends for any reason, so that a killed soak leaves no process behind.
 #[derive(Debug)]
 pub struct Child {
     process: Process,
 }
 
 impl Child {
-    /// Starts a program that lies beside this one, with its output in `log`.
+    /// Starts a program from the directory of this one and appends its output to `log`.
     ///
-    /// The system sends the death signal when the starting *thread* ends, so
-    /// that this is called on the main thread alone.
+    /// The system sends the parent death signal when the starting *thread* ends.
+    /// Therefore call this only on the main thread.
     ///
     /// # Errors
     ///
-    /// Fails if the program isn't there or can't be started.
+    /// Fails if the program doesn't exist or can't be started.
     pub fn start(program: &str, args: &[OsString], log: &Path) -> std::io::Result<Child> {
         let own = std::env::current_exe()?;
         let path = process::beside(program)?;
@@ -53,7 +54,7 @@
         Ok(Child { process })
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
@@ -62,7 +63,7 @@
         process::signal(&self.process, signal)
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its exit.
     ///
     /// # Errors
     ///
@@ -71,7 +72,7 @@
         self.process.kill().await
     }
 
-    /// Waits for its end.
+    /// Waits for the exit of the process.
     ///
     /// # Errors
     ///
@@ -81,17 +82,17 @@
     }
 }
 
-/// Turns this process into `program`, which ends with `parent`.
+/// Replaces this process by `program`, which the system kills when `parent` ends.
 ///
-/// Returns only if that fails.
+/// Returns only on failure.
 pub fn become_program(parent: u32, program: &Path, args: &[OsString]) -> std::io::Error {
     if let Err(err) = set_parent_process_death_signal(Some(Signal::KILL)) {
         return err.into();
     }
-    // The parent may have ended before the signal was asked for.
+    // The parent may have ended before the death signal was requested.
     let now = getppid().map(|pid| pid.as_raw_nonzero().get());
     if now.and_then(|pid| u32::try_from(pid).ok()) != Some(parent) {
-        return std::io::Error::other("the parent has ended");
+        return std::io::Error::other("the parent process has ended");
     }
     std::process::Command::new(program).args(args).exec()
 }
--- a/crates/soak/src/driver.rs
+++ b/crates/soak/src/driver.rs
@@ -1,4 +1,4 @@
-//! Carrying the schedule out.
+//! Injects the faults of a schedule into the fleet.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -40,37 +40,38 @@
 mod switches;
 mod targets;
 
-/// How long a target that a request crashed is down, in microseconds: its restart and
-/// its cold start.
+/// How long a target is unavailable after a request crashed it, in microseconds. Covers
+/// its restart and its cold start.
 const DOWN_US: u64 = 500_000;
 
-/// What faults are done with.
+/// Runs the steps of a schedule and records when each fault affected which instance.
 #[derive(Debug)]
 pub struct Driver {
     fleet: Arc<Fleet>,
     operators: Operators,
     log: Arc<Log>,
     stops: Mutex<Vec<Stopped>>,
-    /// By instance: held while something is done to its node's process.
+    /// One lock per instance, held while a fault is applied to the process of its node.
     nodes: Vec<tokio::sync::Mutex<()>>,
-    /// The same for targets.
+    /// One lock per instance, held while a fault is applied to its target.
     targets: Vec<tokio::sync::Mutex<()>>,
     platform: tokio::sync::Mutex<()>,
-    /// Held while it is logged what begins or ends, so that the log has their order.
+    /// Locked while the begin or end of an impairment is logged, so that the log has them
+    /// in their order.
     hurts: Mutex<Hurts>,
-    /// When the processes of nodes were killed.
+    /// When node processes were killed.
     kills: Mutex<Vec<Stopped>>,
-    /// When nodes, their targets or the links between them stood still, so that a request
-    /// begins later than it was handed over.
+    /// When nodes, their targets or the links between them were stalled, so that requests
+    /// start later than they were handed over.
     stalled: Mutex<Vec<Hurt>>,
 }
 
 impl Driver {
-    /// Takes over a fleet whose first catalogue and list were published.
+    /// Creates a driver for a fleet whose first catalogue and instance list were published.
     ///
     /// # Errors
     ///
-    /// Fails if these can't be read again.
+    /// Fails if the first catalogue or list can't be parsed.
     pub fn new(fleet: Arc<Fleet>, log: Arc<Log>) -> miette::Result<Driver> {
         let list = fleet.members.iter().map(|m| m.instance.clone()).collect();
         let count = fleet.members.len();
@@ -93,32 +94,32 @@
         })
     }
 
-    /// The planned stops so far.
+    /// The planned stops of nodes so far.
     pub fn stops(&self) -> Vec<Stopped> {
         lock(&self.stops).clone()
     }
 
-    /// The catalogues that bind, as they were published.
+    /// The valid catalogues in the order of their publication.
     pub async fn catalogues(&self) -> Vec<PublishedCatalogue> {
         self.operators.catalogues().await
     }
 
-    /// When nodes' processes were killed.
+    /// When node processes were killed.
     pub fn kills(&self) -> Vec<Stopped> {
         lock(&self.kills).clone()
     }
 
-    /// When nodes, their targets or the links between them stood still.
+    /// When nodes, their targets or the links between them were stalled.
     pub fn stalled(&self) -> Vec<Hurt> {
         lock(&self.stalled).clone()
     }
 
-    /// When something kept nodes from following.
+    /// When faults kept nodes from receiving new versions.
     pub fn hurt(&self) -> Vec<Hurt> {
         lock(&self.hurts).all().to_vec()
     }
 
-    /// Notes the crashes that requests brought about, as the targets' ledgers tell.
+    /// Records the crashes that requests caused according to the ledgers of the targets.
     pub fn note_crashes(&self, runs: &[LedgerRun]) {
         for (at_us, run) in crashes(runs) {
             let target = self.id(run.instance);
@@ -128,11 +129,11 @@
         }
     }
 
-    /// Does every step when it is due and waits until all faults are over.
+    /// Starts each step when it is due and waits until all faults have ended.
     ///
     /// # Errors
     ///
-    /// Fails if a process can't be hurt or started as the schedule says.
+    /// Fails if a fault can't be applied, or a process can't be started again.
     pub async fn play(self: &Arc<Driver>, schedule: &Schedule) -> miette::Result<()> {
         let start = Instant::now();
         let mut under_way = JoinSet::new();
@@ -147,8 +148,8 @@
         Ok(())
     }
 
-    /// Does one step. A second one of the same process waits for the first, so
-    /// that a series is one; it may then come after its time.
+    /// Runs one step. Steps for the same process run one after another, so that the steps
+    /// of a series don't overlap; a step may therefore start late.
     async fn perform(&self, step: Step) -> miette::Result<()> {
         match step.fault {
             Fault::Node(n, what) => {
@@ -207,20 +208,20 @@
             platform.switch(&of_platform(what, length, false)).await?;
         }
         if what == PlatformFault::ListLag {
-            // A list of the last moment is still held back that long.
+            // A list that was published at the end is still delayed by that time.
             tokio::time::sleep(length).await;
         }
         self.log.record(Event::SourceBack);
         Ok(())
     }
 
-    /// Lists an instance in a state, or takes it off the list.
+    /// Publishes the instance list with a new state of one instance, or without it.
     async fn list_as(&self, n: usize, state: Option<InstanceState>) -> miette::Result<()> {
         let platform = &self.fleet.platform;
         self.operators.list_as(n, state, platform, &self.log).await
     }
 
-    /// Something begins to keep a node from following.
+    /// Records that a fault begins to keep a node from receiving new versions.
     fn lose(&self, n: usize) {
         let mut hurts = lock(&self.hurts);
         if hurts.begin(n) {
@@ -228,6 +229,7 @@
         }
     }
 
+    /// Records that such a fault ended.
     fn regain(&self, n: usize) {
         let mut hurts = lock(&self.hurts);
         if hurts.end(n) {
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Notes that a node, its target or the link between them stood still, up to now.
+    /// Records that a node, its target or the link between them was stalled until now.
     fn note_stall(&self, n: usize, from_us: u64) {
         lock(&self.stalled).push(Hurt {
             instance: n,
@@ -244,13 +246,13 @@
         });
     }
 
-    /// Notes what was done to an instance, up to now.
+    /// Records an outage of an instance that lasted until now.
     fn note(&self, n: usize, kind: OutageKind, from_us: u64) {
         self.note_until(n, kind, from_us, now_us());
     }
 
-    /// Notes what was done to an instance; callers that come without a link feel
-    /// nothing of what is done to links.
+    /// Records an outage of an instance. A fault of the callers' link doesn't affect callers
+    /// that connect to the node directly.
     fn note_until(&self, n: usize, kind: OutageKind, from_us: u64, to_us: u64) {
         let member = self.member(n);
         let by_link = (kind == OutageKind::CallersCut).then_some(member.entry);
--- a/crates/soak/src/driver/hurts.rs
+++ b/crates/soak/src/driver/hurts.rs
@@ -1,19 +1,20 @@
-//! What keeps nodes from following.
+//! Tracks when faults kept nodes from receiving new versions.
 
 use sassafrasspool_bench::chaos::log::now_us;
 
 use crate::verdict::Hurt;
 
-/// When something kept a node from following; several things may overlap.
+/// When faults kept nodes from receiving new versions. Several faults of one node may
+/// overlap.
 ///
 /// # Invariants
 ///
-/// What goes on has the last time that there is as its end.
+/// An impairment that hasn't ended has `u64::MAX` as its end.
 #[derive(Debug, Default)]
 pub(super) struct Hurts(Vec<Hurt>);
 
 impl Hurts {
-    /// Something begins to keep a node from following; whether nothing else does.
+    /// Begins an impairment of a node. Returns whether the node had no other.
     pub(super) fn begin(&mut self, instance: usize) -> bool {
         let is_first = !self.goes_on(instance);
         self.0.push(Hurt {
@@ -24,8 +25,8 @@
         is_first
     }
 
-    /// Ends the oldest of what keeps a node from following, whichever it was: until the
-    /// last has ended, something does. Whether nothing does any more.
+    /// Ends the oldest impairment of a node, whichever fault ended: the node stays impaired
+    /// until the last one has ended. Returns whether none is left.
     pub(super) fn end(&mut self, instance: usize) -> bool {
         let oldest = self.0.iter_mut().find(|hurt| is_open(hurt, instance));
         if let Some(oldest) = oldest {
@@ -34,7 +35,7 @@
         !self.goes_on(instance)
     }
 
-    /// All of them.
+    /// All impairments, ended or not.
     pub(super) fn all(&self) -> &[Hurt] {
         &self.0
     }
--- a/crates/soak/src/driver/links.rs
+++ b/crates/soak/src/driver/links.rs
@@ -1,4 +1,4 @@
-//! Hurting links.
+//! Injects faults into links.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use crate::schedule::LinkFault;
 use crate::schedule::Way;
 
-/// By how much bytes are delayed: more than any wait inside of a failure
-/// domain, less than what callers wait for.
+/// The delay of bytes on a slow link: longer than any wait inside of a failure domain,
+/// shorter than the caller timeout.
 const DELAY: Duration = Duration::from_millis(40);
 
 impl Driver {
-    /// Does something to a link of an instance, and notes what callers may see of it.
+    /// Applies a fault to a link of an instance and records the outage that callers may see.
     pub(super) async fn of_link(&self, n: usize, way: Way, what: LinkFault, length: Duration) {
         let link = self.member(n).link(way);
         let from_us = now_us();
@@ -38,13 +38,13 @@
             self.note_stall(n, from_us);
         }
         match way {
-            // A connection that went silent may be used at any later time.
+            // A caller may use a silent connection at any later time.
             Way::Callers if what == LinkFault::Silence => {
                 self.note_until(n, OutageKind::CallersCut, from_us, u64::MAX);
             }
-            // Nothing can be told to a caller whose own connection fails.
+            // A caller whose own connection fails can't receive any answer.
             Way::Callers => self.note(n, OutageKind::CallersCut, from_us),
-            // An answer that has begun can't be made whole elsewhere.
+            // An answer that has begun can't be completed by another instance.
             Way::PeerTraffic | Way::Target => self.note(n, OutageKind::AnswersCut, from_us),
             Way::PeerControl | Way::Platform => {}
         }
--- a/crates/soak/src/driver/nodes.rs
+++ b/crates/soak/src/driver/nodes.rs
@@ -1,4 +1,4 @@
-//! Hurting the processes of nodes.
+//! Injects faults into node processes.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
 use super::lock;
 use crate::schedule::NodeFault;
 
-/// How long before its end a node that was told to stop closes connections that
-/// are idle at most, in microseconds: it says so on all that it answers on for as
-/// long as it refuses, and ends within a moment after.
+/// The longest time before its exit in which a stopping node closes idle connections, in
+/// microseconds. While it refuses requests, the node announces the close in each answer;
+/// it exits shortly after.
 const CLOSE_US: u64 = 500_000;
 
 impl Driver {
-    /// Does something to the process of a node.
+    /// Applies a fault to the process of a node.
     pub(super) async fn of_node(
         &self,
         n: usize,
@@ -55,8 +55,8 @@
         let from_us = now_us();
         let target = self.id(n);
         self.list_as(n, Some(InstanceState::Leaving)).await?;
-        // The bound counts from when the platform has taken the word; one that
-        // stands still takes it late.
+        // The bound of the drain counts from when the platform accepted the list; a frozen
+        // platform accepts it late.
         let began = Event::DrainBegan {
             target: target.clone(),
         };
@@ -92,8 +92,8 @@
         Ok(())
     }
 
-    /// Kills every other node at once, but for those that something is done
-    /// to already.
+    /// Kills every second node at once, except for nodes to which a fault is being applied
+    /// already.
     pub(super) async fn herd(&self, down: Duration) -> miette::Result<()> {
         let herd = (0..self.fleet.members.len()).step_by(2);
         let mut kills = Vec::new();
@@ -109,8 +109,8 @@
         done.into_iter().collect()
     }
 
-    /// A node is back from a planned stop and may work again, whatever else still
-    /// keeps it from following.
+    /// Records that a node runs again after a planned stop, and that it is still impaired if
+    /// another fault keeps it from receiving new versions.
     fn regain_after_stop(&self, n: usize) {
         let mut hurts = lock(&self.hurts);
         let follows = hurts.end(n);
--- a/crates/soak/src/driver/operators.rs
+++ b/crates/soak/src/driver/operators.rs
@@ -1,4 +1,4 @@
-//! What operators and the platform publish in a run.
+//! Publishes catalogues and instance lists as operators and the platform do.
 
 use sassafrasspool_bench::chaos;
 use sassafrasspool_bench::chaos::log::Log;
@@ -15,7 +15,7 @@
 use crate::standin::StandIn;
 use crate::verdict::PublishedCatalogue;
 
-/// Publishes, and records each version before it can be seen.
+/// Publishes versions, and records each one before nodes can read it.
 #[derive(Debug)]
 pub(super) struct Operators(Mutex<Published>);
 
@@ -24,11 +24,11 @@
     changes: u64,
     catalogue: u64,
     instances: u64,
-    /// The failure domains that are evacuated, each as often as it was ordered.
+    /// The evacuated failure domains, each once for every order in force.
     evacuated: Vec<&'static str>,
-    /// The catalogues that bind.
+    /// The valid catalogues that were published.
     bound: Vec<PublishedCatalogue>,
-    /// All instances; those that are off the list have no state.
+    /// All instances; one that isn't listed has no state.
     all: Vec<(Instance, Option<InstanceState>)>,
 }
 
@@ -51,7 +51,7 @@
         })))
     }
 
-    /// Publishes a catalogue that binds, or one that doesn't.
+    /// Publishes a valid or an invalid catalogue.
     pub(super) async fn publish(
         &self,
         good: bool,
@@ -70,7 +70,7 @@
         platform.publish("/catalogue", text).await
     }
 
-    /// Evacuates a failure domain, or takes back one such order.
+    /// Orders the evacuation of a failure domain, or withdraws one such order.
     pub(super) async fn evacuate(
         &self,
         domain: &'static str,
@@ -88,12 +88,12 @@
         published.publish_good(platform, log).await
     }
 
-    /// The catalogues that bind, as they were published.
+    /// The valid catalogues in the order of their publication.
     pub(super) async fn catalogues(&self) -> Vec<PublishedCatalogue> {
         self.0.lock().await.bound.clone()
     }
 
-    /// Lists an instance in a state, or takes it off the list.
+    /// Publishes the instance list with a new state of one instance, or without it.
     pub(super) async fn list_as(
         &self,
         n: usize,
@@ -119,7 +119,7 @@
 }
 
 impl Published {
-    /// Publishes the next catalogue that binds, with the evacuations in force.
+    /// Publishes the next valid catalogue, with all evacuations that are ordered.
     async fn publish_good(&mut self, platform: &StandIn, log: &Log) -> miette::Result<()> {
         self.catalogue += 1;
         self.changes += 1;
--- a/crates/soak/src/driver/switches.rs
+++ b/crates/soak/src/driver/switches.rs
@@ -1,4 +1,4 @@
-//! Faults that stand-ins have switches for.
+//! Translates faults to the switches of the stand-ins.
 
 use std::time::Duration;
 
@@ -10,13 +10,14 @@
 use crate::schedule::PlatformFault;
 use crate::schedule::TargetFault;
 
-/// By how much a slow target takes longer.
+/// The time by which a slow target delays each request, in milliseconds.
 const SLOW_MS: u64 = 200;
 
-/// By how much answers of the platform cross.
+/// The time by which the platform delays answers, so that newer ones overtake them, in
+/// milliseconds.
 const CROSSING_MS: u64 = 300;
 
-/// What a fault switches on the platform, or off; a freeze has no switch.
+/// The switches that begin or end a fault of the platform. A freeze has no switch.
 pub(super) fn of_platform(what: PlatformFault, length: Duration, on: bool) -> PlatformSwitches {
     let mut switches = PlatformSwitches::default();
     let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX);
@@ -31,7 +32,7 @@
     switches
 }
 
-/// What a fault switches on a target, or off.
+/// The switches that begin or end a fault of a target.
 pub(super) fn of_target(what: TargetFault, on: bool) -> TargetSwitches {
     let mut switches = TargetSwitches::default();
     match what {
--- a/crates/soak/src/driver/targets.rs
+++ b/crates/soak/src/driver/targets.rs
@@ -1,4 +1,4 @@
-//! Hurting targets.
+//! Injects faults into targets.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::schedule::TargetFault;
 
 impl Driver {
-    /// Does something to a target.
+    /// Applies a fault to a target.
     pub(super) async fn of_target(
         &self,
         n: usize,
--- a/crates/soak/src/flags.rs
+++ b/crates/soak/src/flags.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The flags of the command line.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -6,37 +6,38 @@
 xflags::xflags! {
     /// A fault soak of the real programs.
     cmd soak {
-        /// Hurts a fleet of processes for some seconds and judges what was seen.
+        /// Injects faults into a fleet of processes and checks what callers and targets observed.
         cmd run {
-            /// Draws calls and faults; drawn itself if absent, and printed.
+            /// Seed of calls and faults; random if absent. It is printed.
             optional --seed seed: u64
-            /// Plays the schedule of a seed again and keeps the logs.
+            /// Repeats the schedule of a seed and keeps the logs.
             optional --replay seed: u64
-            /// How many seeds to run, one after the other (1).
+            /// Number of seeds to run, one after another (1).
             optional --runs runs: u64
             /// Instances, each with a node and a target (8).
             optional --nodes nodes: usize
             /// Seconds of calls (10).
             optional --seconds seconds: u64
-            /// Calls a second for each instance (50).
+            /// Calls per second for each instance (50).
             optional --rate rate: f64
-            /// Processes that make calls (2).
+            /// Caller processes (2).
             optional --callers callers: usize
-            /// Keep settings, logs and records also if all went well.
+            /// Keep settings, logs and records after a run without a violation too.
             optional --keep-logs
         }
-        /// Plays the seeds that ever failed, one line of a file each: seed, nodes
-        /// and seconds, and what it was.
+        /// Repeats the seeds that once failed. Each line of the file has a seed, the
+        /// number of nodes, the seconds and the cause.
         cmd regressions {
-            /// The file.
+            /// The file of seeds.
             required file: PathBuf
         }
-        /// Makes calls; used by a run for its own processes.
+        /// Makes calls; a run starts its caller processes with it.
         cmd call {
-            /// What to do.
+            /// The file that describes the job.
             required file: PathBuf
         }
-        /// Becomes another program that ends with its parent; used by a run.
+        /// Replaces this process by another program that is killed when the parent ends;
+        /// a run starts its processes with it.
         cmd under {
             /// The parent's process id.
             required parent: u32
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -24,13 +24,13 @@
 mod maker;
 mod member;
 
-/// Other nodes that each node's settings name.
+/// The most seed peers that the settings of each node name.
 const SEEDS: usize = 3;
 
-/// How long the nodes may take until all are ready.
+/// How long a node may take to listen, and all nodes to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// All processes but the callers'; they are killed when this is dropped.
+/// All processes except those of the callers. They are killed when this value is dropped.
 #[derive(Debug)]
 pub struct Fleet {
     /// The platform.
@@ -42,12 +42,11 @@
 }
 
 impl Fleet {
-    /// Starts the platform, all targets and nodes, and waits until each node is
-    /// ready.
+    /// Starts the platform, all targets and all nodes, and waits until each node is ready.
     ///
     /// # Errors
     ///
-    /// Fails if something can't be started or isn't ready in time.
+    /// Fails if a process can't be started or isn't ready in time.
     pub async fn start(nodes: usize) -> miette::Result<Fleet> {
         let dir = tempfile::tempdir().into_diagnostic()?;
         let mut maker = Maker::new(dir.path());
@@ -71,16 +70,16 @@
         Ok(fleet)
     }
 
-    /// Where files of this run lie.
+    /// The directory with the files of this run.
     pub fn dir(&self) -> &Path {
         self.dir.path()
     }
 
-    /// What all targets ran.
+    /// Reads the requests that all targets ran from their ledgers.
     ///
     /// # Errors
     ///
-    /// Fails if a target doesn't answer or its ledger isn't whole.
+    /// Fails if a target doesn't answer or its ledger is incomplete.
     pub async fn runs(&self) -> miette::Result<Vec<LedgerRun>> {
         let mut runs = Vec::new();
         for (instance, member) in self.members.iter().enumerate() {
@@ -91,12 +90,12 @@
         Ok(runs)
     }
 
-    /// Keeps settings, logs and records after the end, and says where.
+    /// Keeps settings, logs and records on disk, and returns their directory.
     pub fn keep(self) -> PathBuf {
         self.dir.keep()
     }
 
-    /// The body that publishes a list.
+    /// The request body that publishes an instance list.
     pub fn list_body(list: &[Instance]) -> String {
         json!({ "instances": list }).to_string()
     }
@@ -132,7 +131,10 @@
         for member in &self.members {
             if !admin::is_ready_before(member.admin, end).await {
                 let log = std::fs::read_to_string(&member.log).unwrap_or_default();
-                return Err(miette!("{} isn't ready; {log}", member.instance.id));
+                return Err(miette!(
+                    "node {} isn't ready; its log: {log}",
+                    member.instance.id
+                ));
             }
         }
         Ok(())
--- a/crates/soak/src/fleet/maker.rs
+++ b/crates/soak/src/fleet/maker.rs
@@ -1,4 +1,4 @@
-//! Making the platform and the instances of a run.
+//! Starts the platform and the targets of a run, and writes the settings of the nodes.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -28,29 +28,29 @@
 use crate::standin::StandIn;
 use crate::standin::StandInFiles;
 
-/// The region that all instances stand in.
+/// The region of all instances.
 const REGION: &str = "ulaanbaatar";
 
 /// Slots of each target.
 const SLOTS: u32 = 10;
 
-/// Connections of each target: its slots, and those that nodes which were killed
-/// still hold there.
+/// Connections of each target. More than its slots, because connections of killed nodes
+/// may still be open.
 const CONNECTIONS: u32 = 4 * SLOTS;
 
-/// How long a target that a request crashed is down, in milliseconds.
+/// How long a target is down after a request crashed it, in milliseconds.
 const DOWN_MS: u64 = 300;
 
-/// How long a target refuses work after each start, in milliseconds.
+/// How long a target refuses requests after each start, in milliseconds.
 const COLD_START_MS: u64 = 100;
 
 /// Service times by kind, in microseconds.
 const SERVICE_US: &str = "{approval: 20000, claim: 15000, lookup: 5000, archive: 30000}";
 
-/// A planned stop is over before a run is.
+/// Bounds the drain of a node, so that a planned stop ends before the run does.
 const STOP_SETTINGS: &str = "drain: {bound_ms: 5000}\n";
 
-/// What the platform and members are made with.
+/// Starts the processes of a fleet, and assigns their ports and files.
 #[derive(Debug)]
 pub(super) struct Maker {
     ports: Ports,
@@ -58,7 +58,7 @@
 }
 
 impl Maker {
-    /// Files go to `dir`.
+    /// Creates a maker that writes its files to `dir`.
     pub(super) fn new(dir: &Path) -> Maker {
         Maker {
             ports: Ports::new(),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The ports that were given out, which stay taken as long as these live.
+    /// The assigned ports, which stay reserved until the value is dropped.
     pub(super) fn into_ports(self) -> Ports {
         self.ports
     }
@@ -77,8 +77,7 @@
         self.standin("platform", "platform", addr, admin, "").await
     }
 
-    /// Starts the `n`th target and the links of its instance; its node is started
-    /// later.
+    /// Starts the `n`th target and the links of its instance. The node is started later.
     pub(super) async fn member(
         &mut self,
         n: usize,
--- a/crates/soak/src/fleet/member.rs
+++ b/crates/soak/src/fleet/member.rs
@@ -1,4 +1,4 @@
-//! One instance of a run.
+//! One instance of a run, with its processes and links.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -17,26 +17,26 @@
 use crate::schedule::Way;
 use crate::standin::StandIn;
 
-/// The node's program.
+/// The program of the node.
 const NODE: &str = "sassafrasspool-node";
 
-/// How often a node that doesn't listen yet is tried again.
+/// The time between two connection attempts to a node that doesn't listen yet.
 const POLL: Duration = Duration::from_millis(20);
 
-/// One instance: a target, the node beside it, and the links to and from them.
+/// One instance: a target, its node, and the links to and from them.
 #[derive(Debug)]
 pub struct Member {
-    /// As the platform lists it.
+    /// The entry of the instance in the list of the platform.
     pub instance: Instance,
-    /// Where callers reach its node itself.
+    /// The address at which callers reach the node directly.
     pub ingress: SocketAddr,
-    /// Where callers reach it by a link. A link can't refuse a connection as an
-    /// ended process does, so that what is lost at a planned stop is judged by
-    /// those who come without one.
+    /// The address at which callers reach the node through a link. A link can't refuse a
+    /// connection as an ended process does. Lost requests at a planned stop are therefore
+    /// judged by the callers without a link.
     pub entry: SocketAddr,
-    /// Where its node answers operators.
+    /// The admin address of the node.
     pub admin: SocketAddr,
-    /// Its target.
+    /// The target.
     pub target: StandIn,
     pub(super) links: [Link; 5],
     pub(super) node: Mutex<Option<Child>>,
@@ -45,13 +45,13 @@
 }
 
 impl Member {
-    /// One of its links.
+    /// The link with this role.
     pub fn link(&self, way: Way) -> &Link {
         &self.links[way as usize]
     }
 
-    /// Starts its node, and opens the links to it once it listens: one that is
-    /// open before takes connections that the system would have refused.
+    /// Starts the node, and opens the links to it after it listens: a link that is open
+    /// earlier accepts connections that the system would have refused.
     ///
     /// # Errors
     ///
@@ -76,11 +76,11 @@
         Ok(())
     }
 
-    /// Kills its node; nothing to do if it is down.
+    /// Kills the node, if it runs.
     ///
     /// # Errors
     ///
-    /// Fails if it can't be killed.
+    /// Fails if the process can't be killed.
     pub async fn kill_node(&self) -> std::io::Result<()> {
         if let Some(node) = self.node.lock().await.take() {
             node.kill().await?;
@@ -89,14 +89,14 @@
         Ok(())
     }
 
-    /// Asks its node to stop and waits for its end. Returns whether it says
-    /// that it cut nothing, as one that is down does. One that the signal ended
-    /// before it could take it says nothing: what it cut is in the callers'
-    /// records.
+    /// Stops the node by SIGTERM and waits for its exit. Returns whether it reported by its
+    /// exit code that it cut no request; a node that is down counts as such. So does a node
+    /// that the signal killed before its handler was installed: the records of the callers
+    /// show the requests that it cut.
     ///
     /// # Errors
     ///
-    /// Fails if it can't be signalled.
+    /// Fails if the process can't be signalled.
     pub async fn stop_node(&self) -> std::io::Result<bool> {
         let Some(node) = self.node.lock().await.take() else {
             return Ok(true);
@@ -107,11 +107,11 @@
         Ok(status.code().is_none_or(|code| code == 0))
     }
 
-    /// Signals its node; nothing to do if it is down.
+    /// Sends a signal to the node, if it runs.
     ///
     /// # Errors
     ///
-    /// Fails if the process has ended by itself.
+    /// Fails if the process has exited by itself.
     pub async fn signal_node(&self, signal: Signal) -> std::io::Result<()> {
         match &*self.node.lock().await {
             Some(node) => node.signal(signal),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Changes its node's settings file in something that matters to nobody.
+    /// Changes a value in the settings file of the node that doesn't affect the run.
     ///
     /// # Errors
     ///
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,12 +1,12 @@
-//! A fault soak: the real programs as processes on one machine, hurt from
-//! outside, while what callers and targets see is held against the promises.
+//! A fault soak: it runs the real programs as processes on one machine, injects faults from
+//! outside, and checks what callers and targets observed against the guarantees.
 //!
-//! One run goes through these modules in turn. [`schedule`] draws from a seed
-//! what happens when. [`fleet`] starts nodes, targets, the platform and callers
-//! as processes of their own ([`child`]), with a link on each way between
-//! them. [`driver`] carries the schedule out. [`verdict`] puts the callers'
-//! records, the targets' ledgers and what nodes said they had in force before
-//! the judges of the benchmark, and the report says what they found.
+//! One run uses these modules in turn. [`schedule`] draws from a seed which fault comes
+//! when. [`fleet`] starts nodes, targets and the platform as processes of their own
+//! ([`child`]), with a link on each connection between them, and [`callers`] makes the calls
+//! in further processes. [`driver`] injects the faults of the schedule. [`verdict`] passes
+//! the records of the callers, the ledgers of the targets and the versions that nodes
+//! reported as in force to the checks of the benchmark, and reports the violations.
 //!
 //! # Example
 //!
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,5 +1,5 @@
-//! The soak's command line. One JSON object a run goes to standard output; it
-//! ends with 1 if a promise was broken.
+//! The command line of the soak. It prints one JSON object per run to standard output, and
+//! exits with code 1 if a run violated a guarantee.
 
 mod flags;
 
@@ -19,17 +19,17 @@
 use crate::flags::Soak;
 use crate::flags::SoakCmd;
 
-/// Instances unless the command line says otherwise.
+/// The default number of instances.
 const NODES: usize = 8;
 
-/// Seconds of calls unless the command line says otherwise.
+/// The default duration of the calls, in seconds.
 const SECONDS: u64 = 10;
 
-/// Calls a second for each instance, unless the command line says otherwise: a
-/// fifth of what its target could run.
+/// The default rate of calls per instance, in calls per second: a fifth of what its target
+/// could run.
 const RATE: f64 = 50.0;
 
-/// Processes that make calls, unless the command line says otherwise.
+/// The default number of caller processes.
 const CALLERS: usize = 2;
 
 fn main() -> miette::Result<ExitCode> {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Runs one seed after the other.
+/// Runs consecutive seeds, one after another.
 fn soak(cmd: &Run) -> miette::Result<ExitCode> {
     let first = cmd.replay.or(cmd.seed).unwrap_or_else(rand::random);
     let runs = 0..cmd.runs.unwrap_or(1);
@@ -62,7 +62,7 @@
     run_all(opts)
 }
 
-/// Runs the seeds that a file keeps.
+/// Runs the seeds in a file of regressions.
 fn regressions(file: &Path) -> miette::Result<ExitCode> {
     let text = std::fs::read_to_string(file).into_diagnostic()?;
     let kept = regression::parse(&text)?;
@@ -89,7 +89,8 @@
     Ok(code)
 }
 
-/// Processes are started on the main thread, with which they end.
+/// Builds a runtime on the main thread: child processes are killed when the thread that
+/// started them ends.
 fn on_this_thread() -> miette::Result<tokio::runtime::Runtime> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     builder.enable_all().build().into_diagnostic()
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -1,13 +1,13 @@
-//! What a run is asked for.
+//! The options of a run and their ranges.
 
 use std::time::Duration;
 
 use miette::miette;
 
-/// Instances at most; each is two processes and five links.
+/// The most instances. Each one has two processes and five links.
 const MAX_NODES: usize = 150;
 
-/// The longest run, in seconds.
+/// The longest duration of the calls, in seconds.
 const MAX_SECONDS: u64 = 3_600;
 
 /// The options of one run.
@@ -17,22 +17,22 @@
     pub nodes: usize,
     /// How long calls are made.
     pub length: Duration,
-    /// What calls and faults are drawn from.
+    /// The seed of calls and faults.
     pub seed: u64,
-    /// Calls a second for each instance.
+    /// Calls per second for each instance.
     pub rate_per_node: f64,
-    /// Processes that make calls.
+    /// The number of caller processes.
     pub callers: usize,
-    /// Whether the logs stay after a run that kept every promise.
+    /// Whether the logs are kept after a run without a violation too.
     pub keep_logs: bool,
 }
 
 impl Options {
-    /// These options if each is in its range.
+    /// Returns these options if each one is in its range.
     ///
     /// # Errors
     ///
-    /// Names the first that isn't.
+    /// Names the first option that is out of range.
     pub fn checked(self) -> miette::Result<Options> {
         if !(2..=MAX_NODES).contains(&self.nodes) {
             return Err(miette!("nodes must be 2 to {MAX_NODES}"));
@@ -44,7 +44,7 @@
             return Err(miette!("the rate must be above 0"));
         }
         match self.callers {
-            0 => Err(miette!("there must be a process that makes calls")),
+            0 => Err(miette!("callers must be at least 1")),
             _ => Ok(self),
         }
     }
--- a/crates/soak/src/regression.rs
+++ b/crates/soak/src/regression.rs
@@ -1,4 +1,4 @@
-//! Seeds that ever failed, kept to be run again.
+//! Seeds that once failed and are run again as regression tests.
 
 use miette::IntoDiagnostic;
 use miette::WrapErr;
@@ -7,25 +7,25 @@
 #[cfg(test)]
 mod tests;
 
-/// A seed that failed.
+/// A seed that failed, and how to repeat its run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Regression {
     /// The seed.
     pub seed: u64,
-    /// Instances that it failed with.
+    /// The number of instances in the failed run.
     pub nodes: usize,
-    /// Seconds of calls that it failed with.
+    /// The duration of the calls in the failed run, in seconds.
     pub seconds: u64,
-    /// What it was.
+    /// The cause of the failure.
     pub cause: String,
 }
 
-/// Reads the seeds of a text: one line each, with seed, instances, seconds and
-/// cause; lines that begin with `#` are for people.
+/// Parses a list of seeds. Each line has a seed, the number of instances, the seconds and
+/// the cause; empty lines and lines that begin with `#` are skipped.
 ///
 /// # Errors
 ///
-/// Names the first line that isn't one.
+/// Names the first line that doesn't parse.
 ///
 /// # Example
 ///
@@ -45,7 +45,7 @@
 
 fn read(line: &str) -> miette::Result<Regression> {
     let mut parts = line.splitn(4, ' ');
-    let mut next = || parts.next().ok_or_else(|| miette!("has too few words"));
+    let mut next = || parts.next().ok_or_else(|| miette!("too few fields"));
     Ok(Regression {
         seed: next()?.parse().into_diagnostic()?,
         nodes: next()?.parse().into_diagnostic()?,
--- a/crates/soak/src/regression/tests.rs
+++ b/crates/soak/src/regression/tests.rs
@@ -2,8 +2,8 @@
 
 const KEPT: &str = include_str!("../../regressions.txt");
 
-// A line that can't be read would pass over a seed that once failed, and nobody
-// would know.
+// A line with a typo is skipped without an error, so that a seed that once failed isn't
+// run any more.
 #[test]
 fn a_line_that_is_none_is_named() {
     for (text, told) in [("# a\n126 8 10\n", "line 2"), ("x 8 10 cause", "line 1")] {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run from start to verdict.
+//! One run, from the start of the fleet to the report.
 
 use std::sync::Arc;
 
@@ -25,15 +25,16 @@
 use crate::verdict::Report;
 use crate::verdict::Seen;
 
-/// This program.
+/// The name of this program.
 const OWN: &str = "sassafrasspool-soak";
 
-/// Plays the schedule of `opts.seed` beside the calls, and judges them.
+/// Injects the faults of the schedule of `opts.seed` while callers make calls, and judges
+/// the run.
 ///
 /// # Errors
 ///
-/// Fails if a process can't be started, or hurt as the schedule says; a broken
-/// promise is no error.
+/// Fails if a process can't be started, a fault can't be applied, or a result can't be read.
+/// A violation isn't an error.
 pub async fn run(opts: Options) -> miette::Result<Report> {
     let fleet = Arc::new(Fleet::start(opts.nodes).await?);
     tokio::time::sleep(OWNERS_SETTLE).await;
@@ -53,7 +54,7 @@
     for (child, part) in calling {
         let status = child.wait().await.into_diagnostic()?;
         if !status.success() {
-            return Err(miette!("a process of callers ended with {status}"));
+            return Err(miette!("a caller process failed with {status}"));
         }
         records.extend(callers::read_records(&part.records)?);
         rude = rude.and(callers::read_rude(&part.rude)?);
@@ -93,10 +94,10 @@
     Ok(report)
 }
 
-/// Starts the processes that make the calls, each with what it was told.
+/// Starts the caller processes, and returns each with its job.
 fn start_callers(opts: Options, fleet: &Fleet) -> miette::Result<Vec<(Child, Part)>> {
     let members = fleet.members.iter();
-    // Every other process comes by the links.
+    // Every second process connects through the links.
     let ways: [Vec<_>; 2] = [
         members.clone().map(|member| member.ingress).collect(),
         members.map(|member| member.entry).collect(),
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What happens when, drawn from a seed before the run.
+//! The faults of a run and their times, drawn from a seed before the run.
 
 use std::fmt;
 use std::time::Duration;
@@ -17,72 +17,73 @@
 /// The longest time between two faults, in milliseconds.
 const MOST_GAP_MS: u64 = 500;
 
-/// Time before the first fault, in which callers open their connections.
+/// The time before the first fault, in which callers open their connections.
 const LEAD: Duration = Duration::from_millis(500);
 
-/// How many faults come one right after the other when they come in series.
+/// The number of faults in a series, in which one follows the other after a short gap.
 const SERIES_LENGTH: u32 = 4;
 
-/// One fault in so many begins a series.
+/// One fault in this many begins a series.
 const SERIES_EVERY: u32 = 12;
 
 /// The mean time between two silences of the platform.
 const SILENCE_EVERY: Duration = Duration::from_secs(12);
 
-/// What silences are drawn from, beside the seed. With a source of their own they leave
-/// the other faults of a seed as they are: seeds that ever failed are played again.
+/// Combined with the seed of the run to draw silences. With a generator of their own they
+/// don't change the other faults of a seed, so that seeds that once failed still repeat them.
 const SILENCES: u64 = 0x5113_7ce5;
 
 /// The mean time between two evacuations.
 const EVACUATION_EVERY: Duration = Duration::from_secs(6);
 
-/// What evacuations are drawn from, beside the seed, as silences are.
+/// Combined with the seed of the run to draw evacuations, for the same reason as for
+/// silences.
 const EVACUATIONS: u64 = 0x0e7a_c0a7;
 
-/// What is done to a node's process.
+/// A fault of a node process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeFault {
-    /// A planned stop, and a start afterwards.
+    /// A planned stop, and a later start.
     Stop,
-    /// A kill, and a start afterwards.
+    /// A kill, and a later start.
     Kill,
-    /// It stands still and goes on later, believing what it did.
+    /// The process is paused, and resumes later with its old state.
     Freeze,
-    /// Its settings change, with a signal that says so.
+    /// The settings file changes, and a signal requests the reload.
     ReloadBySignal,
-    /// Its settings change without a signal.
+    /// The settings file changes without a signal.
     ReloadByFile,
 }
 
-/// What is done to a target.
+/// A fault of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetFault {
-    /// It drops all connections and starts again, cold.
+    /// It drops all connections and restarts cold.
     Crash,
-    /// It stands still.
+    /// The process is paused.
     Freeze,
-    /// It refuses new work by itself.
+    /// It refuses new requests of its own accord.
     Drain,
     /// Each request takes longer.
     Slow,
-    /// It does the work and never answers.
+    /// It runs each request and never answers.
     Hang,
-    /// It breaks off in the middle of each answer.
+    /// It cuts the connection in the middle of each answer.
     CutAnswers,
-    /// Some of its answers come late, though the work was done in time.
+    /// Some of its answers are late, though the requests ran in time.
     Late,
-    /// It calls itself ill though it is well.
+    /// It reports itself as unhealthy though it is healthy.
     LyingHealth,
-    /// The list says that it leaves; another start takes its address.
+    /// It is removed from the list; a new start takes its address and is listed again.
     Replace,
 }
 
-/// Between whom a link lies.
+/// Which connections a link carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Way {
-    /// From other nodes to a node's requests.
+    /// From other nodes to the address of a node for requests.
     PeerTraffic,
-    /// From other nodes to a node's control messages.
+    /// From other nodes to the address of a node for control messages.
     PeerControl,
     /// From a node to the platform.
     Platform,
@@ -92,67 +93,68 @@
     Callers,
 }
 
-/// What is done to a link.
+/// A fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Bytes take longer.
+    /// Bytes are delayed.
     Delay,
     /// Open connections are reset.
     Reset,
-    /// Bytes wait in both directions.
+    /// Bytes are held in both directions.
     Cut,
-    /// Bytes wait on the way there.
+    /// Bytes from the connecting side are held.
     CutForth,
-    /// Bytes wait on the way back.
+    /// Bytes to the connecting side are held.
     CutBack,
-    /// Open connections carry nothing more.
+    /// Open connections stay open and carry no more bytes.
     Silence,
 }
 
-/// What is done to the platform.
+/// A fault of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlatformFault {
     /// It answers no read.
     Outage,
-    /// It serves what it had.
+    /// It serves the versions from before the fault.
     Stale,
-    /// Lists are seen late.
+    /// Instance lists become visible late.
     ListLag,
-    /// Its answers are held back and cross newer ones.
+    /// Its answers are delayed, and newer ones overtake them.
     SlowAnswers,
-    /// It stands still.
+    /// The process is paused.
     Freeze,
-    /// It takes reads and never answers them, also when it is back.
+    /// It accepts reads and never answers them, not even after the fault has ended.
     Silence,
 }
 
-/// One fault. Those with a length end by themselves after it.
+/// A fault and the part that it affects. A fault that lasts ends by itself after the length
+/// of its step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Of a node.
+    /// A fault of the node of an instance.
     Node(usize, NodeFault),
-    /// Of half of all nodes at once, which are killed and come back.
+    /// Half of all nodes are killed at once and started again later.
     Herd,
-    /// Of a target.
+    /// A fault of the target of an instance.
     Target(usize, TargetFault),
-    /// Of a link of an instance.
+    /// A fault of a link of an instance.
     Link(usize, Way, LinkFault),
-    /// Of the platform.
+    /// A fault of the platform.
     Platform(PlatformFault),
-    /// A catalogue is published, one that binds or one that doesn't.
+    /// A catalogue is published: a valid one if true, an invalid one if false.
     Publish(bool),
-    /// A failure domain is evacuated, by its number, and taken back.
+    /// The failure domain with this index is evacuated, and the order withdrawn later.
     Evacuate(usize),
 }
 
-/// A fault, when it comes and how long it lasts.
+/// A fault with its begin and its length.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Step {
-    /// After the start of the run.
+    /// When it begins, after the start of the schedule.
     pub at: Duration,
     /// How long it lasts.
     pub length: Duration,
-    /// What comes.
+    /// The fault.
     pub fault: Fault,
 }
 
@@ -163,7 +165,7 @@
     }
 }
 
-/// The faults of a run in order. They come alone, in series and overlapping.
+/// The faults of a run, sorted by time. They come alone, in series and overlapping.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Schedule {
     /// The steps, sorted by time.
@@ -197,7 +199,7 @@
     }
 }
 
-/// Silences of the platform, each shorter than the pause before the next one.
+/// Silences of the platform. Each one ends before the next one begins.
 fn silences(length: Duration, seed: u64) -> Vec<Step> {
     let silence = Recurrence {
         every: SILENCE_EVERY,
@@ -209,7 +211,7 @@
     })
 }
 
-/// Evacuations, of which two may overlap.
+/// Evacuations. Two of them may overlap.
 fn evacuations(length: Duration, seed: u64) -> Vec<Step> {
     let evacuation = Recurrence {
         every: EVACUATION_EVERY,
@@ -221,19 +223,19 @@
     })
 }
 
-/// How often a fault comes that is drawn from a source of its own.
+/// The distribution of a recurring fault that is drawn from a generator of its own.
 #[derive(Debug)]
 struct Recurrence {
-    /// The mean time from one to the next.
+    /// The mean time from the begin of one fault to the begin of the next.
     every: Duration,
-    /// The shortest and the longest that one lasts, in milliseconds.
+    /// The shortest and the longest length of a fault, in milliseconds.
     lengths_ms: [u64; 2],
-    /// The shortest and the longest time from one to the next, in percent of the mean.
+    /// The shortest and the longest time from one fault to the next, in percent of the mean.
     pauses_percent: [u64; 2],
 }
 
 impl Recurrence {
-    /// Draws such faults over `length`.
+    /// Draws the faults within `length`.
     fn draw(
         &self,
         length: Duration,
@@ -260,7 +262,7 @@
     }
 }
 
-/// Draws one step after the other.
+/// Draws steps from a seeded generator, one after another.
 #[derive(Debug)]
 struct Drawn {
     rng: SmallRng,
--- a/crates/soak/src/schedule/tests.rs
+++ b/crates/soak/src/schedule/tests.rs
@@ -6,15 +6,15 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-// A seed that failed is played again. Were the schedule to depend on anything
-// else, its fault might never show a second time.
+// A failed seed is run again to reproduce its failure. If the schedule depends on anything
+// besides the seed, the failure may not occur a second time.
 #[test]
 fn a_seed_draws_the_same_schedule() {
     assert_eq!(Schedule::draw(8, MINUTE, 3), Schedule::draw(8, MINUTE, 3));
     assert_ne!(Schedule::draw(8, MINUTE, 3), Schedule::draw(8, MINUTE, 4));
 }
 
-// A kind of fault that is never drawn is one that nobody tests.
+// A kind of fault that is never drawn is never tested.
 #[test]
 fn every_kind_of_fault_comes_in_a_few_minutes() {
     let steps = Schedule::draw(8, 10 * MINUTE, 5).steps;
--- a/crates/soak/src/standin.rs
+++ b/crates/soak/src/standin.rs
@@ -1,4 +1,4 @@
-//! Stand-ins as processes, switched by their admin ports.
+//! Stand-ins that run as processes and are controlled through their admin ports.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -17,42 +17,41 @@
 
 use crate::child::Child;
 
-/// The stand-ins' program.
+/// The program of the stand-ins.
 const PROGRAM: &str = "sassafrasspool-standin";
 
-/// How long a stand-in may take until it answers.
+/// How long a stand-in may take to answer after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often one that isn't ready is asked again.
+/// The time between two requests to a stand-in that isn't ready yet.
 const POLL: Duration = Duration::from_millis(20);
 
-/// A stand-in.
+/// A running stand-in for the platform or a target.
 #[derive(Debug)]
 pub struct StandIn {
-    /// Where it serves.
+    /// The address at which it serves.
     pub addr: SocketAddr,
     admin: SocketAddr,
     child: Child,
 }
 
-/// What a stand-in is started with.
+/// The subcommand and the files of a stand-in.
 #[derive(Debug)]
 pub struct StandInFiles {
-    /// `platform` or `target`.
+    /// The subcommand, `platform` or `target`.
     pub verb: &'static str,
-    /// Its settings.
+    /// The settings file.
     pub settings: PathBuf,
-    /// Where its output goes.
+    /// The file for its output.
     pub log: PathBuf,
 }
 
 impl StandIn {
-    /// Starts one on two addresses that its settings name, and waits until it
-    /// answers.
+    /// Starts a stand-in on the two addresses in its settings, and waits until it answers.
     ///
     /// # Errors
     ///
-    /// Fails if it can't be started or isn't ready in time.
+    /// Fails if it can't be started or doesn't answer in time.
     pub async fn start(
         files: &StandInFiles,
         addr: SocketAddr,
@@ -67,14 +66,17 @@
         let end = Instant::now() + READY_TIMEOUT;
         while admin::get(admin, "/stats").await.is_none() {
             if Instant::now() >= end {
-                return Err(miette!("{} isn't ready", files.settings.display()));
+                return Err(miette!(
+                    "the stand-in with settings {} isn't ready",
+                    files.settings.display()
+                ));
             }
             tokio::time::sleep(POLL).await;
         }
         Ok(StandIn { addr, admin, child })
     }
 
-    /// Turns switches.
+    /// Sets switches of the stand-in.
     ///
     /// # Errors
     ///
@@ -83,7 +85,7 @@
         self.post("/switches", switches).await
     }
 
-    /// Lets a target drop all its connections and refuse new ones.
+    /// Makes a target drop all its connections and refuse new ones.
     ///
     /// # Errors
     ///
@@ -92,7 +94,7 @@
         self.post("/crash", &json!({})).await
     }
 
-    /// Starts a target again on its port.
+    /// Starts a crashed target again on its port.
     ///
     /// # Errors
     ///
@@ -101,22 +103,22 @@
         self.post("/restart", &json!({})).await
     }
 
-    /// What a target ran.
+    /// Reads the requests that a target ran.
     ///
     /// # Errors
     ///
-    /// Fails if the target doesn't answer or its ledger isn't whole.
+    /// Fails if the target doesn't answer or its ledger is incomplete.
     pub async fn ledger(&self) -> miette::Result<LedgerPages> {
         let value = admin::get(self.admin, "/ledger").await;
-        let value = value.ok_or_else(|| miette!("{} gives no ledger", self.admin))?;
+        let value = value.ok_or_else(|| miette!("{} doesn't serve its ledger", self.admin))?;
         let pages: LedgerPages = serde_json::from_value(value).into_diagnostic()?;
         match pages.unrecorded {
             0 => Ok(pages),
-            lost => Err(miette!("{} lost {lost} runs", self.admin)),
+            lost => Err(miette!("the ledger of {} lacks {lost} runs", self.admin)),
         }
     }
 
-    /// Publishes on the platform.
+    /// Publishes a document on the platform.
     ///
     /// # Errors
     ///
@@ -126,11 +128,11 @@
         self.accepted(path, answered)
     }
 
-    /// Lets it stand still, or go on.
+    /// Pauses the process, or resumes it.
     ///
     /// # Errors
     ///
-    /// Fails if the process has ended.
+    /// Fails if the process has exited.
     pub fn freeze(&self, frozen: bool) -> std::io::Result<()> {
         self.child.signal(match frozen {
             true => Signal::STOP,
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What the judges say of a run, and what is printed of it.
+//! Judges a run and builds its report.
 
 use std::collections::BTreeMap;
 
@@ -36,33 +36,33 @@
 mod tests;
 mod window;
 
-/// How many broken promises the report tells in words.
+/// The most violations that the report describes in full.
 const TOLD: usize = 10;
 
-/// What was seen in a run.
+/// The observations of a run, from which it is judged.
 #[derive(Debug)]
 pub struct Seen<'a> {
-    /// What was done and what nodes had in force.
+    /// The events of the run and the versions that nodes had in force.
     pub log: &'a Log,
-    /// What callers saw.
+    /// The call records of the callers.
     pub records: &'a [CallRecord],
-    /// What callers saw that leave or send several requests at once.
+    /// The counts of abandoned and pipelined requests.
     pub rude: Rude,
-    /// What targets ran.
+    /// The requests that targets ran.
     pub runs: &'a [LedgerRun],
-    /// The instances in the order of their numbers.
+    /// The ids of the instances in the order of their numbers.
     pub names: &'a [InstanceId],
-    /// The planned stops.
+    /// The planned stops of nodes.
     pub stops: &'a [Stopped],
-    /// When nodes were kept from following.
+    /// When faults kept nodes from receiving new versions.
     pub hurt: &'a [Hurt],
-    /// When nodes' processes were killed.
+    /// When node processes were killed.
     pub kills: &'a [Stopped],
-    /// When nodes, their targets or the links between them stood still.
+    /// When nodes, their targets or the links between them were stalled.
     pub stalled: &'a [Hurt],
     /// The failure domains of the instances, in the order of their numbers.
     pub domains: &'a [&'a str],
-    /// The catalogues that bind.
+    /// The valid catalogues that were published.
     pub catalogues: &'a [PublishedCatalogue],
 }
 
@@ -77,45 +77,45 @@
     }
 }
 
-/// What is printed of a run.
+/// The printed report of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Draws the same schedule and calls again.
+    /// The seed, which draws the same schedule and calls again.
     pub seed: u64,
-    /// Instances.
+    /// The number of instances.
     pub nodes: usize,
     /// How long calls were made, in seconds.
     pub seconds: u64,
-    /// Whether every promise was kept.
+    /// Whether no guarantee was violated.
     pub kept: bool,
-    /// What became of the calls.
+    /// The outcomes of the calls.
     #[serde(flatten)]
     pub verdict: Verdict,
-    /// What callers saw that leave or send several requests at once.
+    /// The counts of abandoned and pipelined requests.
     #[serde(flatten)]
     pub rude: Rude,
-    /// What became of a request that crashes targets.
+    /// The verdict on the quarantine of the request that crashes targets.
     #[serde(flatten)]
     pub crashing: Crashing,
-    /// What became of evacuations.
+    /// The verdict on evacuations.
     #[serde(flatten)]
     pub evacuated: Evacuated,
-    /// What became of targets that turned cold.
+    /// The verdict on targets that were cold after an evacuation.
     #[serde(flatten)]
     pub cold: ColdReturns,
-    /// Broken promises of the history by their names.
+    /// The number of violations in the history, by guarantee.
     pub violations: BTreeMap<&'static str, u64>,
-    /// The first broken promises in words, with the ids of the requests.
+    /// The first violations in words, with the ids of the requests.
     pub told: Vec<String>,
-    /// What was done, with milliseconds from the start of the calls.
+    /// The steps of the schedule, in milliseconds from the start of the calls.
     pub schedule: Vec<String>,
-    /// Where settings, logs and records lie, if they were kept.
+    /// The directory with settings, logs and records, if they were kept.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub kept_in: Option<String>,
 }
 
 impl Report {
-    /// Judges what was seen.
+    /// Judges the observations of a run.
     pub fn judge(opts: Options, schedule: &Schedule, seen: &Seen<'_>, bounds: &Bounds) -> Report {
         let (observed, outages) = seen.log.copy();
         let evidence = Evidence::new(seen.records, seen.runs, &outages);
@@ -160,7 +160,7 @@
     }
 }
 
-/// A number of things as reports have it.
+/// Converts a count to the type of the report fields.
 fn count(n: usize) -> u64 {
     u64::try_from(n).unwrap_or(u64::MAX)
 }
--- a/crates/soak/src/verdict/cold.rs
+++ b/crates/soak/src/verdict/cold.rs
@@ -1,4 +1,5 @@
-//! Whether targets that turned cold got no more than they tolerate.
+//! Checks that targets got no more requests than they tolerate while they were cold after
+//! an evacuation.
 
 use serde::Serialize;
 
@@ -9,26 +10,26 @@
 use crate::catalogue::COLD_FOR;
 use crate::catalogue::COLD_MOST_PER_S;
 
-/// The span over which what a cold target gets is bounded, in microseconds.
+/// The span in which the requests to a cold target are bounded, in microseconds.
 const SECOND_US: u64 = 1_000_000;
 
 /// [`COLD_FOR`] in microseconds.
 const COLD_FOR_US: u64 = COLD_FOR.as_secs() * SECOND_US;
 
-/// What became of targets that turned cold as an evacuation ended.
+/// The verdict on targets that were cold after an evacuation had ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct ColdReturns {
-    /// How often a node was seen to have the end of its own evacuation in force while its
-    /// target was cold.
+    /// How often a node was observed to have the end of its own evacuation in force while
+    /// its target was cold.
     pub cold_returns: u64,
-    /// Requests that cold targets began beyond what they tolerate within a second.
+    /// Requests that cold targets started beyond what they tolerate within a second.
     pub begun_too_cold: u64,
 }
 
 impl ColdReturns {
-    /// Judges what targets began from when the node beside them was seen to have the end of
-    /// an evacuation in force until they may be warm. A process that starts meanwhile may
-    /// not know of the evacuation.
+    /// Judges the requests that targets started, from when their node was observed to have
+    /// the end of an evacuation in force until the targets may be warm. A node process that
+    /// starts in between may not have received the evacuation.
     pub fn judge<'a>(
         evacuees: impl Iterator<Item = Evacuee<'a>>,
         facts: &Facts<'_>,
@@ -48,14 +49,15 @@
         judged
     }
 
-    /// Whether none got more.
+    /// Whether no cold target got too many requests.
     pub fn is_kept(&self) -> bool {
         self.begun_too_cold == 0
     }
 }
 
-/// Requests beyond the limit within the worst second of a window, of those that began at the
-/// sorted times `begun`. A second in which what was sent earlier was held up counts for nothing.
+/// Requests beyond the limit within the worst second of a window, of those that started at
+/// the sorted times `begun`. A second in which earlier requests may have been delayed on
+/// their way counts as zero.
 fn excess(window: Window, begun: &[u64], held_up: impl Fn(u64) -> bool) -> usize {
     let is_inside = |at: &&u64| (window.from_us..window.to_us).contains(*at);
     let inside: Vec<u64> = begun.iter().filter(is_inside).copied().collect();
@@ -69,8 +71,8 @@
     excess.max().unwrap_or(0)
 }
 
-/// While an instance's target is cold for sure, since one process beside it held both an
-/// evacuation of its failure domain and the end of that.
+/// When the target of an instance is certainly cold, because one process of its node had
+/// first an evacuation of its failure domain in force and then the end of it.
 fn windows(evacuee: Evacuee<'_>, facts: &Facts<'_>) -> Vec<Window> {
     let mut windows = Vec::new();
     let mut evacuated_us = None;
--- a/crates/soak/src/verdict/crashing.rs
+++ b/crates/soak/src/verdict/crashing.rs
@@ -1,4 +1,4 @@
-//! Whether a request that crashes targets was kept from them, and no other.
+//! Checks that a request that crashes targets was quarantined, and no other request.
 
 use sassafrasspool_bench::load::CallRecord;
 use sassafrasspool_bench::load::LedgerRun;
@@ -10,17 +10,17 @@
 use super::count;
 use crate::callers::CRASHING_PATH;
 
-/// How long nodes have to tell one another of it, in microseconds, from the third crash on
-/// and from when a node that was hurt is whole again.
+/// How long the reports of crashes may take to reach every node, in microseconds. Counts
+/// from the third crash on, and for an impaired node from the end of its impairment.
 const TOLD_WITHIN_US: u64 = 3_000_000;
 
-/// How often it may be handed to a target after that.
+/// How often the request may be handed to a target after that.
 const MOST_LATER: u64 = 3;
 
-/// When something kept a node from following, in microseconds since the Unix epoch.
+/// A span in which a fault impaired an instance, in microseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hurt {
-    /// Which instance's.
+    /// The number of the instance.
     pub instance: usize,
     /// When it began.
     pub from_us: u64,
@@ -28,19 +28,19 @@
     pub to_us: u64,
 }
 
-/// What became of such a request.
+/// The verdict on the quarantine of a request that crashes targets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Crashing {
-    /// Targets that crashed under it.
+    /// Crashes of targets that ran the request.
     pub crashes: u64,
-    /// How often it was handed to a target too late, by a node that was well.
+    /// How often a node that wasn't impaired handed the request to a target too late.
     pub crashing_later: u64,
-    /// Other requests that were refused for it.
+    /// Other requests that were refused as quarantined.
     pub harmless_refused: u64,
 }
 
 impl Crashing {
-    /// Judges what targets ran and what callers of other requests saw.
+    /// Judges the requests that targets ran and the records of other requests.
     pub fn judge(records: &[CallRecord], runs: &[LedgerRun], hurt: &[Hurt]) -> Crashing {
         let mut crashes: Vec<u64> = crashes(runs).map(|(at_us, _)| at_us).collect();
         crashes.sort_unstable();
@@ -64,14 +64,14 @@
         }
     }
 
-    /// Whether it was kept from targets in time, and nothing else was.
+    /// Whether the request was quarantined in time, and no other request was.
     pub fn is_kept(&self) -> bool {
         self.crashing_later <= MOST_LATER && self.harmless_refused == 0
     }
 }
 
-/// The crashes under such a request: when, in microseconds since the Unix epoch, and the
-/// run that brought each about.
+/// The crashes that such a request caused: the time, in microseconds since the Unix epoch,
+/// and the run that caused it.
 pub fn crashes(runs: &[LedgerRun]) -> impl Iterator<Item = (u64, &LedgerRun)> {
     let crashed = |run: &&LedgerRun| run.run.end == RunEnd::Crashed;
     let of_it = runs.iter().filter(is_of_it).filter(crashed);
--- a/crates/soak/src/verdict/evacuated.rs
+++ b/crates/soak/src/verdict/evacuated.rs
@@ -1,4 +1,4 @@
-//! Whether targets of evacuated failure domains got no new work.
+//! Checks that targets of evacuated failure domains got no new requests.
 
 use sassafrasspool_core::InstanceId;
 use serde::Serialize;
@@ -8,40 +8,41 @@
 use super::facts::HAND_OVER_US;
 use super::window::Window;
 
-/// A catalogue that binds.
+/// A valid catalogue that was published.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PublishedCatalogue {
     /// Its revision.
     pub revision: u64,
-    /// The earliest that anybody may have it in force, in microseconds since the Unix epoch.
+    /// The earliest time at which any node may have it in force, in microseconds since the
+    /// Unix epoch.
     pub at_us: u64,
-    /// The failure domains that it evacuates.
+    /// The failure domains that the catalogue evacuates.
     pub evacuated: Vec<&'static str>,
 }
 
-/// An instance as its evacuations are judged.
+/// An instance whose requests are judged.
 #[derive(Debug, Clone, Copy)]
 pub struct Evacuee<'a> {
-    /// Its number.
+    /// The number of the instance.
     pub instance: usize,
-    /// Its name.
+    /// The id of the instance.
     pub id: &'a InstanceId,
-    /// Its failure domain.
+    /// The failure domain of the instance.
     pub domain: &'a str,
 }
 
-/// What became of evacuations.
+/// The verdict on evacuations.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Evacuated {
-    /// How often a node was seen to have an evacuation of its own failure domain in force.
+    /// How often a node was observed to have an evacuation of its own failure domain in force.
     pub evacuations: u64,
-    /// Requests that its target began all the same.
+    /// Requests that targets started during these evacuations.
     pub begun_while_evacuated: u64,
 }
 
 impl Evacuated {
-    /// Judges what targets began while the node beside them had an evacuation in force. That
-    /// nodes have it in force in time is judged with all other changes of the catalogue.
+    /// Judges the requests that targets started while their node had an evacuation in force.
+    /// Whether nodes have it in force in time is judged with all other catalogue changes.
     pub fn judge<'a>(evacuees: impl Iterator<Item = Evacuee<'a>>, facts: &Facts<'_>) -> Evacuated {
         let mut judged = Evacuated::default();
         for evacuee in evacuees {
@@ -60,21 +61,21 @@
         judged
     }
 
-    /// Whether none of them began.
+    /// Whether no request started during an evacuation.
     pub fn is_kept(&self) -> bool {
         self.begun_while_evacuated == 0
     }
 }
 
-/// When a node was seen to have an evacuation of its own failure domain in force, by one
-/// start of its process each.
+/// When a node was observed to have an evacuation of its own failure domain in force. Each
+/// window lies within one run of its process.
 fn windows(evacuee: Evacuee<'_>, facts: &Facts<'_>) -> Vec<Window> {
     let mut windows: Vec<Window> = Vec::new();
     for (from_us, held) in facts.in_force(evacuee.id) {
         let Some(until_us) = evacuated_until(evacuee.domain, facts.catalogues, held) else {
             continue;
         };
-        // The next start of its process has to hear of it first.
+        // The next process of the node has to receive the catalogue first.
         let to_us = until_us.min(facts.next_end_us(evacuee.instance, from_us));
         match windows.last_mut() {
             Some(last) if from_us <= last.to_us => last.to_us = last.to_us.max(to_us),
@@ -84,8 +85,8 @@
     windows
 }
 
-/// Until when nobody may have a catalogue in force that doesn't evacuate a failure domain,
-/// if the one that is held does.
+/// The time until which no node may have a later catalogue in force that doesn't evacuate
+/// the failure domain. `None` if the held catalogue doesn't evacuate it.
 fn evacuated_until(
     domain: &str,
     catalogues: &[PublishedCatalogue],
--- a/crates/soak/src/verdict/facts.rs
+++ b/crates/soak/src/verdict/facts.rs
@@ -1,4 +1,4 @@
-//! What happened beside the targets of a run.
+//! The times of events from which requests to targets are judged.
 
 use sassafrasspool_bench::chaos::events::Stopped;
 use sassafrasspool_bench::load::LedgerRun;
@@ -10,25 +10,26 @@
 use super::Hurt;
 use super::PublishedCatalogue;
 
-/// How long a request may be on its way from a node to its target, in microseconds.
+/// The longest time that a request takes from a node to its target, in microseconds.
 pub(super) const HAND_OVER_US: u64 = 1_000_000;
 
-/// What nodes had in force, what their targets began and what came between.
+/// The versions that nodes had in force, the requests that their targets started, and the
+/// process ends and stalls in between.
 #[derive(Debug)]
 pub struct Facts<'a> {
-    /// The catalogues that bind.
+    /// The valid catalogues that were published.
     pub(super) catalogues: &'a [PublishedCatalogue],
-    /// What nodes were seen to have in force, in the order of time.
+    /// The history with the versions that nodes had in force, in the order of time.
     records: Vec<&'a Record>,
     runs: &'a [LedgerRun],
-    /// When processes of nodes ended.
+    /// When node processes ended.
     ends: &'a [Stopped],
-    /// When nodes, their targets or the links between them stood still.
+    /// When nodes, their targets or the links between them were stalled.
     stalled: &'a [Hurt],
 }
 
 impl<'a> Facts<'a> {
-    /// The facts of a run, whose records are sorted here, once for all instances.
+    /// Collects the events of a run, and sorts its history once for all instances.
     pub fn new(
         catalogues: &'a [PublishedCatalogue],
         history: &'a History,
@@ -45,7 +46,8 @@
         }
     }
 
-    /// When a node was seen to have which of the catalogues in force, in the order of time.
+    /// When a node was observed to have which catalogue in force, in the order of time and in
+    /// microseconds since the Unix epoch.
     pub(super) fn in_force(
         &self,
         id: &InstanceId,
@@ -63,21 +65,22 @@
         })
     }
 
-    /// When an instance's target began requests, in no order.
+    /// When the target of an instance started requests, unsorted.
     pub(super) fn begun(&self, instance: usize) -> impl Iterator<Item = u64> {
         let of_it = self.runs.iter().filter(move |run| run.instance == instance);
         let begun = of_it.filter(|run| run.run.began());
         begun.map(|run| run.run.started_us)
     }
 
-    /// When an instance's process next ends, from `at_us` on.
+    /// When the node process of an instance next ends, from `at_us` on.
     pub(super) fn next_end_us(&self, instance: usize, at_us: u64) -> u64 {
         let of_it = self.ends.iter().filter(|it| it.instance == instance);
         let later = of_it.map(|it| it.at_us).filter(|it| *it >= at_us);
         later.min().unwrap_or(u64::MAX)
     }
 
-    /// Whether what an instance's target began in that span may have been held up on its way.
+    /// Whether requests that the target of an instance started in that span may have been
+    /// delayed on their way to it.
     pub(super) fn is_held_up(&self, instance: usize, from_us: u64, to_us: u64) -> bool {
         self.stalled.iter().any(|stall| {
             stall.instance == instance
--- a/crates/soak/src/verdict/tests.rs
+++ b/crates/soak/src/verdict/tests.rs
@@ -36,7 +36,7 @@
 /// When the call under test is sent, in microseconds.
 const SENT_US: u64 = 1_000_000;
 
-/// A claim, which may not run twice.
+/// The record of a claim, which isn't idempotent.
 fn claim(ending: Ending) -> CallRecord {
     let kind = &KINDS[1];
     CallRecord {
@@ -57,7 +57,7 @@
     }
 }
 
-/// A run of it, `after_us` after it was sent, in one of two targets.
+/// A run of the claim in one of two targets, `after_us` after it was sent.
 fn run(instance: usize, after_us: u64) -> LedgerRun {
     let started_us = SENT_US + after_us;
     let run = Run {
@@ -80,12 +80,12 @@
     InstanceId::new(&format!("desk-{n}")).expect("a name")
 }
 
-/// What was seen, and whether that keeps every promise.
+/// The observations of a run, and whether they are free of violations.
 #[derive(Debug)]
 struct Case {
     ending: Ending,
     runs: Vec<LedgerRun>,
-    /// What else happened, at microseconds after the call was sent.
+    /// Further events, each at microseconds after the call was sent.
     events: Vec<(u64, Event)>,
     stops: Vec<Stopped>,
     kept: bool,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Guards against a judge that finds nothing.
+/// Guards against a verdict that misses violations, or reports a correct run.
 #[rstest]
 #[case::answered(seen(Ending::Answered, vec![run(0, 1_000)], true))]
 #[case::answered_by_nobody(seen(Ending::Answered, Vec::new(), false))]
@@ -149,7 +149,7 @@
     assert_eq!(report.kept, case.kept, "{:?}", report.told);
 }
 
-/// Copies of a request that crashes targets, handed to a target at these seconds.
+/// Runs of a request that crashes targets, started at these seconds.
 fn copies(at_s: &[u64], end: RunEnd) -> Vec<LedgerRun> {
     let copy = |at_s: &u64| {
         let started_us = 1_000_000 * at_s;
--- a/crates/soak/src/verdict/tests/evacuations.rs
+++ b/crates/soak/src/verdict/tests/evacuations.rs
@@ -20,7 +20,7 @@
 use crate::verdict::Hurt;
 use crate::verdict::PublishedCatalogue;
 
-/// When a node is seen to have the catalogue of a revision in force, in seconds.
+/// The event that a node has a catalogue revision in force, at a time in seconds.
 fn in_force(at_s: u64, revision: u64) -> (u64, Event) {
     let revision = Revision::new(revision).expect("a revision");
     let version = Version::new(revision, Digest::of(b""));
@@ -35,7 +35,7 @@
     (at_s, Event::InForce { node, held })
 }
 
-/// A catalogue that is published at that time, in seconds.
+/// A catalogue that is published at `at_s`, in seconds.
 fn catalogue(revision: u64, at_s: u64, evacuated: &[&'static str]) -> PublishedCatalogue {
     PublishedCatalogue {
         revision,
@@ -44,8 +44,8 @@
     }
 }
 
-/// Has an instance in the north judged by what its node had in force, what its target began,
-/// in milliseconds, and what came between.
+/// Judges an instance in `north` by the versions that its node had in force, the times at
+/// which its target started requests, in milliseconds, and the ends and stalls in between.
 fn judge<T>(
     catalogues: &[PublishedCatalogue],
     in_force: &[(u64, Event)],
@@ -80,8 +80,8 @@
     judge(std::iter::once(evacuee), &facts)
 }
 
-/// A request that its target begins, in milliseconds, after what happened at the node
-/// beside it.
+/// A request that a target starts at a time, in milliseconds, and the earlier events of its
+/// node.
 #[derive(Debug)]
 struct Begun {
     in_force: Vec<(u64, Event)>,
@@ -102,9 +102,9 @@
     }
 }
 
-/// Guards against a judge that misses work in an evacuated failure domain, or finds some
-/// where it is allowed. The second catalogue evacuates it from 10 s on, the fourth takes it
-/// back at 20 s.
+/// Guards against a verdict that misses requests in an evacuated failure domain, or reports
+/// allowed ones. The second catalogue evacuates it from 10 s on, the fourth ends that at
+/// 20 s.
 #[rstest]
 #[case::before(begun(9_000, vec![in_force(1, 1), in_force(10, 2)], true))]
 #[case::on_its_way(begun(10_900, vec![in_force(10, 2)], true))]
@@ -150,8 +150,8 @@
     assert_eq!(judged.is_kept(), case.kept, "{judged:?}: {case:?}");
 }
 
-/// Requests that a target begins evenly from a time on, in milliseconds, after what happened
-/// at the node beside it.
+/// Requests that a target starts evenly from a time on, in milliseconds, and the earlier
+/// events of its node.
 #[derive(Debug)]
 struct BegunCold {
     in_force: Vec<(u64, Event)>,
@@ -174,9 +174,9 @@
     }
 }
 
-/// Guards against a judge that misses what cold targets get, or finds too much where it is
-/// allowed. The second catalogue evacuates the failure domain from 10 s on, the fourth takes
-/// it back at 20 s, and 40 requests begin.
+/// Guards against a verdict that misses excess requests to cold targets, or reports allowed
+/// ones. The second catalogue evacuates the failure domain from 10 s on, the fourth ends
+/// that at 20 s, and 40 requests start.
 #[rstest]
 #[case::as_much_as_it_tolerates(begun_cold(20_500, 34, 0))]
 #[case::at_once(begun_cold(20_500, 1, 10))]
--- a/crates/soak/src/verdict/window.rs
+++ b/crates/soak/src/verdict/window.rs
@@ -1,6 +1,6 @@
-//! A span in which a promise is judged.
+//! The span in which the requests of an instance are judged.
 
-/// A span, in microseconds since the Unix epoch; its end is no part of it.
+/// A half-open span from `from_us` to before `to_us`, in microseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Window {
     pub(super) from_us: u64,
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! Short runs of the real programs.
+//! Runs the soak for a few seconds with the real programs.
 
 use std::process::Command;
 use std::process::Output;
@@ -21,8 +21,8 @@
     serde_json::from_str(text.trim()).unwrap_or_else(|err| panic!("{err}: {text}{told}"))
 }
 
-// Nodes are stopped, killed and frozen, links cut and reset, the platform
-// misleads. Every caller hears what became of its request.
+// Nodes are stopped, killed and frozen, links are cut and reset, and the platform serves
+// stale answers. Requests get lost, or callers receive a wrong outcome.
 #[test]
 fn a_short_run_keeps_every_promise() {
     let output = soak(&["run", "--seed", "2", "--nodes", "6", "--seconds", "6"]);
@@ -40,8 +40,8 @@
     assert!(told.contains("nodes must be 2 to"), "{told}");
 }
 
-// A soak is killed in the middle of its run. Were its processes to go on, they
-// would hold their ports and memory until somebody found them.
+// The soak is killed in the middle of a run. If its child processes keep running, they
+// occupy ports and memory.
 #[test]
 fn a_killed_soak_leaves_nothing_behind() {
     let mut soak = Command::new(SOAK)
@@ -56,7 +56,7 @@
     until(|| children.iter().all(|pid| !is_running(*pid)).then_some(()));
 }
 
-/// Asks again until there is something; fails the test after a while.
+/// Polls until there is a value; fails the test after 20 s.
 fn until<T>(mut ask: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + Duration::from_secs(20);
     loop {
@@ -76,7 +76,7 @@
     ids.filter_map(Result::ok).collect()
 }
 
-/// Whether a process runs; one that ended and that nobody waited for doesn't.
+/// Whether a process runs; a zombie doesn't.
 fn is_running(pid: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let state = stat
