--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -31,17 +31,17 @@
 use serde::Serialize;
 
 pub use self::crashing::CRASHING_PATH;
-pub use self::rude::Rude;
+pub use self::irregular::IrregularCallStats;
 
 mod crashing;
-mod rude;
+mod irregular;
 
 /// The subcommand with which this program makes calls.
-pub const CALL: &str = "call";
+pub const CALL_SUBCOMMAND: &str = "call";
 
 /// The job of one caller process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Part {
+pub struct CallerJob {
     /// The number of the process, from 0.
     pub number: u64,
     /// The seed of the run.
@@ -55,19 +55,20 @@
     /// The file for the call records.
     pub records: PathBuf,
     /// The file for the counts of abandoned and pipelined requests.
-    pub rude: PathBuf,
+    #[serde(rename = "rude")]
+    pub irregular: PathBuf,
 }
 
-impl Part {
+impl CallerJob {
     /// Writes the job to `file` and returns the arguments with which this program runs it.
     ///
     /// # Errors
     ///
     /// Fails if `file` can't be written.
-    pub fn write(&self, file: &Path) -> miette::Result<Vec<OsString>> {
+    pub fn write_args(&self, file: &Path) -> miette::Result<Vec<OsString>> {
         let text = serde_json::to_vec(self).into_diagnostic()?;
         std::fs::write(file, text).into_diagnostic()?;
-        Ok(vec![CALL.into(), file.as_os_str().to_owned()])
+        Ok(vec![CALL_SUBCOMMAND.into(), file.as_os_str().to_owned()])
     }
 }
 
@@ -76,17 +77,17 @@
 /// # Errors
 ///
 /// Fails if a file can't be read or written.
-pub async fn call(file: &Path) -> miette::Result<()> {
+pub async fn run_job(file: &Path) -> miette::Result<()> {
     let text = std::fs::read(file).into_diagnostic()?;
-    let part: Part = serde_json::from_slice(&text).into_diagnostic()?;
-    let length = Duration::from_millis(part.length_ms);
+    let job: CallerJob = serde_json::from_slice(&text).into_diagnostic()?;
+    let length = Duration::from_millis(job.length_ms);
     // Each process of a run draws different calls, and the same ones in each repetition.
-    let seed = part.seed.wrapping_mul(1_000).wrapping_add(part.number);
-    let plan = Plan::new(&KINDS, part.rate_per_s, length, seed);
-    let run = format!("s{}-{}", part.seed, part.number);
+    let seed = job.seed.wrapping_mul(1_000).wrapping_add(job.number);
+    let plan = Plan::new(&KINDS, job.rate_per_s, length, seed);
+    let run = format!("s{}-{}", job.seed, job.number);
     let caller = Caller {
         client: Client::default(),
-        way: Way::Nodes(Entries::new(part.entries.clone())),
+        way: Way::Nodes(Entries::new(job.entries.clone())),
         kinds: KINDS.to_vec(),
         run: run.clone(),
         repeats: REPEATS,
@@ -94,12 +95,12 @@
         grace: GRACE,
     };
     let load = OpenLoop::run(plan, Arc::new(caller));
-    let rude = rude::call(&part.entries, &run, length, seed);
-    let crashing = crashing::call(&part.entries, &run, length, part.seed);
-    let (load, rude, ()) = tokio::join!(load, rude, crashing);
-    let rude = serde_json::to_vec(&rude).into_diagnostic()?;
-    std::fs::write(&part.rude, rude).into_diagnostic()?;
-    let out = File::create(&part.records).into_diagnostic()?;
+    let irregular = irregular::send_requests(&job.entries, &run, length, seed);
+    let crashing = crashing::send_requests(&job.entries, &run, length, job.seed);
+    let (load, irregular, ()) = tokio::join!(load, irregular, crashing);
+    let irregular = serde_json::to_vec(&irregular).into_diagnostic()?;
+    std::fs::write(&job.irregular, irregular).into_diagnostic()?;
+    let out = File::create(&job.records).into_diagnostic()?;
     let mut out = BufWriter::new(out);
     for record in &load.records {
         serde_json::to_writer(&mut out, record).into_diagnostic()?;
@@ -113,14 +114,14 @@
 /// # Errors
 ///
 /// Fails if the file can't be read.
-pub fn read_rude(file: &Path) -> miette::Result<Rude> {
+pub fn read_irregular(file: &Path) -> miette::Result<IrregularCallStats> {
     let text = std::fs::read(file).into_diagnostic()?;
     serde_json::from_slice(&text).into_diagnostic()
 }
 
 /// A call record as it is stored in the file.
 #[derive(Debug, Deserialize)]
-struct Written {
+struct StoredRecord {
     id: String,
     key: Option<String>,
     attempt: u32,
@@ -143,29 +144,29 @@
     let lines = BufReader::new(File::open(file).into_diagnostic()?).lines();
     let records = lines.map(|line| {
         let line = line.into_diagnostic()?;
-        let written: Written = serde_json::from_str(&line).into_diagnostic()?;
-        record(written)
+        let stored: StoredRecord = serde_json::from_str(&line).into_diagnostic()?;
+        to_call_record(stored)
     });
     records.collect()
 }
 
-fn record(written: Written) -> miette::Result<CallRecord> {
-    let kind = KINDS.iter().find(|kind| kind.name == written.kind);
-    let kind = kind.ok_or_else(|| miette!("unknown call kind {}", written.kind))?;
+fn to_call_record(stored: StoredRecord) -> miette::Result<CallRecord> {
+    let kind = KINDS.iter().find(|kind| kind.name == stored.kind);
+    let kind = kind.ok_or_else(|| miette!("unknown call kind {}", stored.kind))?;
     Ok(CallRecord {
-        id: written.id,
-        key: written.key,
-        attempt: written.attempt,
+        id: stored.id,
+        key: stored.key,
+        attempt: stored.attempt,
         kind: kind.name,
         class: kind.class,
         weight: kind.weight,
         idempotent: kind.idempotent,
-        entry: written.entry,
-        sent_us: written.sent_us,
-        ended_us: written.ended_us,
-        latency: written.latency,
-        status: written.status,
-        ending: written.ending,
-        detail: written.detail,
+        entry: stored.entry,
+        sent_us: stored.sent_us,
+        ended_us: stored.ended_us,
+        latency: stored.latency,
+        status: stored.status,
+        ending: stored.ending,
+        detail: stored.detail,
     })
 }
--- a/crates/soak/src/callers/crashing.rs
+++ b/crates/soak/src/callers/crashing.rs
@@ -16,46 +16,46 @@
 pub const CRASHING_PATH: &str = "/workshop/policies/crashing";
 
 /// Combined with the seed of the run, so that these draws have a generator of their own.
-const CRASHING: u64 = 0xc7a5_4173;
+const CRASHING_SEED: u64 = 0xc7a5_4173;
 
 /// One run in this many has such callers.
-const ONE_IN: u32 = 2;
+const ONE_RUN_IN: u32 = 2;
 
 /// When the first request is sent, in milliseconds after the start of the calls.
-const FIRST_MS: std::ops::Range<u64> = 500..2_500;
+const FIRST_REQUEST_MS: std::ops::Range<u64> = 500..2_500;
 
 /// The time between two requests, in milliseconds.
-const EVERY_MS: std::ops::Range<u64> = 20..200;
+const INTERVAL_MS: std::ops::Range<u64> = 20..200;
 
 /// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(2);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Sends such requests for `length`, if the seed selects this run.
-pub(super) async fn call(entries: &[SocketAddr], run: &str, length: Duration, seed: u64) {
-    let mut rng = SmallRng::seed_from_u64(seed ^ CRASHING);
-    if entries.is_empty() || rng.random_range(0..ONE_IN) != 0 {
+pub(super) async fn send_requests(entries: &[SocketAddr], run: &str, length: Duration, seed: u64) {
+    let mut rng = SmallRng::seed_from_u64(seed ^ CRASHING_SEED);
+    if entries.is_empty() || rng.random_range(0..ONE_RUN_IN) != 0 {
         return;
     }
     let end = Instant::now() + length;
     let mut calls = JoinSet::new();
-    tokio::time::sleep(Duration::from_millis(rng.random_range(FIRST_MS))).await;
-    for n in 0_u64.. {
+    tokio::time::sleep(Duration::from_millis(rng.random_range(FIRST_REQUEST_MS))).await;
+    for number in 0_u64.. {
         if Instant::now() >= end {
             break;
         }
         let entry = entries[rng.random_range(0..entries.len())];
-        let id = format!("{run}-crashing-{n}");
+        let id = format!("{run}-crashing-{number}");
         calls.spawn(async move {
             // The result is ignored: the caller repeats the request after any answer.
-            let _ = tokio::time::timeout(PATIENCE, ask(entry, &id)).await;
+            let _ = tokio::time::timeout(CALLER_TIMEOUT, send_request(entry, &id)).await;
         });
-        let pause = Duration::from_millis(rng.random_range(EVERY_MS));
-        tokio::time::sleep(pause).await;
+        let interval = Duration::from_millis(rng.random_range(INTERVAL_MS));
+        tokio::time::sleep(interval).await;
     }
     calls.join_all().await;
 }
 
-async fn ask(entry: SocketAddr, id: &str) -> std::io::Result<usize> {
+async fn send_request(entry: SocketAddr, id: &str) -> std::io::Result<usize> {
     let mut io = TcpStream::connect(entry).await?;
     let request = format!(
         "GET {CRASHING_PATH} HTTP/1.1\r\nhost: a\r\nx-request-id: {id}\r\n\
--- a/crates/soak/src/callers/rude.rs
+++ b/crates/soak/src/callers/irregular.rs
@@ -21,34 +21,36 @@
 mod tests;
 
 /// The time between two such callers.
-const EVERY: Duration = Duration::from_millis(50);
+const INTERVAL: Duration = Duration::from_millis(50);
 
 /// Requests that are pipelined over one connection.
-const TOGETHER: usize = 4;
+const PIPELINED_REQUESTS: usize = 4;
 
 /// How long a caller waits for the answers to pipelined requests.
-const PATIENCE: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long after connecting a caller abandons its request, in milliseconds.
-const LEAVE_MS: std::ops::Range<u64> = 1..100;
+const ABANDON_AFTER_MS: std::ops::Range<u64> = 1..100;
 
 /// Counts of abandoned and pipelined requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rude {
+pub struct IrregularCallStats {
     /// Callers that abandoned their request.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub abandoned: u64,
     /// Connections with pipelined requests.
-    pub together: u64,
+    #[serde(rename = "together")]
+    pub pipelined: u64,
     /// Connections with pipelined requests whose answers arrived in another order.
     pub out_of_order: u64,
 }
 
-impl Rude {
+impl IrregularCallStats {
     /// Adds up two counts.
-    pub fn and(self, other: Rude) -> Rude {
-        Rude {
-            left: self.left + other.left,
-            together: self.together + other.together,
+    pub fn merge(self, other: IrregularCallStats) -> IrregularCallStats {
+        IrregularCallStats {
+            abandoned: self.abandoned + other.abandoned,
+            pipelined: self.pipelined + other.pipelined,
             out_of_order: self.out_of_order + other.out_of_order,
         }
     }
@@ -56,54 +58,63 @@
 
 /// Sends such requests for `length`; their ids begin with `run`, which tells them from
 /// those of other processes.
-pub(super) async fn call(entries: &[SocketAddr], run: &str, length: Duration, seed: u64) -> Rude {
+pub(super) async fn send_requests(
+    entries: &[SocketAddr],
+    run: &str,
+    length: Duration,
+    seed: u64,
+) -> IrregularCallStats {
     let mut rng = SmallRng::seed_from_u64(seed);
     let end = Instant::now() + length;
     let mut calls = JoinSet::new();
     for n in 0_u64.. {
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(INTERVAL).await;
         if Instant::now() >= end || entries.is_empty() {
             break;
         }
         let entry = entries[rng.random_range(0..entries.len())];
         let id = format!("{run}-rude-{n}");
-        let leaves = Duration::from_millis(rng.random_range(LEAVE_MS));
+        let abandon_after = Duration::from_millis(rng.random_range(ABANDON_AFTER_MS));
         calls.spawn(async move {
             match n % 2 {
-                0 => leave(entry, &id, leaves).await,
-                _ => together(entry, &id).await,
+                0 => abandon(entry, &id, abandon_after).await,
+                _ => pipeline(entry, &id).await,
             }
         });
     }
-    let seen = calls.join_all().await;
-    seen.into_iter().fold(Rude::default(), Rude::and)
+    let counts = calls.join_all().await;
+    counts
+        .into_iter()
+        .fold(IrregularCallStats::default(), IrregularCallStats::merge)
 }
 
 /// Sends one request and closes the connection after `after`.
-async fn leave(entry: SocketAddr, id: &str, after: Duration) -> Rude {
+async fn abandon(entry: SocketAddr, id: &str, after: Duration) -> IrregularCallStats {
     let ids = [id.to_owned()];
-    let _ = tokio::time::timeout(after, ask(entry, &ids)).await;
-    Rude {
-        left: 1,
-        ..Rude::default()
+    let _ = tokio::time::timeout(after, send_and_read(entry, &ids)).await;
+    IrregularCallStats {
+        abandoned: 1,
+        ..IrregularCallStats::default()
     }
 }
 
 /// Sends several requests at once and checks the order of their answers.
-async fn together(entry: SocketAddr, id: &str) -> Rude {
-    let ids: Vec<String> = (0..TOGETHER).map(|n| format!("{id}-{n}")).collect();
-    let answers = tokio::time::timeout(PATIENCE, ask(entry, &ids)).await;
+async fn pipeline(entry: SocketAddr, id: &str) -> IrregularCallStats {
+    let ids: Vec<String> = (0..PIPELINED_REQUESTS)
+        .map(|n| format!("{id}-{n}"))
+        .collect();
+    let answers = tokio::time::timeout(READ_TIMEOUT, send_and_read(entry, &ids)).await;
     // Under faults a connection may break before all answers, but never reorders them.
     let text = answers.unwrap_or_default();
-    Rude {
-        together: 1,
+    IrregularCallStats {
+        pipelined: 1,
         out_of_order: u64::from(!is_in_order(&text, &ids)),
-        ..Rude::default()
+        ..IrregularCallStats::default()
     }
 }
 
 /// Sends one lookup for each id and reads to the end of the connection.
-async fn ask(entry: SocketAddr, ids: &[String]) -> String {
+async fn send_and_read(entry: SocketAddr, ids: &[String]) -> String {
     let mut text = String::new();
     let Ok(mut io) = TcpStream::connect(entry).await else {
         return text;
@@ -111,7 +122,7 @@
     let requests: String = ids
         .iter()
         .enumerate()
-        .map(|(n, id)| request(n + 1 == ids.len(), id))
+        .map(|(n, id)| format_request(n + 1 == ids.len(), id))
         .collect();
     if io.write_all(requests.as_bytes()).await.is_ok() {
         // After an error, `text` holds what was read before it.
@@ -120,7 +131,7 @@
     text
 }
 
-fn request(is_last: bool, id: &str) -> String {
+fn format_request(is_last: bool, id: &str) -> String {
     // Lookups are idempotent, so nodes start them before earlier requests are answered.
     let CallKind { name, path, .. } = &KINDS[2];
     let close = if is_last { "connection: close\r\n" } else { "" };
@@ -130,7 +141,7 @@
 /// Whether the answers that arrived are in the order of their requests. The body of an
 /// answer begins with the id of its request.
 fn is_in_order(answers: &str, ids: &[String]) -> bool {
-    let place = |id: &String| answers.find(&format!("\r\n\r\n{id}\n"));
-    let places: Vec<usize> = ids.iter().filter_map(place).collect();
-    places.is_sorted()
+    let position = |id: &String| answers.find(&format!("\r\n\r\n{id}\n"));
+    let positions: Vec<usize> = ids.iter().filter_map(position).collect();
+    positions.is_sorted()
 }
--- a/crates/soak/src/child.rs
+++ b/crates/soak/src/child.rs
@@ -15,8 +15,8 @@
 use tokio::process::Command;
 
 /// The subcommand with which this program replaces itself by another one; see
-/// [`become_program`].
-pub const UNDER: &str = "under";
+/// [`exec_program`].
+pub const UNDER_SUBCOMMAND: &str = "under";
 
 /// A running program.
 ///
@@ -41,7 +41,7 @@
         let path = process::beside(program)?;
         let log = File::options().create(true).append(true).open(log)?;
         let process = Command::new(own)
-            .arg(UNDER)
+            .arg(UNDER_SUBCOMMAND)
             .arg(std::process::id().to_string())
             .arg(path)
             .arg("--")
@@ -85,7 +85,7 @@
 /// Replaces this process by `program`, which the system kills when `parent` ends.
 ///
 /// Returns only on failure.
-pub fn become_program(parent: u32, program: &Path, args: &[OsString]) -> std::io::Error {
+pub fn exec_program(parent: u32, program: &Path, args: &[OsString]) -> std::io::Error {
     if let Err(err) = set_parent_process_death_signal(Some(Signal::KILL)) {
         return err.into();
     }
--- a/crates/soak/src/driver.rs
+++ b/crates/soak/src/driver.rs
@@ -20,20 +20,20 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use self::hurts::Hurts;
+use self::impairments::Impairments;
 use self::operators::Operators;
-use self::switches::of_platform;
+use self::switches::platform_switches;
 use crate::fleet::Fleet;
 use crate::fleet::Member;
 use crate::schedule::Fault;
 use crate::schedule::PlatformFault;
 use crate::schedule::Schedule;
 use crate::schedule::Step;
-use crate::verdict::Hurt;
+use crate::verdict::Impairment;
 use crate::verdict::PublishedCatalogue;
-use crate::verdict::crashes;
+use crate::verdict::crashed_runs;
 
-mod hurts;
+mod impairments;
 mod links;
 mod nodes;
 mod operators;
@@ -42,7 +42,7 @@
 
 /// How long a target is unavailable after a request crashed it, in microseconds. Covers
 /// its restart and its cold start.
-const DOWN_US: u64 = 500_000;
+const CRASH_DOWNTIME_US: u64 = 500_000;
 
 /// Runs the steps of a schedule and records when each fault affected which instance.
 #[derive(Debug)]
@@ -52,18 +52,18 @@
     log: Arc<Log>,
     stops: Mutex<Vec<Stopped>>,
     /// One lock per instance, held while a fault is applied to the process of its node.
-    nodes: Vec<tokio::sync::Mutex<()>>,
+    node_locks: Vec<tokio::sync::Mutex<()>>,
     /// One lock per instance, held while a fault is applied to its target.
-    targets: Vec<tokio::sync::Mutex<()>>,
-    platform: tokio::sync::Mutex<()>,
+    target_locks: Vec<tokio::sync::Mutex<()>>,
+    platform_lock: tokio::sync::Mutex<()>,
     /// Locked while the begin or end of an impairment is logged, so that the log has them
     /// in their order.
-    hurts: Mutex<Hurts>,
+    impairments: Mutex<Impairments>,
     /// When node processes were killed.
     kills: Mutex<Vec<Stopped>>,
     /// When nodes, their targets or the links between them were stalled, so that requests
     /// start later than they were handed over.
-    stalled: Mutex<Vec<Hurt>>,
+    stalls: Mutex<Vec<Impairment>>,
 }
 
 impl Driver {
@@ -85,12 +85,12 @@
             fleet,
             log,
             stops: Mutex::default(),
-            nodes: locks(),
-            targets: locks(),
-            platform: tokio::sync::Mutex::new(()),
-            hurts: Mutex::default(),
+            node_locks: locks(),
+            target_locks: locks(),
+            platform_lock: tokio::sync::Mutex::new(()),
+            impairments: Mutex::default(),
             kills: Mutex::default(),
-            stalled: Mutex::default(),
+            stalls: Mutex::default(),
         })
     }
 
@@ -110,22 +110,22 @@
     }
 
     /// When nodes, their targets or the links between them were stalled.
-    pub fn stalled(&self) -> Vec<Hurt> {
-        lock(&self.stalled).clone()
+    pub fn stalls(&self) -> Vec<Impairment> {
+        lock(&self.stalls).clone()
     }
 
     /// When faults kept nodes from receiving new versions.
-    pub fn hurt(&self) -> Vec<Hurt> {
-        lock(&self.hurts).all().to_vec()
+    pub fn impairments(&self) -> Vec<Impairment> {
+        lock(&self.impairments).all().to_vec()
     }
 
     /// Records the crashes that requests caused according to the ledgers of the targets.
-    pub fn note_crashes(&self, runs: &[LedgerRun]) {
-        for (at_us, run) in crashes(runs) {
+    pub fn record_crashes(&self, runs: &[LedgerRun]) {
+        for (at_us, run) in crashed_runs(runs) {
             let target = self.id(run.instance);
             self.log.record_at(at_us, Event::Crashed { target });
             let kind = OutageKind::TargetCrashed;
-            self.note_until(run.instance, kind, at_us, at_us + DOWN_US);
+            self.record_outage_until(run.instance, kind, at_us, at_us + CRASH_DOWNTIME_US);
         }
     }
 
@@ -134,15 +134,15 @@
     /// # Errors
     ///
     /// Fails if a fault can't be applied, or a process can't be started again.
-    pub async fn play(self: &Arc<Driver>, schedule: &Schedule) -> miette::Result<()> {
+    pub async fn run_schedule(self: &Arc<Driver>, schedule: &Schedule) -> miette::Result<()> {
         let start = Instant::now();
-        let mut under_way = JoinSet::new();
+        let mut running = JoinSet::new();
         for &step in &schedule.steps {
             tokio::time::sleep_until(start + step.at).await;
             let driver = Arc::clone(self);
-            under_way.spawn(async move { driver.perform(step).await });
+            running.spawn(async move { driver.run_step(step).await });
         }
-        while let Some(done) = under_way.join_next().await {
+        while let Some(done) = running.join_next().await {
             done.into_diagnostic()??;
         }
         Ok(())
@@ -150,39 +150,39 @@
 
     /// Runs one step. Steps for the same process run one after another, so that the steps
     /// of a series don't overlap; a step may therefore start late.
-    async fn perform(&self, step: Step) -> miette::Result<()> {
+    async fn run_step(&self, step: Step) -> miette::Result<()> {
         match step.fault {
-            Fault::Node(n, what) => {
-                let _turn = self.nodes[n].lock().await;
-                self.of_node(n, what, step.length).await
+            Fault::Node(n, fault) => {
+                let _guard = self.node_locks[n].lock().await;
+                self.apply_node_fault(n, fault, step.length).await
             }
-            Fault::Herd => self.herd(step.length).await,
-            Fault::Target(n, what) => {
-                let _turn = self.targets[n].lock().await;
-                self.of_target(n, what, step.length).await
+            Fault::Herd => self.kill_every_second_node(step.length).await,
+            Fault::Target(n, fault) => {
+                let _guard = self.target_locks[n].lock().await;
+                self.apply_target_fault(n, fault, step.length).await
             }
-            Fault::Link(n, way, what) => {
-                self.of_link(n, way, what, step.length).await;
+            Fault::Link(n, role, fault) => {
+                self.apply_link_fault(n, role, fault, step.length).await;
                 Ok(())
             }
-            Fault::Platform(what) => {
-                let _turn = self.platform.lock().await;
-                self.of_platform(what, step.length).await
+            Fault::Platform(fault) => {
+                let _guard = self.platform_lock.lock().await;
+                self.apply_platform_fault(fault, step.length).await
             }
             Fault::Evacuate(domain) => {
                 let platform = &self.fleet.platform;
                 let domain = DOMAINS[domain];
                 self.operators
-                    .evacuate(domain, true, platform, &self.log)
+                    .change_evacuation(domain, true, platform, &self.log)
                     .await?;
                 tokio::time::sleep(step.length).await;
                 self.operators
-                    .evacuate(domain, false, platform, &self.log)
+                    .change_evacuation(domain, false, platform, &self.log)
                     .await
             }
-            Fault::Publish(good) => {
+            Fault::Publish(valid) => {
                 let platform = &self.fleet.platform;
-                self.operators.publish(good, platform, &self.log).await
+                self.operators.publish(valid, platform, &self.log).await
             }
         }
     }
@@ -195,19 +195,27 @@
         self.member(n).instance.id.clone()
     }
 
-    async fn of_platform(&self, what: PlatformFault, length: Duration) -> miette::Result<()> {
+    async fn apply_platform_fault(
+        &self,
+        fault: PlatformFault,
+        length: Duration,
+    ) -> miette::Result<()> {
         let platform = &self.fleet.platform;
         self.log.record(Event::SourceLost);
-        if what == PlatformFault::Freeze {
-            platform.freeze(true).into_diagnostic()?;
+        if fault == PlatformFault::Freeze {
+            platform.set_frozen(true).into_diagnostic()?;
             tokio::time::sleep(length).await;
-            platform.freeze(false).into_diagnostic()?;
+            platform.set_frozen(false).into_diagnostic()?;
         } else {
-            platform.switch(&of_platform(what, length, true)).await?;
+            platform
+                .set_switches(&platform_switches(fault, length, true))
+                .await?;
             tokio::time::sleep(length).await;
-            platform.switch(&of_platform(what, length, false)).await?;
+            platform
+                .set_switches(&platform_switches(fault, length, false))
+                .await?;
         }
-        if what == PlatformFault::ListLag {
+        if fault == PlatformFault::ListLag {
             // A list that was published at the end is still delayed by that time.
             tokio::time::sleep(length).await;
         }
@@ -216,30 +224,32 @@
     }
 
     /// Publishes the instance list with a new state of one instance, or without it.
-    async fn list_as(&self, n: usize, state: Option<InstanceState>) -> miette::Result<()> {
+    async fn publish_state(&self, n: usize, state: Option<InstanceState>) -> miette::Result<()> {
         let platform = &self.fleet.platform;
-        self.operators.list_as(n, state, platform, &self.log).await
+        self.operators
+            .publish_state(n, state, platform, &self.log)
+            .await
     }
 
     /// Records that a fault begins to keep a node from receiving new versions.
-    fn lose(&self, n: usize) {
-        let mut hurts = lock(&self.hurts);
-        if hurts.begin(n) {
+    fn begin_impairment(&self, n: usize) {
+        let mut impairments = lock(&self.impairments);
+        if impairments.begin(n) {
             self.log.record(Event::NodeLost { node: self.id(n) });
         }
     }
 
     /// Records that such a fault ended.
-    fn regain(&self, n: usize) {
-        let mut hurts = lock(&self.hurts);
-        if hurts.end(n) {
+    fn end_impairment(&self, n: usize) {
+        let mut impairments = lock(&self.impairments);
+        if impairments.end(n) {
             self.log.record(Event::NodeBack { node: self.id(n) });
         }
     }
 
     /// Records that a node, its target or the link between them was stalled until now.
-    fn note_stall(&self, n: usize, from_us: u64) {
-        lock(&self.stalled).push(Hurt {
+    fn record_stall(&self, n: usize, from_us: u64) {
+        lock(&self.stalls).push(Impairment {
             instance: n,
             from_us,
             to_us: now_us(),
@@ -247,19 +257,19 @@
     }
 
     /// Records an outage of an instance that lasted until now.
-    fn note(&self, n: usize, kind: OutageKind, from_us: u64) {
-        self.note_until(n, kind, from_us, now_us());
+    fn record_outage(&self, n: usize, kind: OutageKind, from_us: u64) {
+        self.record_outage_until(n, kind, from_us, now_us());
     }
 
     /// Records an outage of an instance. A fault of the callers' link doesn't affect callers
     /// that connect to the node directly.
-    fn note_until(&self, n: usize, kind: OutageKind, from_us: u64, to_us: u64) {
+    fn record_outage_until(&self, n: usize, kind: OutageKind, from_us: u64, to_us: u64) {
         let member = self.member(n);
-        let by_link = (kind == OutageKind::CallersCut).then_some(member.entry);
-        let both = [member.ingress, member.entry];
-        for entry in both
+        let affected = (kind == OutageKind::CallersCut).then_some(member.linked_ingress);
+        let entries = [member.ingress, member.linked_ingress];
+        for entry in entries
             .into_iter()
-            .filter(|it| by_link.is_none_or(|only| only == *it))
+            .filter(|it| affected.is_none_or(|affected| affected == *it))
         {
             self.log.add(Outage {
                 instance: n,
--- a/crates/soak/src/driver/hurts.rs
+++ b/crates/soak/src/driver/impairments.rs
@@ -2,7 +2,7 @@
 
 use sassafrasspool_bench::chaos::log::now_us;
 
-use crate::verdict::Hurt;
+use crate::verdict::Impairment;
 
 /// When faults kept nodes from receiving new versions. Several faults of one node may
 /// overlap.
@@ -11,13 +11,13 @@
 ///
 /// An impairment that hasn't ended has `u64::MAX` as its end.
 #[derive(Debug, Default)]
-pub(super) struct Hurts(Vec<Hurt>);
+pub(super) struct Impairments(Vec<Impairment>);
 
-impl Hurts {
+impl Impairments {
     /// Begins an impairment of a node. Returns whether the node had no other.
     pub(super) fn begin(&mut self, instance: usize) -> bool {
-        let is_first = !self.goes_on(instance);
-        self.0.push(Hurt {
+        let is_first = !self.is_impaired(instance);
+        self.0.push(Impairment {
             instance,
             from_us: now_us(),
             to_us: u64::MAX,
@@ -28,23 +28,23 @@
     /// Ends the oldest impairment of a node, whichever fault ended: the node stays impaired
     /// until the last one has ended. Returns whether none is left.
     pub(super) fn end(&mut self, instance: usize) -> bool {
-        let oldest = self.0.iter_mut().find(|hurt| is_open(hurt, instance));
+        let oldest = self.0.iter_mut().find(|it| is_open(it, instance));
         if let Some(oldest) = oldest {
             oldest.to_us = now_us();
         }
-        !self.goes_on(instance)
+        !self.is_impaired(instance)
     }
 
     /// All impairments, ended or not.
-    pub(super) fn all(&self) -> &[Hurt] {
+    pub(super) fn all(&self) -> &[Impairment] {
         &self.0
     }
 
-    fn goes_on(&self, instance: usize) -> bool {
-        self.0.iter().any(|hurt| is_open(hurt, instance))
+    fn is_impaired(&self, instance: usize) -> bool {
+        self.0.iter().any(|it| is_open(it, instance))
     }
 }
 
-fn is_open(hurt: &Hurt, instance: usize) -> bool {
-    hurt.instance == instance && hurt.to_us == u64::MAX
+fn is_open(impairment: &Impairment, instance: usize) -> bool {
+    impairment.instance == instance && impairment.to_us == u64::MAX
 }
--- a/crates/soak/src/driver/nodes.rs
+++ b/crates/soak/src/driver/nodes.rs
@@ -17,29 +17,29 @@
 /// The longest time before its exit in which a stopping node closes idle connections, in
 /// microseconds. While it refuses requests, the node announces the close in each answer;
 /// it exits shortly after.
-const CLOSE_US: u64 = 500_000;
+const IDLE_CLOSE_US: u64 = 500_000;
 
 impl Driver {
     /// Applies a fault to the process of a node.
-    pub(super) async fn of_node(
+    pub(super) async fn apply_node_fault(
         &self,
         n: usize,
-        what: NodeFault,
+        fault: NodeFault,
         length: Duration,
     ) -> miette::Result<()> {
         let member = self.member(n);
-        match what {
+        match fault {
             NodeFault::Stop => self.stop(n, length).await,
             NodeFault::Kill => self.kill(n, length).await,
             NodeFault::Freeze => {
                 let from_us = now_us();
-                self.lose(n);
+                self.begin_impairment(n);
                 member.signal_node(Signal::STOP).await.into_diagnostic()?;
                 tokio::time::sleep(length).await;
                 member.signal_node(Signal::CONT).await.into_diagnostic()?;
-                self.regain(n);
-                self.note_stall(n, from_us);
-                self.note(n, OutageKind::NodePaused, from_us);
+                self.end_impairment(n);
+                self.record_stall(n, from_us);
+                self.record_outage(n, OutageKind::NodePaused, from_us);
                 Ok(())
             }
             NodeFault::ReloadBySignal => {
@@ -54,32 +54,36 @@
         let member = self.member(n);
         let from_us = now_us();
         let target = self.id(n);
-        self.list_as(n, Some(InstanceState::Leaving)).await?;
+        self.publish_state(n, Some(InstanceState::Leaving)).await?;
         // The bound of the drain counts from when the platform accepted the list; a frozen
         // platform accepts it late.
         let began = Event::DrainBegan {
             target: target.clone(),
         };
         self.log.record(began);
-        let whole = member.stop_node().await.into_diagnostic()?;
-        self.note(n, OutageKind::IdleClosed, now_us().saturating_sub(CLOSE_US));
+        let cut_nothing = member.stop_node().await.into_diagnostic()?;
+        self.record_outage(
+            n,
+            OutageKind::IdleClosed,
+            now_us().saturating_sub(IDLE_CLOSE_US),
+        );
         lock(&self.stops).push(Stopped {
             instance: n,
             at_us: now_us(),
         });
-        let cut = u64::from(!whole);
+        let cut = u64::from(!cut_nothing);
         self.log.record(Event::DrainEnded { target, cut });
-        self.lose(n);
+        self.begin_impairment(n);
         tokio::time::sleep(down).await;
         member.start_node().await.into_diagnostic()?;
-        self.regain_after_stop(n);
-        self.note(n, OutageKind::CallersCut, from_us);
-        self.list_as(n, Some(InstanceState::Live)).await
+        self.end_planned_stop(n);
+        self.record_outage(n, OutageKind::CallersCut, from_us);
+        self.publish_state(n, Some(InstanceState::Live)).await
     }
 
     async fn kill(&self, n: usize, down: Duration) -> miette::Result<()> {
         let from_us = now_us();
-        self.lose(n);
+        self.begin_impairment(n);
         self.member(n).kill_node().await.into_diagnostic()?;
         lock(&self.kills).push(Stopped {
             instance: n,
@@ -87,20 +91,20 @@
         });
         tokio::time::sleep(down).await;
         self.member(n).start_node().await.into_diagnostic()?;
-        self.regain(n);
-        self.note(n, OutageKind::NodeKilled, from_us);
+        self.end_impairment(n);
+        self.record_outage(n, OutageKind::NodeKilled, from_us);
         Ok(())
     }
 
     /// Kills every second node at once, except for nodes to which a fault is being applied
     /// already.
-    pub(super) async fn herd(&self, down: Duration) -> miette::Result<()> {
-        let herd = (0..self.fleet.members.len()).step_by(2);
+    pub(super) async fn kill_every_second_node(&self, down: Duration) -> miette::Result<()> {
+        let nodes = (0..self.fleet.members.len()).step_by(2);
         let mut kills = Vec::new();
-        for n in herd {
+        for n in nodes {
             kills.push(async move {
-                match self.nodes[n].try_lock() {
-                    Ok(_turn) => self.kill(n, down).await,
+                match self.node_locks[n].try_lock() {
+                    Ok(_guard) => self.kill(n, down).await,
                     Err(_) => Ok(()),
                 }
             });
@@ -111,11 +115,11 @@
 
     /// Records that a node runs again after a planned stop, and that it is still impaired if
     /// another fault keeps it from receiving new versions.
-    fn regain_after_stop(&self, n: usize) {
-        let mut hurts = lock(&self.hurts);
-        let follows = hurts.end(n);
+    fn end_planned_stop(&self, n: usize) {
+        let mut impairments = lock(&self.impairments);
+        let is_unimpaired = impairments.end(n);
         self.log.record(Event::NodeBack { node: self.id(n) });
-        if !follows {
+        if !is_unimpaired {
             self.log.record(Event::NodeLost { node: self.id(n) });
         }
     }
--- a/crates/soak/src/driver/switches.rs
+++ b/crates/soak/src/driver/switches.rs
@@ -11,21 +11,27 @@
 use crate::schedule::TargetFault;
 
 /// The time by which a slow target delays each request, in milliseconds.
-const SLOW_MS: u64 = 200;
+const SLOWDOWN_MS: u64 = 200;
 
 /// The time by which the platform delays answers, so that newer ones overtake them, in
 /// milliseconds.
-const CROSSING_MS: u64 = 300;
+const ANSWER_DELAY_MS: u64 = 300;
 
 /// The switches that begin or end a fault of the platform. A freeze has no switch.
-pub(super) fn of_platform(what: PlatformFault, length: Duration, on: bool) -> PlatformSwitches {
+pub(super) fn platform_switches(
+    fault: PlatformFault,
+    length: Duration,
+    on: bool,
+) -> PlatformSwitches {
     let mut switches = PlatformSwitches::default();
     let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX);
-    match what {
+    match fault {
         PlatformFault::Outage => switches.outage = Some(on),
         PlatformFault::Stale => switches.stale = Some(on),
         PlatformFault::ListLag => switches.list_lag_ms = Some(u64::from(on) * length_ms),
-        PlatformFault::SlowAnswers => switches.answer_delay_ms = Some(u64::from(on) * CROSSING_MS),
+        PlatformFault::SlowAnswers => {
+            switches.answer_delay_ms = Some(u64::from(on) * ANSWER_DELAY_MS);
+        }
         PlatformFault::Silence => switches.silent = Some(on),
         PlatformFault::Freeze => {}
     }
@@ -33,17 +39,17 @@
 }
 
 /// The switches that begin or end a fault of a target.
-pub(super) fn of_target(what: TargetFault, on: bool) -> TargetSwitches {
+pub(super) fn target_switches(fault: TargetFault, on: bool) -> TargetSwitches {
     let mut switches = TargetSwitches::default();
-    match what {
+    match fault {
         TargetFault::Drain => switches.drain = Some(on),
-        TargetFault::Slow => switches.slow_ms = Some(u64::from(on) * SLOW_MS),
+        TargetFault::Slow => switches.slow_ms = Some(u64::from(on) * SLOWDOWN_MS),
         TargetFault::Hang => switches.hang_after_run = Some(on),
         TargetFault::CutAnswers => switches.cut_body = Some(on),
         TargetFault::Late => {
             switches.late = Some(LateAnswers {
                 every: u64::from(on) * 3,
-                by_ms: 2 * SLOW_MS,
+                by_ms: 2 * SLOWDOWN_MS,
             });
         }
         _ => {
--- a/crates/soak/src/driver/targets.rs
+++ b/crates/soak/src/driver/targets.rs
@@ -9,41 +9,41 @@
 use sassafrasspool_core::history::Event;
 
 use super::Driver;
-use super::switches::of_target;
+use super::switches::target_switches;
 use crate::schedule::TargetFault;
 
 impl Driver {
     /// Applies a fault to a target.
-    pub(super) async fn of_target(
+    pub(super) async fn apply_target_fault(
         &self,
         n: usize,
-        what: TargetFault,
+        fault: TargetFault,
         length: Duration,
     ) -> miette::Result<()> {
         let target = &self.member(n).target;
-        match what {
+        match fault {
             TargetFault::Crash => self.crash(n, length).await,
             TargetFault::Freeze => {
                 let from_us = now_us();
-                target.freeze(true).into_diagnostic()?;
+                target.set_frozen(true).into_diagnostic()?;
                 tokio::time::sleep(length).await;
-                target.freeze(false).into_diagnostic()?;
-                self.note_stall(n, from_us);
+                target.set_frozen(false).into_diagnostic()?;
+                self.record_stall(n, from_us);
                 Ok(())
             }
             TargetFault::Replace => {
-                self.list_as(n, None).await?;
+                self.publish_state(n, None).await?;
                 tokio::time::sleep(length).await;
                 self.crash(n, Duration::ZERO).await?;
-                self.list_as(n, Some(InstanceState::Live)).await
+                self.publish_state(n, Some(InstanceState::Live)).await
             }
             _ => {
                 let from_us = now_us();
-                target.switch(&of_target(what, true)).await?;
+                target.set_switches(&target_switches(fault, true)).await?;
                 tokio::time::sleep(length).await;
-                target.switch(&of_target(what, false)).await?;
-                if what == TargetFault::CutAnswers {
-                    self.note(n, OutageKind::AnswersCut, from_us);
+                target.set_switches(&target_switches(fault, false)).await?;
+                if fault == TargetFault::CutAnswers {
+                    self.record_outage(n, OutageKind::AnswersCut, from_us);
                 }
                 Ok(())
             }
@@ -57,7 +57,7 @@
         self.log.record(Event::Crashed { target: self.id(n) });
         tokio::time::sleep(down).await;
         member.target.restart().await?;
-        self.note(n, OutageKind::TargetCrashed, from_us);
+        self.record_outage(n, OutageKind::TargetCrashed, from_us);
         Ok(())
     }
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -15,17 +15,17 @@
 use tempfile::TempDir;
 use tokio::time::Instant;
 
-use self::maker::Maker;
+use self::builder::FleetBuilder;
 use crate::catalogue;
 use crate::standin::StandIn;
 
 pub use self::member::Member;
 
-mod maker;
+mod builder;
 mod member;
 
 /// The most seed peers that the settings of each node name.
-const SEEDS: usize = 3;
+const MAX_SEEDS: usize = 3;
 
 /// How long a node may take to listen, and all nodes to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
@@ -49,24 +49,24 @@
     /// Fails if a process can't be started or isn't ready in time.
     pub async fn start(nodes: usize) -> miette::Result<Fleet> {
         let dir = tempfile::tempdir().into_diagnostic()?;
-        let mut maker = Maker::new(dir.path());
-        let platform = maker.platform().await?;
+        let mut builder = FleetBuilder::new(dir.path());
+        let platform = builder.start_platform().await?;
         let mut members = Vec::new();
         for n in 0..nodes {
-            members.push(maker.member(n, platform.addr).await?);
+            members.push(builder.start_member(n, platform.addr).await?);
         }
         let fleet = Fleet {
             platform,
             members,
             dir,
-            _ports: maker.into_ports(),
+            _ports: builder.into_ports(),
         };
-        fleet.publish().await?;
+        fleet.publish_initial().await?;
         for (n, member) in fleet.members.iter().enumerate() {
-            fleet.write_settings(n).into_diagnostic()?;
+            fleet.write_seeds(n).into_diagnostic()?;
             member.start_node().await.into_diagnostic()?;
         }
-        fleet.until_ready().await?;
+        fleet.wait_until_ready().await?;
         Ok(fleet)
     }
 
@@ -80,7 +80,7 @@
     /// # Errors
     ///
     /// Fails if a target doesn't answer or its ledger is incomplete.
-    pub async fn runs(&self) -> miette::Result<Vec<LedgerRun>> {
+    pub async fn ledger_runs(&self) -> miette::Result<Vec<LedgerRun>> {
         let mut runs = Vec::new();
         for (instance, member) in self.members.iter().enumerate() {
             let pages = member.target.ledger().await?;
@@ -91,7 +91,7 @@
     }
 
     /// Keeps settings, logs and records on disk, and returns their directory.
-    pub fn keep(self) -> PathBuf {
+    pub fn keep_files(self) -> PathBuf {
         self.dir.keep()
     }
 
@@ -100,7 +100,7 @@
         json!({ "instances": list }).to_string()
     }
 
-    async fn publish(&self) -> miette::Result<()> {
+    async fn publish_initial(&self) -> miette::Result<()> {
         let list: Vec<Instance> = self.members.iter().map(|m| m.instance.clone()).collect();
         let platform = &self.platform;
         platform
@@ -111,13 +111,13 @@
             .await
     }
 
-    fn write_settings(&self, n: usize) -> std::io::Result<()> {
+    fn write_seeds(&self, n: usize) -> std::io::Result<()> {
         let member = &self.members[n];
         let others = self.members.iter().enumerate();
         let others = others.filter(|(other, _)| *other != n);
         let seeds: Vec<SocketAddr> = others
             .map(|(_, member)| member.instance.control)
-            .take(SEEDS)
+            .take(MAX_SEEDS)
             .collect();
         let text = std::fs::read_to_string(&member.settings)?;
         std::fs::write(
@@ -126,7 +126,7 @@
         )
     }
 
-    async fn until_ready(&self) -> miette::Result<()> {
+    async fn wait_until_ready(&self) -> miette::Result<()> {
         let end = Instant::now() + READY_TIMEOUT;
         for member in &self.members {
             if !admin::is_ready_before(member.admin, end).await {
--- a/crates/soak/src/fleet/maker.rs
+++ b/crates/soak/src/fleet/builder.rs
@@ -24,7 +24,7 @@
 
 use super::Member;
 use crate::callers::CRASHING_PATH;
-use crate::schedule::Way;
+use crate::schedule::LinkRole;
 use crate::standin::StandIn;
 use crate::standin::StandInFiles;
 
@@ -39,28 +39,28 @@
 const CONNECTIONS: u32 = 4 * SLOTS;
 
 /// How long a target is down after a request crashed it, in milliseconds.
-const DOWN_MS: u64 = 300;
+const CRASH_DOWNTIME_MS: u64 = 300;
 
 /// How long a target refuses requests after each start, in milliseconds.
 const COLD_START_MS: u64 = 100;
 
 /// Service times by kind, in microseconds.
-const SERVICE_US: &str = "{approval: 20000, claim: 15000, lookup: 5000, archive: 30000}";
+const SERVICE_TIMES_US: &str = "{approval: 20000, claim: 15000, lookup: 5000, archive: 30000}";
 
 /// Bounds the drain of a node, so that a planned stop ends before the run does.
-const STOP_SETTINGS: &str = "drain: {bound_ms: 5000}\n";
+const DRAIN_SETTINGS: &str = "drain: {bound_ms: 5000}\n";
 
 /// Starts the processes of a fleet, and assigns their ports and files.
 #[derive(Debug)]
-pub(super) struct Maker {
+pub(super) struct FleetBuilder {
     ports: Ports,
     dir: PathBuf,
 }
 
-impl Maker {
-    /// Creates a maker that writes its files to `dir`.
-    pub(super) fn new(dir: &Path) -> Maker {
-        Maker {
+impl FleetBuilder {
+    /// Creates a builder that writes its files to `dir`.
+    pub(super) fn new(dir: &Path) -> FleetBuilder {
+        FleetBuilder {
             ports: Ports::new(),
             dir: dir.to_owned(),
         }
@@ -72,44 +72,45 @@
     }
 
     /// Starts the platform.
-    pub(super) async fn platform(&mut self) -> miette::Result<StandIn> {
-        let (addr, admin) = self.two_addrs()?;
-        self.standin("platform", "platform", addr, admin, "").await
+    pub(super) async fn start_platform(&mut self) -> miette::Result<StandIn> {
+        let (addr, admin) = self.take_two_addrs()?;
+        self.start_standin("platform", "platform", addr, admin, "")
+            .await
     }
 
     /// Starts the `n`th target and the links of its instance. The node is started later.
-    pub(super) async fn member(
+    pub(super) async fn start_member(
         &mut self,
         n: usize,
         platform: SocketAddr,
     ) -> miette::Result<Member> {
         let place = Place::new(n, SERVICES[n % SERVICES.len()], TargetSettings::default());
         let name = format!("{}-{n}", place.service);
-        let (addr, admin) = self.two_addrs()?;
-        let more = format!(
+        let (addr, admin) = self.take_two_addrs()?;
+        let extra = format!(
             "slots: {SLOTS}\nconnections: {CONNECTIONS}\ncold_start_ms: {COLD_START_MS}\n\
-             service: {{kinds_us: {SERVICE_US}}}\n\
-             crash_on: {{path: {CRASHING_PATH}, after_ms: 5, down_ms: {DOWN_MS}}}\n"
+             service: {{kinds_us: {SERVICE_TIMES_US}}}\n\
+             crash_on: {{path: {CRASHING_PATH}, after_ms: 5, down_ms: {CRASH_DOWNTIME_MS}}}\n"
         );
         let target_name = format!("target-{n}");
-        let target = self.standin("target", &target_name, addr, admin, &more);
+        let target = self.start_standin("target", &target_name, addr, admin, &extra);
         let target = target.await?;
-        let listen = self.listen()?;
+        let listen = self.take_listen_addrs()?;
         let links = [
-            self.link(listen.traffic).await?,
-            self.link(listen.control).await?,
-            self.link(platform).await?,
-            self.link(target.addr).await?,
-            self.link(listen.ingress).await?,
+            self.start_link(listen.traffic).await?,
+            self.start_link(listen.control).await?,
+            self.start_link(platform).await?,
+            self.start_link(target.addr).await?,
+            self.start_link(listen.ingress).await?,
         ];
-        let of = |way: Way| links[way as usize].addr();
+        let of = |role: LinkRole| links[role as usize].addr();
         let instance = Instance {
             id: InstanceId::new(&name).into_diagnostic()?,
             service: ServiceName::new(&place.service).into_diagnostic()?,
             region: RegionName::new(REGION).into_diagnostic()?,
             domain: DomainName::new(place.domain).into_diagnostic()?,
-            traffic: of(Way::PeerTraffic),
-            control: of(Way::PeerControl),
+            traffic: of(LinkRole::PeerTraffic),
+            control: of(LinkRole::PeerControl),
             slots: SLOTS,
             connections: CONNECTIONS,
             state: InstanceState::Live,
@@ -120,15 +121,15 @@
         let text = node_settings(
             &instance,
             listen,
-            of(Way::Target),
-            of(Way::Platform),
+            of(LinkRole::Target),
+            of(LinkRole::Platform),
             &[],
-            &format!("{SETTINGS}{STOP_SETTINGS}"),
+            &format!("{SETTINGS}{DRAIN_SETTINGS}"),
         );
         std::fs::write(&settings, text).into_diagnostic()?;
         Ok(Member {
             ingress: listen.ingress,
-            entry: of(Way::Callers),
+            linked_ingress: of(LinkRole::Callers),
             admin: listen.admin,
             instance,
             target,
@@ -139,30 +140,30 @@
         })
     }
 
-    async fn standin(
+    async fn start_standin(
         &self,
-        verb: &'static str,
+        subcommand: &'static str,
         name: &str,
         addr: SocketAddr,
         admin: SocketAddr,
-        more: &str,
+        extra: &str,
     ) -> miette::Result<StandIn> {
         let files = StandInFiles {
-            verb,
+            subcommand,
             settings: self.dir.join(format!("{name}.yaml")),
             log: self.dir.join(format!("{name}.log")),
         };
-        let text = format!("listen: {addr}\nadmin: {admin}\n{more}");
+        let text = format!("listen: {addr}\nadmin: {admin}\n{extra}");
         std::fs::write(&files.settings, text).into_diagnostic()?;
         StandIn::start(&files, addr, admin).await
     }
 
-    async fn link(&mut self, to: SocketAddr) -> miette::Result<Link> {
+    async fn start_link(&mut self, to: SocketAddr) -> miette::Result<Link> {
         let addr = self.ports.take().into_diagnostic()?;
         Link::start(addr, to).await.into_diagnostic()
     }
 
-    fn listen(&mut self) -> miette::Result<Listen> {
+    fn take_listen_addrs(&mut self) -> miette::Result<Listen> {
         let mut take = || self.ports.take().into_diagnostic();
         Ok(Listen {
             ingress: take()?,
@@ -173,7 +174,7 @@
         })
     }
 
-    fn two_addrs(&mut self) -> miette::Result<(SocketAddr, SocketAddr)> {
+    fn take_two_addrs(&mut self) -> miette::Result<(SocketAddr, SocketAddr)> {
         let mut take = || self.ports.take().into_diagnostic();
         Ok((take()?, take()?))
     }
--- a/crates/soak/src/fleet/member.rs
+++ b/crates/soak/src/fleet/member.rs
@@ -14,14 +14,14 @@
 
 use super::READY_TIMEOUT;
 use crate::child::Child;
-use crate::schedule::Way;
+use crate::schedule::LinkRole;
 use crate::standin::StandIn;
 
 /// The program of the node.
-const NODE: &str = "sassafrasspool-node";
+const NODE_PROGRAM: &str = "sassafrasspool-node";
 
 /// The time between two connection attempts to a node that doesn't listen yet.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// One instance: a target, its node, and the links to and from them.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
     /// The address at which callers reach the node through a link. A link can't refuse a
     /// connection as an ended process does. Lost requests at a planned stop are therefore
     /// judged by the callers without a link.
-    pub entry: SocketAddr,
+    pub linked_ingress: SocketAddr,
     /// The admin address of the node.
     pub admin: SocketAddr,
     /// The target.
@@ -46,8 +46,8 @@
 
 impl Member {
     /// The link with this role.
-    pub fn link(&self, way: Way) -> &Link {
-        &self.links[way as usize]
+    pub fn link(&self, role: LinkRole) -> &Link {
+        &self.links[role as usize]
     }
 
     /// Starts the node, and opens the links to it after it listens: a link that is open
@@ -61,17 +61,21 @@
             OsString::from("--settings"),
             self.settings.clone().into_os_string(),
         ];
-        let node = Child::start(NODE, &args, &self.log)?;
+        let node = Child::start(NODE_PROGRAM, &args, &self.log)?;
         *self.node.lock().await = Some(node);
         let end = Instant::now() + READY_TIMEOUT;
         while let Err(err) = TcpStream::connect(self.ingress).await {
             if Instant::now() >= end {
                 return Err(err);
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        for way in [Way::PeerTraffic, Way::PeerControl, Way::Callers] {
-            self.link(way).open().await?;
+        for role in [
+            LinkRole::PeerTraffic,
+            LinkRole::PeerControl,
+            LinkRole::Callers,
+        ] {
+            self.link(role).open().await?;
         }
         Ok(())
     }
@@ -133,8 +137,12 @@
     }
 
     async fn close_links(&self) {
-        for way in [Way::PeerTraffic, Way::PeerControl, Way::Callers] {
-            self.link(way).close().await;
+        for role in [
+            LinkRole::PeerTraffic,
+            LinkRole::PeerControl,
+            LinkRole::Callers,
+        ] {
+            self.link(role).close().await;
         }
     }
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -20,58 +20,58 @@
 use crate::flags::SoakCmd;
 
 /// The default number of instances.
-const NODES: usize = 8;
+const DEFAULT_NODES: usize = 8;
 
 /// The default duration of the calls, in seconds.
-const SECONDS: u64 = 10;
+const DEFAULT_SECONDS: u64 = 10;
 
 /// The default rate of calls per instance, in calls per second: a fifth of what its target
 /// could run.
-const RATE: f64 = 50.0;
+const DEFAULT_RATE_PER_NODE: f64 = 50.0;
 
 /// The default number of caller processes.
-const CALLERS: usize = 2;
+const DEFAULT_CALLERS: usize = 2;
 
 fn main() -> miette::Result<ExitCode> {
     match Soak::from_env_or_exit().subcommand {
-        SoakCmd::Run(cmd) => soak(&cmd),
-        SoakCmd::Regressions(cmd) => regressions(&cmd.file),
+        SoakCmd::Run(cmd) => run_seeds(&cmd),
+        SoakCmd::Regressions(cmd) => run_regressions(&cmd.file),
         SoakCmd::Call(cmd) => {
-            on_this_thread()?.block_on(callers::call(&cmd.file))?;
+            build_runtime()?.block_on(callers::run_job(&cmd.file))?;
             Ok(ExitCode::SUCCESS)
         }
         SoakCmd::Under(cmd) => {
-            let err = child::become_program(cmd.parent, &cmd.program, &cmd.args);
+            let err = child::exec_program(cmd.parent, &cmd.program, &cmd.args);
             Err(err).into_diagnostic()
         }
     }
 }
 
 /// Runs consecutive seeds, one after another.
-fn soak(cmd: &Run) -> miette::Result<ExitCode> {
+fn run_seeds(cmd: &Run) -> miette::Result<ExitCode> {
     let first = cmd.replay.or(cmd.seed).unwrap_or_else(rand::random);
     let runs = 0..cmd.runs.unwrap_or(1);
     let opts = runs.map(|n| Options {
-        nodes: cmd.nodes.unwrap_or(NODES),
-        length: Duration::from_secs(cmd.seconds.unwrap_or(SECONDS)),
+        nodes: cmd.nodes.unwrap_or(DEFAULT_NODES),
+        length: Duration::from_secs(cmd.seconds.unwrap_or(DEFAULT_SECONDS)),
         seed: first.wrapping_add(n),
-        rate_per_node: cmd.rate.unwrap_or(RATE),
-        callers: cmd.callers.unwrap_or(CALLERS),
+        rate_per_node: cmd.rate.unwrap_or(DEFAULT_RATE_PER_NODE),
+        callers: cmd.callers.unwrap_or(DEFAULT_CALLERS),
         keep_logs: cmd.keep_logs || cmd.replay.is_some(),
     });
     run_all(opts)
 }
 
 /// Runs the seeds in a file of regressions.
-fn regressions(file: &Path) -> miette::Result<ExitCode> {
+fn run_regressions(file: &Path) -> miette::Result<ExitCode> {
     let text = std::fs::read_to_string(file).into_diagnostic()?;
-    let kept = regression::parse(&text)?;
-    let opts = kept.iter().map(|kept| Options {
-        nodes: kept.nodes,
-        length: Duration::from_secs(kept.seconds),
-        seed: kept.seed,
-        rate_per_node: RATE,
-        callers: CALLERS,
+    let regressions = regression::parse(&text)?;
+    let opts = regressions.iter().map(|regression| Options {
+        nodes: regression.nodes,
+        length: Duration::from_secs(regression.seconds),
+        seed: regression.seed,
+        rate_per_node: DEFAULT_RATE_PER_NODE,
+        callers: DEFAULT_CALLERS,
         keep_logs: false,
     });
     run_all(opts)
@@ -80,8 +80,8 @@
 fn run_all(all: impl Iterator<Item = Options>) -> miette::Result<ExitCode> {
     let mut code = ExitCode::SUCCESS;
     for opts in all {
-        let report = on_this_thread()?.block_on(run::run(opts.checked()?))?;
-        if !report.kept {
+        let report = build_runtime()?.block_on(run::run(opts.checked()?))?;
+        if !report.passed {
             code = ExitCode::FAILURE;
         }
         output::print(&report)?;
@@ -91,7 +91,7 @@
 
 /// Builds a runtime on the main thread: child processes are killed when the thread that
 /// started them ends.
-fn on_this_thread() -> miette::Result<tokio::runtime::Runtime> {
+fn build_runtime() -> miette::Result<tokio::runtime::Runtime> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     builder.enable_all().build().into_diagnostic()
 }
--- a/crates/soak/src/regression.rs
+++ b/crates/soak/src/regression.rs
@@ -39,11 +39,11 @@
     let lines = text.lines().enumerate();
     let lines = lines.filter(|(_, line)| !line.is_empty() && !line.starts_with('#'));
     lines
-        .map(|(n, line)| read(line).wrap_err_with(|| format!("line {}", n + 1)))
+        .map(|(n, line)| parse_line(line).wrap_err_with(|| format!("line {}", n + 1)))
         .collect()
 }
 
-fn read(line: &str) -> miette::Result<Regression> {
+fn parse_line(line: &str) -> miette::Result<Regression> {
     let mut parts = line.splitn(4, ' ');
     let mut next = || parts.next().ok_or_else(|| miette!("too few fields"));
     Ok(Regression {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -15,18 +15,18 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::callers;
-use crate::callers::Part;
-use crate::callers::Rude;
+use crate::callers::CallerJob;
+use crate::callers::IrregularCallStats;
 use crate::child::Child;
 use crate::driver::Driver;
 use crate::fleet::Fleet;
 use crate::options::Options;
 use crate::schedule::Schedule;
 use crate::verdict::Report;
-use crate::verdict::Seen;
+use crate::verdict::RunObservations;
 
 /// The name of this program.
-const OWN: &str = "sassafrasspool-soak";
+const OWN_PROGRAM: &str = "sassafrasspool-soak";
 
 /// Injects the faults of the schedule of `opts.seed` while callers make calls, and judges
 /// the run.
@@ -47,37 +47,37 @@
         observers.spawn(observe(member.admin, id, Arc::clone(&log), cancel.clone()));
     }
     let schedule = Schedule::draw(opts.nodes, opts.length, opts.seed);
-    let calling = start_callers(opts, &fleet)?;
-    driver.play(&schedule).await?;
+    let caller_processes = start_callers(opts, &fleet)?;
+    driver.run_schedule(&schedule).await?;
     let mut records = Vec::new();
-    let mut rude = Rude::default();
-    for (child, part) in calling {
+    let mut irregular = IrregularCallStats::default();
+    for (child, job) in caller_processes {
         let status = child.wait().await.into_diagnostic()?;
         if !status.success() {
             return Err(miette!("a caller process failed with {status}"));
         }
-        records.extend(callers::read_records(&part.records)?);
-        rude = rude.and(callers::read_rude(&part.rude)?);
+        records.extend(callers::read_records(&job.records)?);
+        irregular = irregular.merge(callers::read_irregular(&job.irregular)?);
     }
     tokio::time::sleep(SETTLE).await;
     cancel.cancel();
     while observers.join_next().await.is_some() {}
-    let runs = fleet.runs().await?;
-    driver.note_crashes(&runs);
+    let runs = fleet.ledger_runs().await?;
+    driver.record_crashes(&runs);
     let members = fleet.members.iter();
-    let names: Vec<InstanceId> = members.map(|member| member.instance.id.clone()).collect();
+    let ids: Vec<InstanceId> = members.map(|member| member.instance.id.clone()).collect();
     let domains = fleet.members.iter();
     let domains: Vec<&str> = domains.map(|it| it.instance.domain.as_str()).collect();
-    let seen = Seen {
+    let observations = RunObservations {
         log: &log,
         records: &records,
-        rude,
+        irregular,
         runs: &runs,
-        names: &names,
+        ids: &ids,
         stops: &driver.stops(),
-        hurt: &driver.hurt(),
+        impairments: &driver.impairments(),
         kills: &driver.kills(),
-        stalled: &driver.stalled(),
+        stalls: &driver.stalls(),
         domains: &domains,
         catalogues: &driver.catalogues().await,
     };
@@ -85,40 +85,40 @@
         in_force: IN_FORCE,
         ..Bounds::default()
     };
-    let mut report = Report::judge(opts, &schedule, &seen, &bounds);
+    let mut report = Report::judge(opts, &schedule, &observations, &bounds);
     drop(driver);
-    if !report.kept || opts.keep_logs {
+    if !report.passed || opts.keep_logs {
         let fleet = Arc::into_inner(fleet).ok_or_else(|| miette!("the fleet is still in use"))?;
-        report.kept_in = Some(fleet.keep().display().to_string());
+        report.files_dir = Some(fleet.keep_files().display().to_string());
     }
     Ok(report)
 }
 
 /// Starts the caller processes, and returns each with its job.
-fn start_callers(opts: Options, fleet: &Fleet) -> miette::Result<Vec<(Child, Part)>> {
+fn start_callers(opts: Options, fleet: &Fleet) -> miette::Result<Vec<(Child, CallerJob)>> {
     let members = fleet.members.iter();
     // Every second process connects through the links.
-    let ways: [Vec<_>; 2] = [
+    let entries: [Vec<_>; 2] = [
         members.clone().map(|member| member.ingress).collect(),
-        members.map(|member| member.entry).collect(),
+        members.map(|member| member.linked_ingress).collect(),
     ];
-    let parts = u32::try_from(opts.callers).into_diagnostic()?;
+    let processes = u32::try_from(opts.callers).into_diagnostic()?;
     let rate = opts.rate_per_node * opts.nodes as f64;
     let start = |number: u32| {
         let file = |what: &str| fleet.dir().join(format!("{what}-{number}.json"));
-        let part = Part {
+        let job = CallerJob {
             number: number.into(),
             seed: opts.seed,
-            rate_per_s: rate / f64::from(parts),
+            rate_per_s: rate / f64::from(processes),
             length_ms: u64::try_from(opts.length.as_millis()).into_diagnostic()?,
-            entries: ways[number as usize % ways.len()].clone(),
+            entries: entries[number as usize % entries.len()].clone(),
             records: file("records"),
-            rude: file("rude"),
+            irregular: file("rude"),
         };
-        let args = part.write(&file("part"))?;
+        let args = job.write_args(&file("part"))?;
         let log = fleet.dir().join(format!("callers-{number}.log"));
-        let child = Child::start(OWN, &args, &log).into_diagnostic()?;
-        Ok((child, part))
+        let child = Child::start(OWN_PROGRAM, &args, &log).into_diagnostic()?;
+        Ok((child, job))
     };
-    (0..parts).map(start).collect()
+    (0..processes).map(start).collect()
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -12,33 +12,33 @@
 mod tests;
 
 /// The shortest time between two faults, in milliseconds.
-const LEAST_GAP_MS: u64 = 50;
+const MIN_GAP_MS: u64 = 50;
 
 /// The longest time between two faults, in milliseconds.
-const MOST_GAP_MS: u64 = 500;
+const MAX_GAP_MS: u64 = 500;
 
 /// The time before the first fault, in which callers open their connections.
-const LEAD: Duration = Duration::from_millis(500);
+const LEAD_TIME: Duration = Duration::from_millis(500);
 
 /// The number of faults in a series, in which one follows the other after a short gap.
 const SERIES_LENGTH: u32 = 4;
 
 /// One fault in this many begins a series.
-const SERIES_EVERY: u32 = 12;
+const ONE_SERIES_IN: u32 = 12;
 
 /// The mean time between two silences of the platform.
-const SILENCE_EVERY: Duration = Duration::from_secs(12);
+const MEAN_SILENCE_INTERVAL: Duration = Duration::from_secs(12);
 
 /// Combined with the seed of the run to draw silences. With a generator of their own they
 /// don't change the other faults of a seed, so that seeds that once failed still repeat them.
-const SILENCES: u64 = 0x5113_7ce5;
+const SILENCE_SEED: u64 = 0x5113_7ce5;
 
 /// The mean time between two evacuations.
-const EVACUATION_EVERY: Duration = Duration::from_secs(6);
+const MEAN_EVACUATION_INTERVAL: Duration = Duration::from_secs(6);
 
 /// Combined with the seed of the run to draw evacuations, for the same reason as for
 /// silences.
-const EVACUATIONS: u64 = 0x0e7a_c0a7;
+const EVACUATION_SEED: u64 = 0x0e7a_c0a7;
 
 /// A fault of a node process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -80,7 +80,7 @@
 
 /// Which connections a link carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum LinkRole {
     /// From other nodes to the address of a node for requests.
     PeerTraffic,
     /// From other nodes to the address of a node for control messages.
@@ -138,7 +138,7 @@
     /// A fault of the target of an instance.
     Target(usize, TargetFault),
     /// A fault of a link of an instance.
-    Link(usize, Way, LinkFault),
+    Link(usize, LinkRole, LinkFault),
     /// A fault of the platform.
     Platform(PlatformFault),
     /// A catalogue is published: a valid one if true, an invalid one if false.
@@ -175,50 +175,50 @@
 impl Schedule {
     /// Draws faults for a fleet of `instances` over `length`.
     pub fn draw(instances: usize, length: Duration, seed: u64) -> Schedule {
-        let mut drawn = Drawn {
+        let mut generator = StepGenerator {
             rng: SmallRng::seed_from_u64(seed),
             instances,
         };
         let mut steps = Vec::new();
-        let mut at = LEAD;
+        let mut at = LEAD_TIME;
         while at < length {
-            let step = drawn.step(at);
+            let step = generator.draw_step(at);
             steps.push(step);
-            if drawn.one_in(SERIES_EVERY) {
+            if generator.one_in(ONE_SERIES_IN) {
                 for _ in 1..SERIES_LENGTH {
-                    at += drawn.millis(LEAST_GAP_MS, 2 * LEAST_GAP_MS);
+                    at += generator.random_millis(MIN_GAP_MS, 2 * MIN_GAP_MS);
                     steps.push(Step { at, ..step });
                 }
             }
-            at += drawn.millis(LEAST_GAP_MS, MOST_GAP_MS);
+            at += generator.random_millis(MIN_GAP_MS, MAX_GAP_MS);
         }
-        steps.extend(silences(length, seed));
-        steps.extend(evacuations(length, seed));
+        steps.extend(draw_silences(length, seed));
+        steps.extend(draw_evacuations(length, seed));
         steps.sort_by_key(|step| step.at);
         Schedule { steps }
     }
 }
 
 /// Silences of the platform. Each one ends before the next one begins.
-fn silences(length: Duration, seed: u64) -> Vec<Step> {
+fn draw_silences(length: Duration, seed: u64) -> Vec<Step> {
     let silence = Recurrence {
-        every: SILENCE_EVERY,
+        mean_interval: MEAN_SILENCE_INTERVAL,
         lengths_ms: [200, 4_000],
-        pauses_percent: [50, 150],
+        intervals_percent: [50, 150],
     };
-    silence.draw(length, seed ^ SILENCES, |_| {
+    silence.draw(length, seed ^ SILENCE_SEED, |_| {
         Fault::Platform(PlatformFault::Silence)
     })
 }
 
 /// Evacuations. Two of them may overlap.
-fn evacuations(length: Duration, seed: u64) -> Vec<Step> {
+fn draw_evacuations(length: Duration, seed: u64) -> Vec<Step> {
     let evacuation = Recurrence {
-        every: EVACUATION_EVERY,
+        mean_interval: MEAN_EVACUATION_INTERVAL,
         lengths_ms: [300, 5_000],
-        pauses_percent: [25, 175],
+        intervals_percent: [25, 175],
     };
-    evacuation.draw(length, seed ^ EVACUATIONS, |rng| {
+    evacuation.draw(length, seed ^ EVACUATION_SEED, |rng| {
         Fault::Evacuate(rng.random_range(0..DOMAINS.len()))
     })
 }
@@ -227,11 +227,11 @@
 #[derive(Debug)]
 struct Recurrence {
     /// The mean time from the begin of one fault to the begin of the next.
-    every: Duration,
+    mean_interval: Duration,
     /// The shortest and the longest length of a fault, in milliseconds.
     lengths_ms: [u64; 2],
     /// The shortest and the longest time from one fault to the next, in percent of the mean.
-    pauses_percent: [u64; 2],
+    intervals_percent: [u64; 2],
 }
 
 impl Recurrence {
@@ -240,23 +240,25 @@
         &self,
         length: Duration,
         seed: u64,
-        fault: impl Fn(&mut SmallRng) -> Fault,
+        draw_fault: impl Fn(&mut SmallRng) -> Fault,
     ) -> Vec<Step> {
-        let mut drawn = Drawn {
+        let mut generator = StepGenerator {
             rng: SmallRng::seed_from_u64(seed),
             instances: 0,
         };
-        let mean_ms = u64::try_from(self.every.as_millis()).unwrap_or(u64::MAX);
-        let [least_ms, most_ms] = self.pauses_percent.map(|percent| mean_ms * percent / 100);
+        let mean_ms = u64::try_from(self.mean_interval.as_millis()).unwrap_or(u64::MAX);
+        let [min_ms, max_ms] = self
+            .intervals_percent
+            .map(|percent| mean_ms * percent / 100);
         let mut steps = Vec::new();
-        let mut at = LEAD + drawn.millis(0, mean_ms);
+        let mut at = LEAD_TIME + generator.random_millis(0, mean_ms);
         while at < length {
             steps.push(Step {
                 at,
-                length: drawn.millis(self.lengths_ms[0], self.lengths_ms[1]),
-                fault: fault(&mut drawn.rng),
+                length: generator.random_millis(self.lengths_ms[0], self.lengths_ms[1]),
+                fault: draw_fault(&mut generator.rng),
             });
-            at += drawn.millis(least_ms, most_ms);
+            at += generator.random_millis(min_ms, max_ms);
         }
         steps
     }
@@ -264,38 +266,38 @@
 
 /// Draws steps from a seeded generator, one after another.
 #[derive(Debug)]
-struct Drawn {
+struct StepGenerator {
     rng: SmallRng,
     instances: usize,
 }
 
-impl Drawn {
-    fn step(&mut self, at: Duration) -> Step {
-        let fault = self.fault();
+impl StepGenerator {
+    fn draw_step(&mut self, at: Duration) -> Step {
+        let fault = self.draw_fault();
         let length = match fault {
-            Fault::Node(_, NodeFault::Freeze) => self.millis(50, 2_000),
-            Fault::Platform(_) => self.millis(200, 3_000),
-            Fault::Link(_, _, LinkFault::Delay) => self.millis(200, 3_000),
-            _ => self.millis(50, 1_200),
+            Fault::Node(_, NodeFault::Freeze) => self.random_millis(50, 2_000),
+            Fault::Platform(_) => self.random_millis(200, 3_000),
+            Fault::Link(_, _, LinkFault::Delay) => self.random_millis(200, 3_000),
+            _ => self.random_millis(50, 1_200),
         };
         Step { at, length, fault }
     }
 
-    fn fault(&mut self) -> Fault {
+    fn draw_fault(&mut self) -> Fault {
         let n = self.rng.random_range(0..self.instances);
         match self.rng.random_range(0..20) {
-            0..5 => Fault::Node(n, self.node_fault()),
+            0..5 => Fault::Node(n, self.draw_node_fault()),
             5 => Fault::Herd,
-            6..10 => Fault::Target(n, self.target_fault()),
-            10..15 => Fault::Link(n, self.way(), self.link_fault()),
-            15..18 => Fault::Platform(self.platform_fault()),
+            6..10 => Fault::Target(n, self.draw_target_fault()),
+            10..15 => Fault::Link(n, self.draw_link_role(), self.draw_link_fault()),
+            15..18 => Fault::Platform(self.draw_platform_fault()),
             18 => Fault::Publish(self.one_in(2)),
             _ => Fault::Publish(true),
         }
     }
 
-    fn node_fault(&mut self) -> NodeFault {
-        self.one_of(&[
+    fn draw_node_fault(&mut self) -> NodeFault {
+        self.pick(&[
             NodeFault::Stop,
             NodeFault::Kill,
             NodeFault::Freeze,
@@ -304,8 +306,8 @@
         ])
     }
 
-    fn target_fault(&mut self) -> TargetFault {
-        self.one_of(&[
+    fn draw_target_fault(&mut self) -> TargetFault {
+        self.pick(&[
             TargetFault::Crash,
             TargetFault::Freeze,
             TargetFault::Drain,
@@ -318,18 +320,18 @@
         ])
     }
 
-    fn way(&mut self) -> Way {
-        self.one_of(&[
-            Way::PeerTraffic,
-            Way::PeerControl,
-            Way::Platform,
-            Way::Target,
-            Way::Callers,
+    fn draw_link_role(&mut self) -> LinkRole {
+        self.pick(&[
+            LinkRole::PeerTraffic,
+            LinkRole::PeerControl,
+            LinkRole::Platform,
+            LinkRole::Target,
+            LinkRole::Callers,
         ])
     }
 
-    fn link_fault(&mut self) -> LinkFault {
-        self.one_of(&[
+    fn draw_link_fault(&mut self) -> LinkFault {
+        self.pick(&[
             LinkFault::Delay,
             LinkFault::Reset,
             LinkFault::Cut,
@@ -339,8 +341,8 @@
         ])
     }
 
-    fn platform_fault(&mut self) -> PlatformFault {
-        self.one_of(&[
+    fn draw_platform_fault(&mut self) -> PlatformFault {
+        self.pick(&[
             PlatformFault::Outage,
             PlatformFault::Stale,
             PlatformFault::ListLag,
@@ -349,15 +351,15 @@
         ])
     }
 
-    fn one_of<T: Copy>(&mut self, all: &[T]) -> T {
+    fn pick<T: Copy>(&mut self, all: &[T]) -> T {
         all[self.rng.random_range(0..all.len())]
     }
 
-    fn one_in(&mut self, many: u32) -> bool {
-        self.rng.random_range(0..many) == 0
+    fn one_in(&mut self, count: u32) -> bool {
+        self.rng.random_range(0..count) == 0
     }
 
-    fn millis(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(self.rng.random_range(least..=most))
+    fn random_millis(&mut self, min: u64, max: u64) -> Duration {
+        Duration::from_millis(self.rng.random_range(min..=max))
     }
 }
--- a/crates/soak/src/schedule/tests.rs
+++ b/crates/soak/src/schedule/tests.rs
@@ -16,15 +16,15 @@
 
 // A kind of fault that is never drawn is never tested.
 #[test]
-fn every_kind_of_fault_comes_in_a_few_minutes() {
+fn every_kind_of_fault_occurs_within_ten_minutes() {
     let steps = Schedule::draw(8, 10 * MINUTE, 5).steps;
     let kinds: HashSet<String> = steps
         .iter()
         .map(|step| match step.fault {
-            Fault::Node(_, what) => format!("{what:?} of a node"),
-            Fault::Target(_, what) => format!("{what:?} of a target"),
-            Fault::Link(_, way, what) => format!("{way:?} {what:?}"),
-            Fault::Platform(what) => format!("{what:?} of the platform"),
+            Fault::Node(_, fault) => format!("{fault:?} of a node"),
+            Fault::Target(_, fault) => format!("{fault:?} of a target"),
+            Fault::Link(_, role, fault) => format!("{role:?} {fault:?}"),
+            Fault::Platform(fault) => format!("{fault:?} of the platform"),
             other => format!("{other:?}"),
         })
         .collect();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn faults_overlap_and_stay_in_order() {
+fn faults_overlap_and_are_sorted_by_time() {
     let steps = Schedule::draw(8, MINUTE, 6).steps;
     assert!(steps.is_sorted_by_key(|step| step.at));
     let overlap = |pair: &[super::Step]| pair[1].at < pair[0].at + pair[0].length;
--- a/crates/soak/src/standin.rs
+++ b/crates/soak/src/standin.rs
@@ -24,7 +24,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The time between two requests to a stand-in that isn't ready yet.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running stand-in for the platform or a target.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub struct StandInFiles {
     /// The subcommand, `platform` or `target`.
-    pub verb: &'static str,
+    pub subcommand: &'static str,
     /// The settings file.
     pub settings: PathBuf,
     /// The file for its output.
@@ -58,7 +58,7 @@
         admin: SocketAddr,
     ) -> miette::Result<StandIn> {
         let args = [
-            OsString::from(files.verb),
+            OsString::from(files.subcommand),
             OsString::from("--settings"),
             files.settings.clone().into_os_string(),
         ];
@@ -71,7 +71,7 @@
                     files.settings.display()
                 ));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(StandIn { addr, admin, child })
     }
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// Fails if the stand-in refuses or doesn't answer.
-    pub async fn switch(&self, switches: &impl Serialize) -> miette::Result<()> {
+    pub async fn set_switches(&self, switches: &impl Serialize) -> miette::Result<()> {
         self.post("/switches", switches).await
     }
 
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     ///
-    /// As [`StandIn::switch`].
+    /// As [`StandIn::set_switches`].
     pub async fn crash(&self) -> miette::Result<()> {
         self.post("/crash", &json!({})).await
     }
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// As [`StandIn::switch`].
+    /// As [`StandIn::set_switches`].
     pub async fn restart(&self) -> miette::Result<()> {
         self.post("/restart", &json!({})).await
     }
@@ -122,10 +122,10 @@
     ///
     /// # Errors
     ///
-    /// As [`StandIn::switch`].
+    /// As [`StandIn::set_switches`].
     pub async fn publish(&self, path: &str, body: String) -> miette::Result<()> {
-        let answered = admin::put(self.admin, path, body).await;
-        self.accepted(path, answered)
+        let status = admin::put(self.admin, path, body).await;
+        self.check_accepted(path, status)
     }
 
     /// Pauses the process, or resumes it.
@@ -133,7 +133,7 @@
     /// # Errors
     ///
     /// Fails if the process has exited.
-    pub fn freeze(&self, frozen: bool) -> std::io::Result<()> {
+    pub fn set_frozen(&self, frozen: bool) -> std::io::Result<()> {
         self.child.signal(match frozen {
             true => Signal::STOP,
             false => Signal::CONT,
@@ -142,14 +142,14 @@
 
     async fn post(&self, path: &str, body: &impl Serialize) -> miette::Result<()> {
         let body = serde_json::to_string(body).into_diagnostic()?;
-        let answered = admin::post(self.admin, path, body).await;
-        self.accepted(path, answered)
+        let status = admin::post(self.admin, path, body).await;
+        self.check_accepted(path, status)
     }
 
-    fn accepted(&self, path: &str, answered: Option<StatusCode>) -> miette::Result<()> {
-        match answered {
+    fn check_accepted(&self, path: &str, status: Option<StatusCode>) -> miette::Result<()> {
+        match status {
             Some(status) if status.is_success() => Ok(()),
-            answered => Err(miette!("{} {path}: {answered:?}", self.admin)),
+            status => Err(miette!("{} {path}: {status:?}", self.admin)),
         }
     }
 }
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -15,65 +15,61 @@
 use sassafrasspool_core::history::check;
 use serde::Serialize;
 
-use crate::callers::Rude;
+use crate::callers::IrregularCallStats;
 use crate::options::Options;
 use crate::schedule::Schedule;
 
-pub use self::cold::ColdReturns;
-pub use self::crashing::Crashing;
-pub use self::crashing::Hurt;
-pub use self::crashing::crashes;
-pub use self::evacuated::Evacuated;
-pub use self::evacuated::Evacuee;
-pub use self::evacuated::PublishedCatalogue;
-pub use self::facts::Facts;
+pub use self::cold_start::ColdStartVerdict;
+pub use self::evacuation::EvacuationVerdict;
+pub use self::evacuation::JudgedInstance;
+pub use self::evacuation::PublishedCatalogue;
+pub use self::quarantine::Impairment;
+pub use self::quarantine::QuarantineVerdict;
+pub use self::quarantine::crashed_runs;
+pub use self::timeline::Timeline;
 
-mod cold;
-mod crashing;
-mod evacuated;
-mod facts;
+mod cold_start;
+mod evacuation;
+mod quarantine;
 #[cfg(test)]
 mod tests;
+mod timeline;
 mod window;
 
 /// The most violations that the report describes in full.
-const TOLD: usize = 10;
+const MAX_DESCRIBED_VIOLATIONS: usize = 10;
 
 /// The observations of a run, from which it is judged.
 #[derive(Debug)]
-pub struct Seen<'a> {
+pub struct RunObservations<'a> {
     /// The events of the run and the versions that nodes had in force.
     pub log: &'a Log,
     /// The call records of the callers.
     pub records: &'a [CallRecord],
     /// The counts of abandoned and pipelined requests.
-    pub rude: Rude,
+    pub irregular: IrregularCallStats,
     /// The requests that targets ran.
     pub runs: &'a [LedgerRun],
     /// The ids of the instances in the order of their numbers.
-    pub names: &'a [InstanceId],
+    pub ids: &'a [InstanceId],
     /// The planned stops of nodes.
     pub stops: &'a [Stopped],
     /// When faults kept nodes from receiving new versions.
-    pub hurt: &'a [Hurt],
+    pub impairments: &'a [Impairment],
     /// When node processes were killed.
     pub kills: &'a [Stopped],
     /// When nodes, their targets or the links between them were stalled.
-    pub stalled: &'a [Hurt],
+    pub stalls: &'a [Impairment],
     /// The failure domains of the instances, in the order of their numbers.
     pub domains: &'a [&'a str],
     /// The valid catalogues that were published.
     pub catalogues: &'a [PublishedCatalogue],
 }
 
-impl Seen<'_> {
-    fn evacuees(&self) -> impl Iterator<Item = Evacuee<'_>> {
-        let instances = self.names.iter().zip(self.domains).enumerate();
-        instances.map(|(instance, (id, domain))| Evacuee {
-            instance,
-            id,
-            domain,
-        })
+impl RunObservations<'_> {
+    fn instances(&self) -> impl Iterator<Item = JudgedInstance<'_>> {
+        let instances = self.ids.iter().zip(self.domains).enumerate();
+        instances.map(|(number, (id, domain))| JudgedInstance { number, id, domain })
     }
 }
 
@@ -87,75 +83,92 @@
     /// How long calls were made, in seconds.
     pub seconds: u64,
     /// Whether no guarantee was violated.
-    pub kept: bool,
+    #[serde(rename = "kept")]
+    pub passed: bool,
     /// The outcomes of the calls.
     #[serde(flatten)]
     pub verdict: Verdict,
     /// The counts of abandoned and pipelined requests.
     #[serde(flatten)]
-    pub rude: Rude,
+    pub irregular: IrregularCallStats,
     /// The verdict on the quarantine of the request that crashes targets.
     #[serde(flatten)]
-    pub crashing: Crashing,
+    pub quarantine: QuarantineVerdict,
     /// The verdict on evacuations.
     #[serde(flatten)]
-    pub evacuated: Evacuated,
+    pub evacuation: EvacuationVerdict,
     /// The verdict on targets that were cold after an evacuation.
     #[serde(flatten)]
-    pub cold: ColdReturns,
+    pub cold_start: ColdStartVerdict,
     /// The number of violations in the history, by guarantee.
     pub violations: BTreeMap<&'static str, u64>,
     /// The first violations in words, with the ids of the requests.
-    pub told: Vec<String>,
+    #[serde(rename = "told")]
+    pub first_violations: Vec<String>,
     /// The steps of the schedule, in milliseconds from the start of the calls.
     pub schedule: Vec<String>,
     /// The directory with settings, logs and records, if they were kept.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub kept_in: Option<String>,
+    #[serde(rename = "kept_in", skip_serializing_if = "Option::is_none")]
+    pub files_dir: Option<String>,
 }
 
 impl Report {
     /// Judges the observations of a run.
-    pub fn judge(opts: Options, schedule: &Schedule, seen: &Seen<'_>, bounds: &Bounds) -> Report {
-        let (observed, outages) = seen.log.copy();
-        let evidence = Evidence::new(seen.records, seen.runs, &outages);
-        let excused = |record: &CallRecord| evidence.is_excused(record);
+    pub fn judge(
+        opts: Options,
+        schedule: &Schedule,
+        observations: &RunObservations<'_>,
+        bounds: &Bounds,
+    ) -> Report {
+        let (recorded, outages) = observations.log.copy();
+        let evidence = Evidence::new(observations.records, observations.runs, &outages);
+        let is_excused = |record: &CallRecord| evidence.is_excused(record);
         let history = events::history(
-            seen.log,
-            seen.records,
-            seen.runs,
-            seen.names,
-            seen.stops,
-            excused,
+            observations.log,
+            observations.records,
+            observations.runs,
+            observations.ids,
+            observations.stops,
+            is_excused,
         );
-        let found = check(&history, bounds);
+        let violations_found = check(&history, bounds);
         let faults = evidence.faults().map(|record| format!("{record:?}"));
-        let told = faults.chain(found.iter().map(ToString::to_string));
+        let first_violations = faults.chain(violations_found.iter().map(ToString::to_string));
         let verdict = evidence.verdict();
-        let crashing = Crashing::judge(seen.records, seen.runs, seen.hurt);
-        let ends = [seen.kills, seen.stops].concat();
-        let facts = Facts::new(seen.catalogues, &observed, seen.runs, &ends, seen.stalled);
-        let evacuated = Evacuated::judge(seen.evacuees(), &facts);
-        let cold = ColdReturns::judge(seen.evacuees(), &facts);
-        let kept = !verdict.has_fault()
-            && found.is_empty()
-            && crashing.is_kept()
-            && evacuated.is_kept()
-            && cold.is_kept();
+        let quarantine = QuarantineVerdict::judge(
+            observations.records,
+            observations.runs,
+            observations.impairments,
+        );
+        let ends = [observations.kills, observations.stops].concat();
+        let timeline = Timeline::new(
+            observations.catalogues,
+            &recorded,
+            observations.runs,
+            &ends,
+            observations.stalls,
+        );
+        let evacuation = EvacuationVerdict::judge(observations.instances(), &timeline);
+        let cold_start = ColdStartVerdict::judge(observations.instances(), &timeline);
+        let passed = !verdict.has_fault()
+            && violations_found.is_empty()
+            && quarantine.has_passed()
+            && evacuation.has_passed()
+            && cold_start.has_passed();
         Report {
             seed: opts.seed,
             nodes: opts.nodes,
             seconds: opts.length.as_secs(),
-            kept: kept && seen.rude.out_of_order == 0,
+            passed: passed && observations.irregular.out_of_order == 0,
             verdict,
-            rude: seen.rude,
-            crashing,
-            evacuated,
-            cold,
-            violations: by_promise(&found),
-            told: told.take(TOLD).collect(),
+            irregular: observations.irregular,
+            quarantine,
+            evacuation,
+            cold_start,
+            violations: by_promise(&violations_found),
+            first_violations: first_violations.take(MAX_DESCRIBED_VIOLATIONS).collect(),
             schedule: schedule.steps.iter().map(ToString::to_string).collect(),
-            kept_in: None,
+            files_dir: None,
         }
     }
 }
--- a/crates/soak/src/verdict/evacuated.rs
+++ b/crates/soak/src/verdict/evacuation.rs
@@ -4,8 +4,8 @@
 use serde::Serialize;
 
 use super::count;
-use super::facts::Facts;
-use super::facts::HAND_OVER_US;
+use super::timeline::MAX_HANDOVER_US;
+use super::timeline::Timeline;
 use super::window::Window;
 
 /// A valid catalogue that was published.
@@ -22,9 +22,9 @@
 
 /// An instance whose requests are judged.
 #[derive(Debug, Clone, Copy)]
-pub struct Evacuee<'a> {
+pub struct JudgedInstance<'a> {
     /// The number of the instance.
-    pub instance: usize,
+    pub number: usize,
     /// The id of the instance.
     pub id: &'a InstanceId,
     /// The failure domain of the instance.
@@ -33,50 +33,54 @@
 
 /// The verdict on evacuations.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub struct Evacuated {
+pub struct EvacuationVerdict {
     /// How often a node was observed to have an evacuation of its own failure domain in force.
     pub evacuations: u64,
     /// Requests that targets started during these evacuations.
-    pub begun_while_evacuated: u64,
+    #[serde(rename = "begun_while_evacuated")]
+    pub started_while_evacuated: u64,
 }
 
-impl Evacuated {
+impl EvacuationVerdict {
     /// Judges the requests that targets started while their node had an evacuation in force.
     /// Whether nodes have it in force in time is judged with all other catalogue changes.
-    pub fn judge<'a>(evacuees: impl Iterator<Item = Evacuee<'a>>, facts: &Facts<'_>) -> Evacuated {
-        let mut judged = Evacuated::default();
-        for evacuee in evacuees {
-            let windows = windows(evacuee, facts);
-            judged.evacuations += count(windows.len());
-            let begun_in = |window: &Window| {
-                let begun = facts.begun(evacuee.instance);
-                let late = begun.filter(|at_us| {
-                    *at_us > window.from_us + HAND_OVER_US && *at_us < window.to_us
+    pub fn judge<'a>(
+        instances: impl Iterator<Item = JudgedInstance<'a>>,
+        timeline: &Timeline<'_>,
+    ) -> EvacuationVerdict {
+        let mut verdict = EvacuationVerdict::default();
+        for instance in instances {
+            let windows = windows(instance, timeline);
+            verdict.evacuations += count(windows.len());
+            let late_starts = |window: &Window| {
+                let starts = timeline.starts_us(instance.number);
+                let late = starts.filter(|at_us| {
+                    *at_us > window.from_us + MAX_HANDOVER_US && *at_us < window.to_us
                 });
-                late.filter(|at_us| !facts.is_held_up(evacuee.instance, *at_us, *at_us))
+                late.filter(|at_us| !timeline.may_be_delayed(instance.number, *at_us, *at_us))
                     .count()
             };
-            judged.begun_while_evacuated += count(windows.iter().map(begun_in).sum());
+            verdict.started_while_evacuated += count(windows.iter().map(late_starts).sum());
         }
-        judged
+        verdict
     }
 
     /// Whether no request started during an evacuation.
-    pub fn is_kept(&self) -> bool {
-        self.begun_while_evacuated == 0
+    pub fn has_passed(&self) -> bool {
+        self.started_while_evacuated == 0
     }
 }
 
 /// When a node was observed to have an evacuation of its own failure domain in force. Each
 /// window lies within one run of its process.
-fn windows(evacuee: Evacuee<'_>, facts: &Facts<'_>) -> Vec<Window> {
+fn windows(instance: JudgedInstance<'_>, timeline: &Timeline<'_>) -> Vec<Window> {
     let mut windows: Vec<Window> = Vec::new();
-    for (from_us, held) in facts.in_force(evacuee.id) {
-        let Some(until_us) = evacuated_until(evacuee.domain, facts.catalogues, held) else {
+    for (from_us, held) in timeline.catalogues_in_force(instance.id) {
+        let Some(until_us) = evacuated_until(instance.domain, timeline.catalogues, held) else {
             continue;
         };
         // The next process of the node has to receive the catalogue first.
-        let to_us = until_us.min(facts.next_end_us(evacuee.instance, from_us));
+        let to_us = until_us.min(timeline.next_process_end_us(instance.number, from_us));
         match windows.last_mut() {
             Some(last) if from_us <= last.to_us => last.to_us = last.to_us.max(to_us),
             _ => windows.push(Window { from_us, to_us }),
--- a/crates/soak/src/verdict/tests.rs
+++ b/crates/soak/src/verdict/tests.rs
@@ -13,12 +13,12 @@
 use sassafrasspool_standin::target::Run;
 use sassafrasspool_standin::target::RunEnd;
 
-use super::Crashing;
-use super::Hurt;
+use super::Impairment;
+use super::QuarantineVerdict;
 use super::Report;
-use super::Seen;
+use super::RunObservations;
 use crate::callers::CRASHING_PATH;
-use crate::callers::Rude;
+use crate::callers::IrregularCallStats;
 use crate::options::Options;
 use crate::schedule::Schedule;
 
@@ -76,7 +76,7 @@
     LedgerRun { instance, run }
 }
 
-fn name(n: usize) -> InstanceId {
+fn id(n: usize) -> InstanceId {
     InstanceId::new(&format!("desk-{n}")).expect("a name")
 }
 
@@ -88,41 +88,41 @@
     /// Further events, each at microseconds after the call was sent.
     events: Vec<(u64, Event)>,
     stops: Vec<Stopped>,
-    kept: bool,
+    passed: bool,
 }
 
-fn seen(ending: Ending, runs: Vec<LedgerRun>, kept: bool) -> Case {
+fn observed(ending: Ending, runs: Vec<LedgerRun>, passed: bool) -> Case {
     Case {
         ending,
         runs,
         events: Vec::new(),
         stops: Vec::new(),
-        kept,
+        passed,
     }
 }
 
-fn during(events: Vec<(u64, Event)>, kept: bool) -> Case {
+fn during(events: Vec<(u64, Event)>, passed: bool) -> Case {
     Case {
         events,
-        ..seen(Ending::Answered, vec![run(0, 2_500_000)], kept)
+        ..observed(Ending::Answered, vec![run(0, 2_500_000)], passed)
     }
 }
 
 /// Guards against a verdict that misses violations, or reports a correct run.
 #[rstest]
-#[case::answered(seen(Ending::Answered, vec![run(0, 1_000)], true))]
-#[case::answered_by_nobody(seen(Ending::Answered, Vec::new(), false))]
-#[case::silence(seen(Ending::Silence, vec![run(0, 1_000)], false))]
-#[case::broken_off(seen(Ending::Broken, vec![run(0, 1_000)], false))]
-#[case::anothers_answer(seen(Ending::Wrong, vec![run(0, 1_000)], false))]
-#[case::told_unknown(seen(Ending::Unknown, vec![run(0, 1_000)], true))]
-#[case::refused(seen(Ending::NotRun, Vec::new(), true))]
-#[case::refused_though_run(seen(Ending::NotRun, vec![run(0, 1_000)], false))]
-#[case::run_twice(seen(Ending::Answered, vec![run(0, 1_000), run(1, 2_000)], false))]
-#[case::soon_after_a_drain_began(during(vec![(1_000_000, Event::DrainBegan { target: name(0) })], true))]
-#[case::long_after_a_drain_began(during(vec![(0, Event::DrainBegan { target: name(0) })], false))]
-#[case::a_stop_that_cut(during(vec![(0, Event::DrainEnded { target: name(0), cut: 1 })], false))]
-fn a_broken_promise_is_found(#[case] case: Case) {
+#[case::answered(observed(Ending::Answered, vec![run(0, 1_000)], true))]
+#[case::answered_without_a_run(observed(Ending::Answered, Vec::new(), false))]
+#[case::silence(observed(Ending::Silence, vec![run(0, 1_000)], false))]
+#[case::cut_off(observed(Ending::Broken, vec![run(0, 1_000)], false))]
+#[case::answer_of_another_request(observed(Ending::Wrong, vec![run(0, 1_000)], false))]
+#[case::outcome_unknown(observed(Ending::Unknown, vec![run(0, 1_000)], true))]
+#[case::refused(observed(Ending::NotRun, Vec::new(), true))]
+#[case::refused_though_run(observed(Ending::NotRun, vec![run(0, 1_000)], false))]
+#[case::run_twice(observed(Ending::Answered, vec![run(0, 1_000), run(1, 2_000)], false))]
+#[case::soon_after_a_drain_began(during(vec![(1_000_000, Event::DrainBegan { target: id(0) })], true))]
+#[case::long_after_a_drain_began(during(vec![(0, Event::DrainBegan { target: id(0) })], false))]
+#[case::a_stop_that_cut(during(vec![(0, Event::DrainEnded { target: id(0), cut: 1 })], false))]
+fn a_violation_fails_the_run(#[case] case: Case) {
     let log = Log::default();
     for (after_us, event) in case.events {
         log.record_at(SENT_US + after_us, event);
@@ -131,27 +131,27 @@
     if let Some(last) = case.runs.iter().filter_map(|run| run.run.ended_us).max() {
         record.ended_us = last + 1_000;
     }
-    let seen = Seen {
+    let observations = RunObservations {
         log: &log,
         records: &[record],
-        rude: Rude::default(),
+        irregular: IrregularCallStats::default(),
         runs: &case.runs,
-        names: &[name(0), name(1)],
-        hurt: &[],
+        ids: &[id(0), id(1)],
+        impairments: &[],
         stops: &case.stops,
         kills: &[],
-        stalled: &[],
+        stalls: &[],
         domains: &["north", "north"],
         catalogues: &[],
     };
     let schedule = Schedule { steps: Vec::new() };
-    let report = Report::judge(OPTIONS, &schedule, &seen, &Bounds::default());
-    assert_eq!(report.kept, case.kept, "{:?}", report.told);
+    let report = Report::judge(OPTIONS, &schedule, &observations, &Bounds::default());
+    assert_eq!(report.passed, case.passed, "{:?}", report.first_violations);
 }
 
 /// Runs of a request that crashes targets, started at these seconds.
-fn copies(at_s: &[u64], end: RunEnd) -> Vec<LedgerRun> {
-    let copy = |at_s: &u64| {
+fn crashing_runs(at_s: &[u64], end: RunEnd) -> Vec<LedgerRun> {
+    let crashing_run = |at_s: &u64| {
         let started_us = 1_000_000 * at_s;
         let mut run = run(0, 0);
         run.run.path = CRASHING_PATH.to_owned();
@@ -160,63 +160,64 @@
         run.run.end = end;
         run
     };
-    at_s.iter().map(copy).collect()
+    at_s.iter().map(crashing_run).collect()
 }
 
 #[derive(Debug)]
-struct Copies {
+struct CrashingRuns {
     at_s: &'static [u64],
     end: RunEnd,
-    hurt: &'static [Hurt],
-    kept: bool,
+    impairments: &'static [Impairment],
+    passed: bool,
 }
 
 #[rstest]
-#[case::within_the_time_to_tell(Copies {
+#[case::while_reports_spread(CrashingRuns {
     at_s: &[1, 2, 3, 4, 4, 5, 5, 6],
     end: RunEnd::Crashed,
-    hurt: &[],
-    kept: true,
+    impairments: &[],
+    passed: true,
 })]
-#[case::three_later(Copies {
+#[case::three_later(CrashingRuns {
     at_s: &[1, 2, 3, 7, 8, 9],
     end: RunEnd::Crashed,
-    hurt: &[],
-    kept: true,
+    impairments: &[],
+    passed: true,
 })]
-#[case::four_later(Copies {
+#[case::four_later(CrashingRuns {
     at_s: &[1, 2, 3, 7, 8, 9, 10],
     end: RunEnd::Crashed,
-    hurt: &[],
-    kept: false,
+    impairments: &[],
+    passed: false,
 })]
-#[case::beside_a_node_that_was_cut_off_lately(Copies {
+#[case::on_a_recently_impaired_node(CrashingRuns {
     at_s: &[1, 2, 3, 7, 8, 9, 10],
     end: RunEnd::Crashed,
-    hurt: &[Hurt { instance: 0, from_us: 6_000_000, to_us: 8_000_000 }],
-    kept: true,
+    impairments: &[Impairment { instance: 0, from_us: 6_000_000, to_us: 8_000_000 }],
+    passed: true,
 })]
-#[case::beside_another_than_that(Copies {
+#[case::on_another_node_than_the_impaired(CrashingRuns {
     at_s: &[1, 2, 3, 7, 8, 9, 10],
     end: RunEnd::Crashed,
-    hurt: &[Hurt { instance: 1, from_us: 6_000_000, to_us: 8_000_000 }],
-    kept: false,
+    impairments: &[Impairment { instance: 1, from_us: 6_000_000, to_us: 8_000_000 }],
+    passed: false,
 })]
-#[case::without_a_crash(Copies {
+#[case::without_a_crash(CrashingRuns {
     at_s: &[1, 2, 3, 7, 8, 9, 10, 11],
     end: RunEnd::Cancelled,
-    hurt: &[],
-    kept: true,
+    impairments: &[],
+    passed: true,
 })]
-fn copies_that_come_too_late_break_a_promise(#[case] case: Copies) {
-    let judged = Crashing::judge(&[], &copies(case.at_s, case.end), case.hurt);
-    assert_eq!(judged.is_kept(), case.kept, "{judged:?}: {case:?}");
+fn late_runs_of_a_crashing_request_are_a_violation(#[case] case: CrashingRuns) {
+    let judged =
+        QuarantineVerdict::judge(&[], &crashing_runs(case.at_s, case.end), case.impairments);
+    assert_eq!(judged.has_passed(), case.passed, "{judged:?}: {case:?}");
 }
 
 #[test]
-fn a_harmless_request_that_is_refused_breaks_a_promise() {
+fn a_quarantine_refusal_of_another_request_is_a_violation() {
     let mut refused = claim(Ending::NotRun);
-    assert!(Crashing::judge(&[refused.clone()], &[], &[]).is_kept());
+    assert!(QuarantineVerdict::judge(&[refused.clone()], &[], &[]).has_passed());
     refused.detail = "{\"reason\":\"quarantined\"}".to_owned();
-    assert!(!Crashing::judge(&[refused], &[], &[]).is_kept());
+    assert!(!QuarantineVerdict::judge(&[refused], &[], &[]).has_passed());
 }
--- a/crates/soak/src/verdict/tests/evacuations.rs
+++ b/crates/soak/src/verdict/tests/evacuations.rs
@@ -11,14 +11,14 @@
 use sassafrasspool_core::history::Event;
 use sassafrasspool_core::history::SnapshotFacts;
 
-use super::name;
+use super::id;
 use super::run;
-use crate::verdict::ColdReturns;
-use crate::verdict::Evacuated;
-use crate::verdict::Evacuee;
-use crate::verdict::Facts;
-use crate::verdict::Hurt;
+use crate::verdict::ColdStartVerdict;
+use crate::verdict::EvacuationVerdict;
+use crate::verdict::Impairment;
+use crate::verdict::JudgedInstance;
 use crate::verdict::PublishedCatalogue;
+use crate::verdict::Timeline;
 
 /// The event that a node has a catalogue revision in force, at a time in seconds.
 fn in_force(at_s: u64, revision: u64) -> (u64, Event) {
@@ -31,7 +31,7 @@
         dangling: Vec::new(),
     };
     let held = Arc::new(held);
-    let node = name(0);
+    let node = id(0);
     (at_s, Event::InForce { node, held })
 }
 
@@ -49,16 +49,16 @@
 fn judge<T>(
     catalogues: &[PublishedCatalogue],
     in_force: &[(u64, Event)],
-    begun_ms: impl Iterator<Item = u64>,
+    starts_ms: impl Iterator<Item = u64>,
     killed_s: Option<u64>,
-    stalled: &[Hurt],
-    judge: impl FnOnce(Once<Evacuee<'_>>, &Facts<'_>) -> T,
+    stalls: &[Impairment],
+    judge: impl FnOnce(Once<JudgedInstance<'_>>, &Timeline<'_>) -> T,
 ) -> T {
     let log = Log::default();
     for (at_s, event) in in_force {
         log.record_at(1_000_000 * at_s, event.clone());
     }
-    let runs = begun_ms.map(|at_ms| {
+    let runs = starts_ms.map(|at_ms| {
         let mut run = run(0, 0);
         run.run.started_us = 1_000 * at_ms;
         run
@@ -70,35 +70,35 @@
     });
     let ends = Vec::from_iter(ends);
     let (history, _) = log.copy();
-    let facts = Facts::new(catalogues, &history, &runs, &ends, stalled);
-    let id = name(0);
-    let evacuee = Evacuee {
-        instance: 0,
+    let timeline = Timeline::new(catalogues, &history, &runs, &ends, stalls);
+    let id = id(0);
+    let instance = JudgedInstance {
+        number: 0,
         id: &id,
         domain: "north",
     };
-    judge(std::iter::once(evacuee), &facts)
+    judge(std::iter::once(instance), &timeline)
 }
 
 /// A request that a target starts at a time, in milliseconds, and the earlier events of its
 /// node.
 #[derive(Debug)]
-struct Begun {
+struct Started {
     in_force: Vec<(u64, Event)>,
     at_ms: u64,
     /// When the node's process is killed, in seconds.
     killed_s: Option<u64>,
-    stalled: &'static [Hurt],
-    kept: bool,
+    stalls: &'static [Impairment],
+    passed: bool,
 }
 
-fn begun(at_ms: u64, in_force: Vec<(u64, Event)>, kept: bool) -> Begun {
-    Begun {
+fn started(at_ms: u64, in_force: Vec<(u64, Event)>, passed: bool) -> Started {
+    Started {
         in_force,
         at_ms,
         killed_s: None,
-        stalled: &[],
-        kept,
+        stalls: &[],
+        passed,
     }
 }
 
@@ -106,70 +106,70 @@
 /// allowed ones. The second catalogue evacuates it from 10 s on, the fourth ends that at
 /// 20 s.
 #[rstest]
-#[case::before(begun(9_000, vec![in_force(1, 1), in_force(10, 2)], true))]
-#[case::on_its_way(begun(10_900, vec![in_force(10, 2)], true))]
-#[case::while_evacuated(begun(12_000, vec![in_force(10, 2)], false))]
-#[case::under_a_later_catalogue(begun(15_500, vec![in_force(10, 2), in_force(14, 3)], false))]
-#[case::not_known_to_its_node(begun(12_000, vec![in_force(1, 1)], true))]
-#[case::taken_back(begun(20_100, vec![in_force(10, 2)], true))]
-#[case::after_a_restart(Begun {
+#[case::before(started(9_000, vec![in_force(1, 1), in_force(10, 2)], true))]
+#[case::in_transit(started(10_900, vec![in_force(10, 2)], true))]
+#[case::while_evacuated(started(12_000, vec![in_force(10, 2)], false))]
+#[case::under_a_later_catalogue(started(15_500, vec![in_force(10, 2), in_force(14, 3)], false))]
+#[case::not_in_force_on_its_node(started(12_000, vec![in_force(1, 1)], true))]
+#[case::withdrawn(started(20_100, vec![in_force(10, 2)], true))]
+#[case::after_a_restart(Started {
     killed_s: Some(12),
-    ..begun(15_000, vec![in_force(10, 2)], true)
+    ..started(15_000, vec![in_force(10, 2)], true)
 })]
-#[case::known_after_a_restart(Begun {
+#[case::in_force_after_a_restart(Started {
     killed_s: Some(12),
-    ..begun(18_000, vec![in_force(10, 2), in_force(13, 3)], false)
+    ..started(18_000, vec![in_force(10, 2), in_force(13, 3)], false)
 })]
-#[case::held_up(Begun {
-    stalled: &[Hurt { instance: 0, from_us: 9_000_000, to_us: 11_500_000 }],
-    ..begun(12_000, vec![in_force(10, 2)], true)
+#[case::delayed(Started {
+    stalls: &[Impairment { instance: 0, from_us: 9_000_000, to_us: 11_500_000 }],
+    ..started(12_000, vec![in_force(10, 2)], true)
 })]
-#[case::held_up_before(Begun {
-    stalled: &[Hurt { instance: 0, from_us: 9_000_000, to_us: 10_500_000 }],
-    ..begun(12_000, vec![in_force(10, 2)], false)
+#[case::delayed_earlier(Started {
+    stalls: &[Impairment { instance: 0, from_us: 9_000_000, to_us: 10_500_000 }],
+    ..started(12_000, vec![in_force(10, 2)], false)
 })]
-#[case::held_up_elsewhere(Begun {
-    stalled: &[Hurt { instance: 1, from_us: 9_000_000, to_us: 11_500_000 }],
-    ..begun(12_000, vec![in_force(10, 2)], false)
+#[case::delayed_elsewhere(Started {
+    stalls: &[Impairment { instance: 1, from_us: 9_000_000, to_us: 11_500_000 }],
+    ..started(12_000, vec![in_force(10, 2)], false)
 })]
-fn work_in_an_evacuated_domain_breaks_a_promise(#[case] case: Begun) {
+fn requests_in_an_evacuated_domain_are_a_violation(#[case] case: Started) {
     let catalogues = [
         catalogue(1, 0, &[]),
         catalogue(2, 10, &["north"]),
         catalogue(3, 14, &["south", "north"]),
         catalogue(4, 20, &["south"]),
     ];
-    let judged = judge(
+    let verdict = judge(
         &catalogues,
         &case.in_force,
         std::iter::once(case.at_ms),
         case.killed_s,
-        case.stalled,
-        |evacuees, facts| Evacuated::judge(evacuees, facts),
+        case.stalls,
+        |instances, timeline| EvacuationVerdict::judge(instances, timeline),
     );
-    assert_eq!(judged.is_kept(), case.kept, "{judged:?}: {case:?}");
+    assert_eq!(verdict.has_passed(), case.passed, "{verdict:?}: {case:?}");
 }
 
 /// Requests that a target starts evenly from a time on, in milliseconds, and the earlier
 /// events of its node.
 #[derive(Debug)]
-struct BegunCold {
+struct StartedCold {
     in_force: Vec<(u64, Event)>,
     from_ms: u64,
     every_ms: u64,
     /// When the node's process is killed, in seconds.
     killed_s: Option<u64>,
-    stalled: &'static [Hurt],
+    stalls: &'static [Impairment],
     excess: u64,
 }
 
-fn begun_cold(from_ms: u64, every_ms: u64, excess: u64) -> BegunCold {
-    BegunCold {
+fn started_cold(from_ms: u64, every_ms: u64, excess: u64) -> StartedCold {
+    StartedCold {
         in_force: vec![in_force(10, 2), in_force(20, 4)],
         from_ms,
         every_ms,
         killed_s: None,
-        stalled: &[],
+        stalls: &[],
         excess,
     }
 }
@@ -178,36 +178,39 @@
 /// ones. The second catalogue evacuates the failure domain from 10 s on, the fourth ends
 /// that at 20 s, and 40 requests start.
 #[rstest]
-#[case::as_much_as_it_tolerates(begun_cold(20_500, 34, 0))]
-#[case::at_once(begun_cold(20_500, 1, 10))]
-#[case::over_more_than_a_second(begun_cold(20_500, 30, 4))]
-#[case::before_it_is_seen(begun_cold(19_100, 10, 0))]
-#[case::when_it_may_be_warm(begun_cold(23_000, 1, 0))]
-#[case::never_evacuated(BegunCold {
+#[case::at_the_limit(started_cold(20_500, 34, 0))]
+#[case::at_once(started_cold(20_500, 1, 10))]
+#[case::over_more_than_a_second(started_cold(20_500, 30, 4))]
+#[case::before_the_end_is_in_force(started_cold(19_100, 10, 0))]
+#[case::when_it_may_be_warm(started_cold(23_000, 1, 0))]
+#[case::never_evacuated(StartedCold {
     in_force: vec![in_force(1, 1), in_force(20, 4)],
-    ..begun_cold(20_500, 1, 0)
+    ..started_cold(20_500, 1, 0)
 })]
-#[case::restarted_meanwhile(BegunCold {
+#[case::restarted_meanwhile(StartedCold {
     killed_s: Some(15),
-    ..begun_cold(20_500, 1, 0)
+    ..started_cold(20_500, 1, 0)
 })]
-#[case::held_up(BegunCold {
-    stalled: &[Hurt { instance: 0, from_us: 19_000_000, to_us: 20_300_000 }],
-    ..begun_cold(20_500, 1, 0)
+#[case::delayed(StartedCold {
+    stalls: &[Impairment { instance: 0, from_us: 19_000_000, to_us: 20_300_000 }],
+    ..started_cold(20_500, 1, 0)
 })]
-fn work_beyond_what_a_cold_target_tolerates_breaks_a_promise(#[case] case: BegunCold) {
+fn excess_requests_to_a_cold_target_are_a_violation(#[case] case: StartedCold) {
     let catalogues = [
         catalogue(1, 0, &[]),
         catalogue(2, 10, &["north"]),
         catalogue(4, 20, &[]),
     ];
-    let judged = judge(
+    let verdict = judge(
         &catalogues,
         &case.in_force,
         (0..40).map(|n| case.from_ms + n * case.every_ms),
         case.killed_s,
-        case.stalled,
-        |evacuees, facts| ColdReturns::judge(evacuees, facts),
+        case.stalls,
+        |instances, timeline| ColdStartVerdict::judge(instances, timeline),
+    );
+    assert_eq!(
+        verdict.excess_requests, case.excess,
+        "{verdict:?}: {case:?}"
     );
-    assert_eq!(judged.begun_too_cold, case.excess, "{judged:?}: {case:?}");
 }
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -17,14 +17,14 @@
 
 fn report(output: &Output) -> Value {
     let text = String::from_utf8_lossy(&output.stdout);
-    let told = String::from_utf8_lossy(&output.stderr);
-    serde_json::from_str(text.trim()).unwrap_or_else(|err| panic!("{err}: {text}{told}"))
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    serde_json::from_str(text.trim()).unwrap_or_else(|err| panic!("{err}: {text}{stderr}"))
 }
 
 // Nodes are stopped, killed and frozen, links are cut and reset, and the platform serves
 // stale answers. Requests get lost, or callers receive a wrong outcome.
 #[test]
-fn a_short_run_keeps_every_promise() {
+fn a_short_run_has_no_violation() {
     let output = soak(&["run", "--seed", "2", "--nodes", "6", "--seconds", "6"]);
     let report = report(&output);
     assert_eq!(report["kept"], true, "{report:#}");
@@ -33,34 +33,34 @@
 }
 
 #[test]
-fn options_out_of_range_are_refused() {
+fn options_out_of_range_are_rejected() {
     let output = soak(&["run", "--nodes", "1"]);
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
-    assert!(told.contains("nodes must be 2 to"), "{told}");
+    assert!(stderr.contains("nodes must be 2 to"), "{stderr}");
 }
 
 // The soak is killed in the middle of a run. If its child processes keep running, they
 // occupy ports and memory.
 #[test]
-fn a_killed_soak_leaves_nothing_behind() {
+fn a_killed_soak_leaves_no_process_behind() {
     let mut soak = Command::new(SOAK)
         .args(["run", "--seed", "3", "--nodes", "2", "--seconds", "30"])
         .stdout(Stdio::null())
         .spawn()
         .expect("a process");
     let parent = soak.id();
-    let children = until(|| Some(children_of(parent)).filter(|all| all.len() >= 5));
+    let children = poll_until(|| Some(children_of(parent)).filter(|all| all.len() >= 5));
     soak.kill().expect("killed");
     soak.wait().expect("its end");
-    until(|| children.iter().all(|pid| !is_running(*pid)).then_some(()));
+    poll_until(|| children.iter().all(|pid| !is_running(*pid)).then_some(()));
 }
 
 /// Polls until there is a value; fails the test after 20 s.
-fn until<T>(mut ask: impl FnMut() -> Option<T>) -> T {
+fn poll_until<T>(mut poll: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + Duration::from_secs(20);
     loop {
-        if let Some(found) = ask() {
+        if let Some(found) = poll() {
             return found;
         }
         assert!(Instant::now() < end, "not in time");
