--- a/crates/soak/src/driver.rs
+++ b/crates/soak/src/driver.rs
@@ -56,8 +56,8 @@
     /// One lock per instance, held while a fault is applied to its target.
     target_locks: Vec<tokio::sync::Mutex<()>>,
     platform_lock: tokio::sync::Mutex<()>,
-    /// Locked while the begin or end of an impairment is logged, so that the log has them
-    /// in their order.
+    /// Locked while the start or end of an impairment is logged, so that the log has these
+    /// events in their order.
     impairments: Mutex<Impairments>,
     /// When node processes were killed.
     kills: Mutex<Vec<Stopped>>,
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -147,10 +147,10 @@
     Evacuate(usize),
 }
 
-/// A fault with its begin and its length.
+/// A fault with its start and its length.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Step {
-    /// When it begins, after the start of the schedule.
+    /// When it starts, after the start of the schedule.
     pub at: Duration,
     /// How long it lasts.
     pub length: Duration,
@@ -199,7 +199,7 @@
     }
 }
 
-/// Silences of the platform. Each one ends before the next one begins.
+/// Silences of the platform. Each one ends before the next one starts.
 fn draw_silences(length: Duration, seed: u64) -> Vec<Step> {
     let silence = Recurrence {
         mean_interval: MEAN_SILENCE_INTERVAL,
@@ -226,7 +226,7 @@
 /// The distribution of a recurring fault that is drawn from a generator of its own.
 #[derive(Debug)]
 struct Recurrence {
-    /// The mean time from the begin of one fault to the begin of the next.
+    /// The mean time from the start of one fault to the start of the next.
     mean_interval: Duration,
     /// The shortest and the longest length of a fault, in milliseconds.
     lengths_ms: [u64; 2],
