--- a/crates/soak/src/driver.rs
+++ b/crates/soak/src/driver.rs
@@ -1,4 +1,4 @@
-//! Carrying the schedule out.
+//! Injects the faults of a schedule into the fleet.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,57 +20,58 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use self::hurts::Hurts;
+use self::impairments::Impairments;
 use self::operators::Operators;
-use self::switches::of_platform;
+use self::switches::platform_switches;
 use crate::fleet::Fleet;
 use crate::fleet::Member;
 use crate::schedule::Fault;
 use crate::schedule::PlatformFault;
 use crate::schedule::Schedule;
 use crate::schedule::Step;
-use crate::verdict::Hurt;
+use crate::verdict::Impairment;
 use crate::verdict::PublishedCatalogue;
-use crate::verdict::crashes;
+use crate::verdict::crashed_runs;
 
-mod hurts;
+mod impairments;
 mod links;
 mod nodes;
 mod operators;
 mod switches;
 mod targets;
 
-/// How long a target that a request crashed is down, in microseconds: its restart and
-/// its cold start.
-const DOWN_US: u64 = 500_000;
+/// How long a target is unavailable after a request crashed it, in microseconds. Covers
+/// its restart and its cold start.
+const CRASH_DOWNTIME_US: u64 = 500_000;
 
-/// What faults are done with.
+/// Runs the steps of a schedule and records when each fault affected which instance.
 #[derive(Debug)]
 pub struct Driver {
     fleet: Arc<Fleet>,
     operators: Operators,
     log: Arc<Log>,
     stops: Mutex<Vec<Stopped>>,
-    /// By instance: held while something is done to its node's process.
-    nodes: Vec<tokio::sync::Mutex<()>>,
-    /// The same for targets.
-    targets: Vec<tokio::sync::Mutex<()>>,
-    platform: tokio::sync::Mutex<()>,
-    /// Held while it is logged what begins or ends, so that the log has their order.
-    hurts: Mutex<Hurts>,
-    /// When the processes of nodes were killed.
+    /// One lock per instance, held while a fault is applied to the process of its node.
+    node_locks: Vec<tokio::sync::Mutex<()>>,
+    /// One lock per instance, held while a fault is applied to its target.
+    target_locks: Vec<tokio::sync::Mutex<()>>,
+    platform_lock: tokio::sync::Mutex<()>,
+    /// Locked while the start or end of an impairment is logged, so that the log has these
+    /// events in their order.
+    impairments: Mutex<Impairments>,
+    /// When node processes were killed.
     kills: Mutex<Vec<Stopped>>,
-    /// When nodes, their targets or the links between them stood still, so that a request
-    /// begins later than it was handed over.
-    stalled: Mutex<Vec<Hurt>>,
+    /// When nodes, their targets or the links between them were stalled, so that requests
+    /// start later than they were handed over.
+    stalls: Mutex<Vec<Impairment>>,
 }
 
 impl Driver {
-    /// Takes over a fleet whose first catalogue and list were published.
+    /// Creates a driver for a fleet whose first catalogue and instance list were published.
     ///
     /// # Errors
     ///
-    /// Fails if these can't be read again.
+    /// Fails if the first catalogue or list can't be parsed.
     pub fn new(fleet: Arc<Fleet>, log: Arc<Log>) -> miette::Result<Driver> {
         let list = fleet.members.iter().map(|m| m.instance.clone()).collect();
         let count = fleet.members.len();
@@ -84,104 +85,104 @@
             fleet,
             log,
             stops: Mutex::default(),
-            nodes: locks(),
-            targets: locks(),
-            platform: tokio::sync::Mutex::new(()),
-            hurts: Mutex::default(),
+            node_locks: locks(),
+            target_locks: locks(),
+            platform_lock: tokio::sync::Mutex::new(()),
+            impairments: Mutex::default(),
             kills: Mutex::default(),
-            stalled: Mutex::default(),
+            stalls: Mutex::default(),
         })
     }
 
-    /// The planned stops so far.
+    /// The planned stops of nodes so far.
     pub fn stops(&self) -> Vec<Stopped> {
         lock(&self.stops).clone()
     }
 
-    /// The catalogues that bind, as they were published.
+    /// The valid catalogues in the order of their publication.
     pub async fn catalogues(&self) -> Vec<PublishedCatalogue> {
         self.operators.catalogues().await
     }
 
-    /// When nodes' processes were killed.
+    /// When node processes were killed.
     pub fn kills(&self) -> Vec<Stopped> {
         lock(&self.kills).clone()
     }
 
-    /// When nodes, their targets or the links between them stood still.
-    pub fn stalled(&self) -> Vec<Hurt> {
-        lock(&self.stalled).clone()
+    /// When nodes, their targets or the links between them were stalled.
+    pub fn stalls(&self) -> Vec<Impairment> {
+        lock(&self.stalls).clone()
     }
 
-    /// When something kept nodes from following.
-    pub fn hurt(&self) -> Vec<Hurt> {
-        lock(&self.hurts).all().to_vec()
+    /// When faults kept nodes from receiving new versions.
+    pub fn impairments(&self) -> Vec<Impairment> {
+        lock(&self.impairments).all().to_vec()
     }
 
-    /// Notes the crashes that requests brought about, as the targets' ledgers tell.
-    pub fn note_crashes(&self, runs: &[LedgerRun]) {
-        for (at_us, run) in crashes(runs) {
+    /// Records the crashes that requests caused according to the ledgers of the targets.
+    pub fn record_crashes(&self, runs: &[LedgerRun]) {
+        for (at_us, run) in crashed_runs(runs) {
             let target = self.id(run.instance);
             self.log.record_at(at_us, Event::Crashed { target });
             let kind = OutageKind::TargetCrashed;
-            self.note_until(run.instance, kind, at_us, at_us + DOWN_US);
+            self.record_outage_until(run.instance, kind, at_us, at_us + CRASH_DOWNTIME_US);
         }
     }
 
-    /// Does every step when it is due and waits until all faults are over.
+    /// Starts each step when it is due and waits until all faults have ended.
     ///
     /// # Errors
     ///
-    /// Fails if a process can't be hurt or started as the schedule says.
-    pub async fn play(self: &Arc<Driver>, schedule: &Schedule) -> miette::Result<()> {
+    /// Fails if a fault can't be applied, or a process can't be started again.
+    pub async fn run_schedule(self: &Arc<Driver>, schedule: &Schedule) -> miette::Result<()> {
         let start = Instant::now();
-        let mut under_way = JoinSet::new();
+        let mut running = JoinSet::new();
         for &step in &schedule.steps {
             tokio::time::sleep_until(start + step.at).await;
             let driver = Arc::clone(self);
-            under_way.spawn(async move { driver.perform(step).await });
+            running.spawn(async move { driver.run_step(step).await });
         }
-        while let Some(done) = under_way.join_next().await {
+        while let Some(done) = running.join_next().await {
             done.into_diagnostic()??;
         }
         Ok(())
     }
 
-    /// Does one step. A second one of the same process waits for the first, so
-    /// that a series is one; it may then come after its time.
-    async fn perform(&self, step: Step) -> miette::Result<()> {
+    /// Runs one step. Steps for the same process run one after another, so that the steps
+    /// of a series don't overlap; a step may therefore start late.
+    async fn run_step(&self, step: Step) -> miette::Result<()> {
         match step.fault {
-            Fault::Node(n, what) => {
-                let _turn = self.nodes[n].lock().await;
-                self.of_node(n, what, step.length).await
+            Fault::Node(n, fault) => {
+                let _guard = self.node_locks[n].lock().await;
+                self.apply_node_fault(n, fault, step.length).await
             }
-            Fault::Herd => self.herd(step.length).await,
-            Fault::Target(n, what) => {
-                let _turn = self.targets[n].lock().await;
-                self.of_target(n, what, step.length).await
+            Fault::Herd => self.kill_every_second_node(step.length).await,
+            Fault::Target(n, fault) => {
+                let _guard = self.target_locks[n].lock().await;
+                self.apply_target_fault(n, fault, step.length).await
             }
-            Fault::Link(n, way, what) => {
-                self.of_link(n, way, what, step.length).await;
+            Fault::Link(n, role, fault) => {
+                self.apply_link_fault(n, role, fault, step.length).await;
                 Ok(())
             }
-            Fault::Platform(what) => {
-                let _turn = self.platform.lock().await;
-                self.of_platform(what, step.length).await
+            Fault::Platform(fault) => {
+                let _guard = self.platform_lock.lock().await;
+                self.apply_platform_fault(fault, step.length).await
             }
             Fault::Evacuate(domain) => {
                 let platform = &self.fleet.platform;
                 let domain = DOMAINS[domain];
                 self.operators
-                    .evacuate(domain, true, platform, &self.log)
+                    .change_evacuation(domain, true, platform, &self.log)
                     .await?;
                 tokio::time::sleep(step.length).await;
                 self.operators
-                    .evacuate(domain, false, platform, &self.log)
+                    .change_evacuation(domain, false, platform, &self.log)
                     .await
             }
-            Fault::Publish(good) => {
+            Fault::Publish(valid) => {
                 let platform = &self.fleet.platform;
-                self.operators.publish(good, platform, &self.log).await
+                self.operators.publish(valid, platform, &self.log).await
             }
         }
     }
@@ -194,70 +195,81 @@
         self.member(n).instance.id.clone()
     }
 
-    async fn of_platform(&self, what: PlatformFault, length: Duration) -> miette::Result<()> {
+    async fn apply_platform_fault(
+        &self,
+        fault: PlatformFault,
+        length: Duration,
+    ) -> miette::Result<()> {
         let platform = &self.fleet.platform;
         self.log.record(Event::SourceLost);
-        if what == PlatformFault::Freeze {
-            platform.freeze(true).into_diagnostic()?;
+        if fault == PlatformFault::Freeze {
+            platform.set_frozen(true).into_diagnostic()?;
             tokio::time::sleep(length).await;
-            platform.freeze(false).into_diagnostic()?;
+            platform.set_frozen(false).into_diagnostic()?;
         } else {
-            platform.switch(&of_platform(what, length, true)).await?;
+            platform
+                .set_switches(&platform_switches(fault, length, true))
+                .await?;
             tokio::time::sleep(length).await;
-            platform.switch(&of_platform(what, length, false)).await?;
+            platform
+                .set_switches(&platform_switches(fault, length, false))
+                .await?;
         }
-        if what == PlatformFault::ListLag {
-            // A list of the last moment is still held back that long.
+        if fault == PlatformFault::ListLag {
+            // A list that was published at the end is still delayed by that time.
             tokio::time::sleep(length).await;
         }
         self.log.record(Event::SourceBack);
         Ok(())
     }
 
-    /// Lists an instance in a state, or takes it off the list.
-    async fn list_as(&self, n: usize, state: Option<InstanceState>) -> miette::Result<()> {
+    /// Publishes the instance list with a new state of one instance, or without it.
+    async fn publish_state(&self, n: usize, state: Option<InstanceState>) -> miette::Result<()> {
         let platform = &self.fleet.platform;
-        self.operators.list_as(n, state, platform, &self.log).await
+        self.operators
+            .publish_state(n, state, platform, &self.log)
+            .await
     }
 
-    /// Something begins to keep a node from following.
-    fn lose(&self, n: usize) {
-        let mut hurts = lock(&self.hurts);
-        if hurts.begin(n) {
+    /// Records that a fault begins to keep a node from receiving new versions.
+    fn begin_impairment(&self, n: usize) {
+        let mut impairments = lock(&self.impairments);
+        if impairments.begin(n) {
             self.log.record(Event::NodeLost { node: self.id(n) });
         }
     }
 
-    fn regain(&self, n: usize) {
-        let mut hurts = lock(&self.hurts);
-        if hurts.end(n) {
+    /// Records that such a fault ended.
+    fn end_impairment(&self, n: usize) {
+        let mut impairments = lock(&self.impairments);
+        if impairments.end(n) {
             self.log.record(Event::NodeBack { node: self.id(n) });
         }
     }
 
-    /// Notes that a node, its target or the link between them stood still, up to now.
-    fn note_stall(&self, n: usize, from_us: u64) {
-        lock(&self.stalled).push(Hurt {
+    /// Records that a node, its target or the link between them was stalled until now.
+    fn record_stall(&self, n: usize, from_us: u64) {
+        lock(&self.stalls).push(Impairment {
             instance: n,
             from_us,
             to_us: now_us(),
         });
     }
 
-    /// Notes what was done to an instance, up to now.
-    fn note(&self, n: usize, kind: OutageKind, from_us: u64) {
-        self.note_until(n, kind, from_us, now_us());
+    /// Records an outage of an instance that lasted until now.
+    fn record_outage(&self, n: usize, kind: OutageKind, from_us: u64) {
+        self.record_outage_until(n, kind, from_us, now_us());
     }
 
-    /// Notes what was done to an instance; callers that come without a link feel
-    /// nothing of what is done to links.
-    fn note_until(&self, n: usize, kind: OutageKind, from_us: u64, to_us: u64) {
+    /// Records an outage of an instance. A fault of the callers' link doesn't affect callers
+    /// that connect to the node directly.
+    fn record_outage_until(&self, n: usize, kind: OutageKind, from_us: u64, to_us: u64) {
         let member = self.member(n);
-        let by_link = (kind == OutageKind::CallersCut).then_some(member.entry);
-        let both = [member.ingress, member.entry];
-        for entry in both
+        let affected = (kind == OutageKind::CallersCut).then_some(member.linked_ingress);
+        let entries = [member.ingress, member.linked_ingress];
+        for entry in entries
             .into_iter()
-            .filter(|it| by_link.is_none_or(|only| only == *it))
+            .filter(|it| affected.is_none_or(|affected| affected == *it))
         {
             self.log.add(Outage {
                 instance: n,
--- a/crates/soak/src/driver/links.rs
+++ b/crates/soak/src/driver/links.rs
@@ -1,4 +1,4 @@
-//! Hurting links.
+//! Injects faults into links.
 
 use std::time::Duration;
 
@@ -7,19 +7,25 @@
 
 use super::Driver;
 use crate::schedule::LinkFault;
-use crate::schedule::Way;
+use crate::schedule::LinkRole;
 
-/// By how much bytes are delayed: more than any wait inside of a failure
-/// domain, less than what callers wait for.
+/// The delay of bytes on a slow link: longer than any wait inside of a failure domain,
+/// shorter than the caller timeout.
 const DELAY: Duration = Duration::from_millis(40);
 
 impl Driver {
-    /// Does something to a link of an instance, and notes what callers may see of it.
-    pub(super) async fn of_link(&self, n: usize, way: Way, what: LinkFault, length: Duration) {
-        let link = self.member(n).link(way);
+    /// Applies a fault to a link of an instance and records the outage that callers may see.
+    pub(super) async fn apply_link_fault(
+        &self,
+        n: usize,
+        role: LinkRole,
+        fault: LinkFault,
+        length: Duration,
+    ) {
+        let link = self.member(n).link(role);
         let from_us = now_us();
-        self.lose(n);
-        match what {
+        self.begin_impairment(n);
+        match fault {
             LinkFault::Delay => link.delay(DELAY),
             LinkFault::Reset => link.reset(),
             LinkFault::Silence => link.silence(),
@@ -28,25 +34,27 @@
             LinkFault::CutBack => link.hold(false, true),
         }
         tokio::time::sleep(length).await;
-        match what {
+        match fault {
             LinkFault::Delay => link.delay(Duration::ZERO),
             LinkFault::Reset | LinkFault::Silence => {}
             LinkFault::Cut | LinkFault::CutForth | LinkFault::CutBack => link.hold(false, false),
         }
-        self.regain(n);
-        if way == Way::Target {
-            self.note_stall(n, from_us);
+        self.end_impairment(n);
+        if role == LinkRole::Target {
+            self.record_stall(n, from_us);
         }
-        match way {
-            // A connection that went silent may be used at any later time.
-            Way::Callers if what == LinkFault::Silence => {
-                self.note_until(n, OutageKind::CallersCut, from_us, u64::MAX);
+        match role {
+            // A caller may use a silent connection at any later time.
+            LinkRole::Callers if fault == LinkFault::Silence => {
+                self.record_outage_until(n, OutageKind::CallersCut, from_us, u64::MAX);
             }
-            // Nothing can be told to a caller whose own connection fails.
-            Way::Callers => self.note(n, OutageKind::CallersCut, from_us),
-            // An answer that has begun can't be made whole elsewhere.
-            Way::PeerTraffic | Way::Target => self.note(n, OutageKind::AnswersCut, from_us),
-            Way::PeerControl | Way::Platform => {}
+            // A caller whose own connection fails can't receive any answer.
+            LinkRole::Callers => self.record_outage(n, OutageKind::CallersCut, from_us),
+            // An answer that has begun can't be completed by another instance.
+            LinkRole::PeerTraffic | LinkRole::Target => {
+                self.record_outage(n, OutageKind::AnswersCut, from_us);
+            }
+            LinkRole::PeerControl | LinkRole::Platform => {}
         }
     }
 }
--- a/crates/soak/src/schedule/tests.rs
+++ b/crates/soak/src/schedule/tests.rs
@@ -6,25 +6,25 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-// A seed that failed is played again. Were the schedule to depend on anything
-// else, its fault might never show a second time.
+// A failed seed is run again to reproduce its failure. If the schedule depends on anything
+// besides the seed, the failure may not occur a second time.
 #[test]
 fn a_seed_draws_the_same_schedule() {
     assert_eq!(Schedule::draw(8, MINUTE, 3), Schedule::draw(8, MINUTE, 3));
     assert_ne!(Schedule::draw(8, MINUTE, 3), Schedule::draw(8, MINUTE, 4));
 }
 
-// A kind of fault that is never drawn is one that nobody tests.
+// A kind of fault that is never drawn is never tested.
 #[test]
-fn every_kind_of_fault_comes_in_a_few_minutes() {
+fn every_kind_of_fault_occurs_within_ten_minutes() {
     let steps = Schedule::draw(8, 10 * MINUTE, 5).steps;
     let kinds: HashSet<String> = steps
         .iter()
         .map(|step| match step.fault {
-            Fault::Node(_, what) => format!("{what:?} of a node"),
-            Fault::Target(_, what) => format!("{what:?} of a target"),
-            Fault::Link(_, way, what) => format!("{way:?} {what:?}"),
-            Fault::Platform(what) => format!("{what:?} of the platform"),
+            Fault::Node(_, fault) => format!("{fault:?} of a node"),
+            Fault::Target(_, fault) => format!("{fault:?} of a target"),
+            Fault::Link(_, role, fault) => format!("{role:?} {fault:?}"),
+            Fault::Platform(fault) => format!("{fault:?} of the platform"),
             other => format!("{other:?}"),
         })
         .collect();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn faults_overlap_and_stay_in_order() {
+fn faults_overlap_and_are_sorted_by_time() {
     let steps = Schedule::draw(8, MINUTE, 6).steps;
     assert!(steps.is_sorted_by_key(|step| step.at));
     let overlap = |pair: &[super::Step]| pair[1].at < pair[0].at + pair[0].length;
