--- a/crates/bench/src/demo.rs
+++ b/crates/bench/src/demo.rs
@@ -1,18 +1,18 @@
 /*!
-A whole deployment on loopback, with everything that a bad day brings.
+Runs a whole deployment on loopback and injects faults into it.
 
-One process for the platform, and for each worker one for its target and one
-for its node. Callers send requests all the while; the catalogue changes, once
-badly; one node is stopped as planned, one is killed together with its target.
-In the end the callers' records are held against the targets' ledgers, and the
-exit code tells whether every promise held.
+The platform is one process. Each worker is two: its target and its node.
+Callers send requests throughout the run. The catalogue changes several times,
+once to an invalid version. One node is drained; one is killed together with
+its target. At the end the callers' records are compared with the targets'
+ledgers, and the exit code tells whether every guarantee held.
 
-The processes are this program again, with another verb: the nodes themselves
-start none. Each child ends when the demo does, in whatever way that ends.
+The processes run this same program with another verb: nodes start no
+processes themselves. Each child exits when the demo ends, however it ends.
 */
 
 pub use self::deployment::Deployment;
-pub use self::routes::routes;
+pub use self::routes::bind_routes;
 
 use std::process::ExitCode;
 
@@ -30,47 +30,47 @@
 mod callers;
 mod changes;
 mod deployment;
-mod evidence;
 mod flags;
 mod fleet;
 mod member;
-mod platform;
 mod process;
+mod publisher;
 mod report;
+mod results;
 mod role;
 mod routes;
 mod scenario;
-mod watch;
+mod status_poller;
 
-/// Runs the demo, or the part of it that the arguments name.
+/// Runs the demo, or the child process that the arguments name.
 pub fn main() -> ExitCode {
     let flags = SassafrasspoolDemo::from_env_or_exit();
-    let ended = match flags.subcommand {
-        SassafrasspoolDemoCmd::Run(given) => demo(&given),
-        SassafrasspoolDemoCmd::Platform(given) => role::run(Role::Platform, &given.settings),
-        SassafrasspoolDemoCmd::Target(given) => role::run(Role::Target, &given.settings),
-        SassafrasspoolDemoCmd::Node(given) => role::run(Role::Node, &given.settings),
+    let exit_code = match flags.subcommand {
+        SassafrasspoolDemoCmd::Run(args) => run_demo(&args),
+        SassafrasspoolDemoCmd::Platform(args) => role::run(Role::Platform, &args.settings),
+        SassafrasspoolDemoCmd::Target(args) => role::run(Role::Target, &args.settings),
+        SassafrasspoolDemoCmd::Node(args) => role::run(Role::Node, &args.settings),
     };
-    ended.unwrap_or_else(|err| {
+    exit_code.unwrap_or_else(|err| {
         eprintln!("error: {err}");
         ExitCode::FAILURE
     })
 }
 
-fn demo(given: &flags::Run) -> Result<ExitCode> {
-    let scenario = Scenario::load(given)?;
+fn run_demo(args: &flags::Run) -> Result<ExitCode> {
+    let scenario = Scenario::load(args)?;
     let report = runtime()?.block_on(async {
-        let run = timeout(scenario::BOUND, scenario.run());
+        let run = timeout(scenario::MAX_DURATION, scenario.run());
         run.await.unwrap_or_else(|_| {
-            let bound = scenario::BOUND.as_secs();
+            let max_s = scenario::MAX_DURATION.as_secs();
             Err(Error::new(
                 Step::Check,
-                format!("not done within {bound} s"),
+                format!("the demo did not finish within {max_s} s"),
             ))
         })
     })?;
     print!("{report}");
-    Ok(if report.held() {
+    Ok(if report.passed() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -78,5 +78,7 @@
 }
 
 fn runtime() -> Result<Runtime> {
-    Runtime::new().map_err(|cause| Error::new(Step::Check, "no runtime").with_cause(cause))
+    Runtime::new().map_err(|cause| {
+        Error::new(Step::Check, "the async runtime can't be started").with_cause(cause)
+    })
 }
--- a/crates/bench/src/demo/callers.rs
+++ b/crates/bench/src/demo/callers.rs
@@ -1,5 +1,5 @@
-//! The callers' side of the demo: calls by the deployment's shares, some
-//! asked twice, until they are told to stop.
+//! The demo's callers: they send calls in the deployment's shares, some of them
+//! twice, until they are stopped.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,8 +28,9 @@
 #[cfg(test)]
 mod tests;
 
-/// How callers repeat themselves: once more under the same key if they don't
-/// know what became of a request, and some by a second click.
+/// How callers retry: once more under the same key if the outcome of a request
+/// is unknown. Some send the second attempt while the first is in flight, as a
+/// user who clicks twice does.
 const REPEATS: Repeats = Repeats {
     attempts: 2,
     pause: Duration::from_millis(100),
@@ -37,16 +38,16 @@
     impatient_after: Duration::from_millis(5),
 };
 
-/// How long callers want answers for.
+/// Caller timeout, which is sent with each request.
 const TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How much longer they wait for being told that the time is over.
+/// How long after the timeout callers still wait for the node's timeout answer.
 const GRACE: Duration = Duration::from_millis(2_500);
 
-/// The longest body of a request that may not run twice, in bytes.
-const REQUEST_BYTES: usize = 800;
+/// Longest body of a request that must run at most once, in bytes.
+const MAX_REQUEST_BYTES: usize = 800;
 
-/// Callers that call.
+/// Callers that are sending calls.
 #[derive(Debug)]
 pub(super) struct Callers {
     stopped: Arc<AtomicBool>,
@@ -54,18 +55,18 @@
 }
 
 impl Callers {
-    /// Begins to call any of `entries`, `rate` times a second, for at most
-    /// `longest`.
+    /// Starts sending `rate` calls a second to any of `entries`, for at most
+    /// `max_length`.
     pub(super) fn start(
         kinds: Vec<CallKind>,
         entries: Vec<SocketAddr>,
         rate: u32,
         seed: u64,
-        longest: Duration,
+        max_length: Duration,
     ) -> Callers {
         let stopped = Arc::new(AtomicBool::new(false));
         let stop = Arc::clone(&stopped);
-        let plan = Plan::new(&kinds, f64::from(rate), longest, seed);
+        let plan = Plan::new(&kinds, f64::from(rate), max_length, seed);
         let plan = plan.take_while(move |_| !stop.load(Ordering::Relaxed));
         let caller = Caller {
             client: Client::default(),
@@ -80,46 +81,47 @@
         Callers { stopped, calls }
     }
 
-    /// Makes no new calls and waits for the end of all.
+    /// Stops making calls and waits until all calls in flight have ended.
     ///
     /// # Errors
     ///
-    /// Fails if a caller panicked.
+    /// Fails if the callers' task panicked.
     pub(super) async fn stop(self) -> Result<OpenLoop> {
         self.stopped.store(true, Ordering::Relaxed);
         let calls = self.calls.await;
-        calls.map_err(|cause| Error::new(Step::Check, "the callers failed").with_cause(cause))
+        calls.map_err(|cause| Error::new(Step::Check, "the callers' task failed").with_cause(cause))
     }
 }
 
-/// The sorts of calls, as the catalogue's routes treat them.
+/// The kinds of calls, with class, weight and idempotence from the catalogue's
+/// routes.
 ///
 /// # Errors
 ///
 /// Fails if a call has no route.
-pub(super) fn kinds(calls: &[Call], routes: &Snapshot) -> Result<Vec<CallKind>> {
-    let kind = |call: &Call| {
+pub(super) fn call_kinds(calls: &[Call], routes: &Snapshot) -> Result<Vec<CallKind>> {
+    let of_call = |call: &Call| {
         let route = routes.match_route(None, call.path.as_str());
         let reason = || format!("the catalogue has no route for {}", call.path);
         let route = route.ok_or_else(|| Error::new(Step::Settings, reason()))?;
-        Ok(kind(call, route))
+        Ok(call_kind(call, route))
     };
-    calls.iter().map(kind).collect()
+    calls.iter().map(of_call).collect()
 }
 
-fn kind(call: &Call, bound: &BoundRoute) -> CallKind {
+fn call_kind(call: &Call, bound: &BoundRoute) -> CallKind {
     let route = &bound.route;
-    let once = !route.idempotent;
+    let at_most_once = !route.idempotent;
     CallKind {
-        // A handful of names that live as long as the demo does.
+        // Leaks a few names, which are needed until the demo ends.
         name: String::leak(route.kind.to_string()),
         path: String::leak(call.path.to_string()),
         class: route.class,
         weight: bound.weight,
         idempotent: route.idempotent,
-        keys: if once { Keys::Half } else { Keys::None },
+        keys: if at_most_once { Keys::Half } else { Keys::None },
         share: call.share,
         answer_bytes: call.answer_bytes,
-        request_bytes: if once { REQUEST_BYTES } else { 0 },
+        request_bytes: if at_most_once { MAX_REQUEST_BYTES } else { 0 },
     }
 }
--- a/crates/bench/src/demo/callers/tests.rs
+++ b/crates/bench/src/demo/callers/tests.rs
@@ -2,10 +2,10 @@
 
 use sassafrasspool_core::RoutePath;
 
-use super::kinds;
-use crate::demo::changes::items;
+use super::call_kinds;
+use crate::demo::bind_routes;
+use crate::demo::changes::parse_items;
 use crate::demo::deployment::Call;
-use crate::demo::routes;
 use crate::load::Keys;
 
 const CATALOGUE: &str = "
@@ -24,22 +24,22 @@
     Call {
         path: RoutePath::new(path).unwrap(),
         share: 3,
-        service: Duration::ZERO,
+        service_time: Duration::ZERO,
         answer_bytes: 70,
     }
 }
 
 #[test]
-fn calls_are_made_as_their_routes_say() {
-    let routes = routes(items(CATALOGUE).unwrap()).unwrap();
-    let found = kinds(&[call("/desk/7"), call("/desk/approvals")], &routes).unwrap();
-    let told = found
+fn call_kinds_take_weight_and_idempotence_from_their_routes() {
+    let routes = bind_routes(parse_items(CATALOGUE).unwrap()).unwrap();
+    let kinds = call_kinds(&[call("/desk/7"), call("/desk/approvals")], &routes).unwrap();
+    let actual = kinds
         .iter()
         .map(|kind| (kind.name, kind.weight, kind.idempotent, kind.keys));
-    let wanted = [
+    let expected = [
         ("review", 2, true, Keys::None),
         ("approval", 9, false, Keys::Half),
     ];
-    assert_eq!(told.collect::<Vec<_>>(), wanted);
-    assert!(kinds(&[call("/elsewhere")], &routes).is_err());
+    assert_eq!(actual.collect::<Vec<_>>(), expected);
+    assert!(call_kinds(&[call("/elsewhere")], &routes).is_err());
 }
--- a/crates/bench/src/demo/changes.rs
+++ b/crates/bench/src/demo/changes.rs
@@ -1,4 +1,4 @@
-//! Changes that an operator makes to the catalogue.
+//! Changes to the catalogue, valid and invalid.
 
 use sassafrasspool_core::CatalogueItem;
 use sassafrasspool_core::Error;
@@ -10,16 +10,16 @@
 use sassafrasspool_core::Step;
 use sassafrasspool_core::catalogue;
 
-use crate::generate::render;
+use crate::generate;
 
 #[cfg(test)]
 mod tests;
 
-/// The operators' working copy of the catalogue.
+/// An editable copy of the catalogue, which is rendered to publish it.
 ///
 /// # Invariants
 ///
-/// Has a service with a route.
+/// At least one service has a route.
 #[derive(Debug, Clone)]
 pub(super) struct WorkingCopy {
     kinds: Vec<Kind>,
@@ -28,7 +28,7 @@
 }
 
 impl WorkingCopy {
-    /// Begins with a catalogue's items.
+    /// Makes a working copy of a catalogue's items.
     ///
     /// # Errors
     ///
@@ -40,7 +40,7 @@
             match item {
                 CatalogueItem::Kind(kind) => kinds.push(kind),
                 CatalogueItem::Service(entry) => services.push(entry),
-                // The examples have neither.
+                // The examples' catalogues have neither.
                 CatalogueItem::Callers(_) | CatalogueItem::Evacuation(_) => {}
             }
         }
@@ -56,29 +56,29 @@
         })
     }
 
-    /// The text as it stands.
-    pub(super) fn text(&self) -> String {
-        render(&self.kinds, &self.services)
+    /// The catalogue's text with all changes so far.
+    pub(super) fn render(&self) -> String {
+        generate::render(&self.kinds, &self.services)
     }
 
-    /// Makes an ordinary change: another limit for one entry after the other.
-    pub(super) fn change(&mut self) -> String {
+    /// Makes a valid change and gives the new text: raises the rate limit of one
+    /// service entry by 1. Successive calls go round all entries.
+    pub(super) fn raise_next_rate_limit(&mut self) -> String {
         let at = self.changes as usize % self.services.len();
         self.changes += 1;
         self.services[at].limits.rate_per_s += 1;
-        self.text()
+        self.render()
     }
 
-    /// A change that forgets something: a service is taken out, but one of
-    /// another entry's routes still leads to it. The working copy stays as it
-    /// was.
+    /// The text of an invalid change, as if a service had been removed while a
+    /// route of another entry still names it. The working copy isn't changed.
     ///
     /// # Errors
     ///
-    /// Fails if the name of the service is refused.
-    pub(super) fn forgetful_change(&self) -> Result<String> {
+    /// Fails if the service's name or the route's path is invalid.
+    pub(super) fn dangling_route_change(&self) -> Result<String> {
         let mut bad = self.clone();
-        let gone = ServiceName::new("retired-desk")?;
+        let removed = ServiceName::new("retired-desk")?;
         let entry = bad
             .services
             .iter_mut()
@@ -86,18 +86,18 @@
         if let Some(entry) = entry {
             let mut route = entry.routes[0].clone();
             route.path = RoutePath::new("/retired")?;
-            route.service = gone;
+            route.service = removed;
             entry.routes.push(route);
         }
-        Ok(bad.text())
+        Ok(bad.render())
     }
 }
 
-/// The items of a text that was rendered here.
+/// Parses a catalogue's text.
 ///
 /// # Errors
 ///
-/// Fails with every fault.
-pub(super) fn items(text: &str) -> Result<Vec<CatalogueItem>> {
+/// Fails with all faults of the text.
+pub(super) fn parse_items(text: &str) -> Result<Vec<CatalogueItem>> {
     catalogue::parse(text).map_err(|faults| Error::new(Step::Parse, faults.to_string()))
 }
--- a/crates/bench/src/demo/changes/tests.rs
+++ b/crates/bench/src/demo/changes/tests.rs
@@ -1,6 +1,6 @@
 use super::WorkingCopy;
-use super::items;
-use crate::demo::routes;
+use super::parse_items;
+use crate::demo::bind_routes;
 
 const TEXT: &str = "
 kinds: {review: {weight: 2}}
@@ -13,27 +13,27 @@
 ";
 
 #[test]
-fn an_ordinary_change_binds_and_differs() {
-    let mut copy = WorkingCopy::new(items(TEXT).unwrap()).unwrap();
-    let before = copy.text();
-    let after = copy.change();
+fn a_raised_rate_limit_changes_the_text_and_binds() {
+    let mut copy = WorkingCopy::new(parse_items(TEXT).unwrap()).unwrap();
+    let before = copy.render();
+    let after = copy.raise_next_rate_limit();
     assert_ne!(before, after);
-    assert!(routes(items(&after).unwrap()).is_ok());
+    assert!(bind_routes(parse_items(&after).unwrap()).is_ok());
 }
 
 #[test]
-fn a_forgetful_change_reads_well_but_doesnt_bind() {
-    let copy = WorkingCopy::new(items(TEXT).unwrap()).unwrap();
-    let bad = items(&copy.forgetful_change().unwrap()).unwrap();
-    let err = routes(bad).unwrap_err();
+fn a_dangling_route_change_parses_but_doesnt_bind() {
+    let copy = WorkingCopy::new(parse_items(TEXT).unwrap()).unwrap();
+    let bad = parse_items(&copy.dangling_route_change().unwrap()).unwrap();
+    let err = bind_routes(bad).unwrap_err();
     assert!(
         err.to_string().contains("there is no service retired-desk"),
         "{err}"
     );
-    assert!(routes(items(&copy.text()).unwrap()).is_ok());
+    assert!(bind_routes(parse_items(&copy.render()).unwrap()).is_ok());
 }
 
 #[test]
-fn a_catalogue_without_routes_is_refused() {
-    assert!(WorkingCopy::new(items("kinds: {}").unwrap()).is_err());
+fn a_catalogue_without_routes_is_rejected() {
+    assert!(WorkingCopy::new(parse_items("kinds: {}").unwrap()).is_err());
 }
--- a/crates/bench/src/demo/deployment.rs
+++ b/crates/bench/src/demo/deployment.rs
@@ -1,4 +1,4 @@
-//! What a demo deploys: `deployment.yaml` beside a catalogue.
+//! What a demo deploys: `deployment.yaml`, in the directory of the catalogue.
 
 use std::path::Path;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 #[cfg(test)]
 mod tests;
 
-/// Workers by service, where they stand and what is asked of them.
+/// Workers by service, their failure domains and the calls to them.
 ///
 /// # Invariants
 ///
 /// At least one domain, one service and one kind of call.
 #[derive(Debug, Clone)]
 pub struct Deployment {
-    /// Failure domains with their regions; workers are dealt out in turn.
+    /// Failure domains with their regions. Workers are placed round-robin.
     pub domains: Vec<Domain>,
     /// Workers of each service.
     pub services: Vec<Workers>,
-    /// What callers ask for.
+    /// The calls that callers make.
     pub calls: Vec<Call>,
 }
 
@@ -47,22 +47,22 @@
     pub service: ServiceName,
     /// How many workers there are.
     pub workers: u32,
-    /// Requests that each runs at once.
+    /// Requests that each runs concurrently.
     pub slots: u32,
-    /// Connections that each holds at most.
+    /// Most connections of each.
     pub connections: u32,
 }
 
-/// One sort of call.
+/// One kind of call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
     /// The path that is called.
     pub path: RoutePath,
-    /// How often, beside the other calls' shares.
+    /// Its share of all calls, relative to the other calls' shares.
     pub share: u32,
     /// How long a target works on it.
-    pub service: Duration,
-    /// Bytes of its answer.
+    pub service_time: Duration,
+    /// Length of its answer, in bytes.
     pub answer_bytes: usize,
 }
 
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// Returns every fault with its place.
+    /// Returns all faults with their places.
     pub fn parse(text: &str) -> Result<Deployment, Faults> {
         read::read(text)
     }
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read, or with every fault of its text.
+    /// Fails if the file can't be read, or with all faults of its text.
     pub fn load(file: &Path) -> Result<Deployment> {
         let name = file.display();
         let text = std::fs::read_to_string(file).map_err(|cause| {
--- a/crates/bench/src/demo/deployment/read.rs
+++ b/crates/bench/src/demo/deployment/read.rs
@@ -1,4 +1,4 @@
-//! Taking a deployment's text apart.
+//! Parses and checks a deployment's text.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -19,9 +19,9 @@
 use super::Domain;
 use super::Workers;
 
-/// Bounds of the text, in bytes.
+/// Longest text, in bytes.
 const MAX_BYTES: usize = 64 * 1024;
-/// Bounds of the workers of one service: each is two processes.
+/// Bounds of the number of workers of one service; each is two processes.
 const WORKERS: RangeInclusive<u64> = 1..=40;
 /// Bounds of a worker's slots.
 const SLOTS: RangeInclusive<u64> = 1..=1_000;
@@ -29,7 +29,7 @@
 const CONNECTIONS: RangeInclusive<u64> = 1..=10_000;
 /// Bounds of a call's share.
 const SHARE: RangeInclusive<u64> = 1..=1_000;
-/// Bounds of the time that a call takes, in milliseconds.
+/// Bounds of a call's service time at the target, in milliseconds.
 const SERVICE_MS: RangeInclusive<u64> = 0..=1_000;
 /// Bounds of an answer's length, in bytes.
 const ANSWER_BYTES: RangeInclusive<u64> = 0..=1_048_576;
@@ -55,7 +55,7 @@
         read_calls(&mut top, &mut found.calls, &mut faults);
         top.finish(&mut faults);
     }
-    // INVARIANT: Each reader notes a fault if it finds nothing.
+    // INVARIANT: Each reader adds a fault if it finds nothing.
     faults.into_result(found)
 }
 
@@ -65,23 +65,23 @@
         faults.add_at(Some(place), "", "regions", "is missing");
         return;
     };
-    let mut named = 0;
+    let mut domain_count = 0;
     for field in regions.rest() {
-        let region = checked(RegionName::new(&field.key), field.place, faults);
+        let region = ok_or_fault(RegionName::new(&field.key), field.place, faults);
         let Tree::List(domains) = &field.value.tree else {
             let reason = format!("must be a list, is {}", field.value.tree.describe());
             faults.add_at(Some(field.value.place), "regions", &field.key, reason);
             continue;
         };
         for placed in domains {
-            named += 1;
+            domain_count += 1;
             let name = domain_of(&placed.tree, placed.place, faults);
             if let (Some(region), Some(name)) = (region.clone(), name) {
                 found.push(Domain { region, name });
             }
         }
     }
-    if named == 0 {
+    if domain_count == 0 {
         faults.add_at(Some(place), "regions", "", "names no failure domain");
     }
 }
@@ -92,7 +92,7 @@
         faults.add_at(Some(place), "regions", "", reason);
         return None;
     };
-    checked(DomainName::new(name), place, faults)
+    ok_or_fault(DomainName::new(name), place, faults)
 }
 
 fn read_services(top: &mut Table<'_>, found: &mut Vec<Workers>, faults: &mut Faults) {
@@ -106,12 +106,12 @@
         faults.add_at(Some(place), "services", "", "names no service");
     }
     for field in fields {
-        let service = checked(ServiceName::new(&field.key), field.place, faults);
+        let service = ok_or_fault(ServiceName::new(&field.key), field.place, faults);
         let table = Table::open(&*field.key, &field.value.tree, field.value.place, faults);
         let Some(mut table) = table else { continue };
-        let workers = small(table.number("workers", WORKERS, faults));
-        let slots = small(table.number("slots", SLOTS, faults));
-        let connections = small(table.number("connections", CONNECTIONS, faults));
+        let workers = as_u32(table.number("workers", WORKERS, faults));
+        let slots = as_u32(table.number("slots", SLOTS, faults));
+        let connections = as_u32(table.number("connections", CONNECTIONS, faults));
         table.finish(faults);
         found.extend(workers_of(service, workers, slots, connections));
     }
@@ -147,19 +147,19 @@
 
 fn read_call(mut table: Table<'_>, faults: &mut Faults) -> Option<Call> {
     let path = table.text("path", faults, RoutePath::new);
-    let share = small(table.number("share", SHARE, faults));
+    let share = as_u32(table.number("share", SHARE, faults));
     let service_ms = table.number("service_ms", SERVICE_MS, faults);
     let answer_bytes = table.number("answer_bytes", ANSWER_BYTES, faults);
     table.finish(faults);
     Some(Call {
         path: path?,
         share: share?,
-        service: Duration::from_millis(service_ms?),
+        service_time: Duration::from_millis(service_ms?),
         answer_bytes: usize::try_from(answer_bytes?).ok()?,
     })
 }
 
-fn checked<T>(
+fn ok_or_fault<T>(
     name: sassafrasspool_core::Result<T>,
     place: Place,
     faults: &mut Faults,
@@ -168,6 +168,6 @@
         .ok()
 }
 
-fn small(n: Option<u64>) -> Option<u32> {
+fn as_u32(n: Option<u64>) -> Option<u32> {
     n.and_then(|n| u32::try_from(n).ok())
 }
--- a/crates/bench/src/demo/deployment/tests.rs
+++ b/crates/bench/src/demo/deployment/tests.rs
@@ -16,25 +16,25 @@
 struct Bad {
     from: &'static str,
     to: &'static str,
-    told: &'static [&'static str],
+    faults: &'static [&'static str],
 }
 
 #[rstest]
-#[case(Bad { from: "workers: 2", to: "workers: 0", told: &["3:19: desk: workers: must be 1 to 40, is 0"] })]
-#[case(Bad { from: "slots: 6, ", to: "", told: &["3:9: desk: slots: is missing"] })]
-#[case(Bad { from: "[a, b]", to: "[]", told: &["1:1: regions: names no failure domain"] })]
-#[case(Bad { from: "[a, b]", to: "[a, 7]", told: &["1:22: regions: must be text, is a number"] })]
-#[case(Bad { from: "path: /desk", to: "path: desk", told: &["5:12: requests[0]: path: check: path \"desk\" must begin with /"] })]
-#[case(Bad { from: "share: 5", to: "share: 5, rate: 1", told: &["5:29: requests[0]: rate: is unknown"] })]
-#[case(Bad { from: GOOD, to: "{}", told: &[
+#[case(Bad { from: "workers: 2", to: "workers: 0", faults: &["3:19: desk: workers: must be 1 to 40, is 0"] })]
+#[case(Bad { from: "slots: 6, ", to: "", faults: &["3:9: desk: slots: is missing"] })]
+#[case(Bad { from: "[a, b]", to: "[]", faults: &["1:1: regions: names no failure domain"] })]
+#[case(Bad { from: "[a, b]", to: "[a, 7]", faults: &["1:22: regions: must be text, is a number"] })]
+#[case(Bad { from: "path: /desk", to: "path: desk", faults: &["5:12: requests[0]: path: check: path \"desk\" must begin with /"] })]
+#[case(Bad { from: "share: 5", to: "share: 5, rate: 1", faults: &["5:29: requests[0]: rate: is unknown"] })]
+#[case(Bad { from: GOOD, to: "{}", faults: &[
     "1:1: regions: is missing",
     "1:1: services: is missing",
     "1:1: requests: has no entry",
 ] })]
-fn a_bad_deployment_tells_every_fault(#[case] case: Bad) {
+fn a_bad_deployment_reports_all_its_faults(#[case] case: Bad) {
     let faults = Deployment::parse(&GOOD.replacen(case.from, case.to, 1)).unwrap_err();
-    let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    assert_eq!(told, case.told);
+    let reported: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    assert_eq!(reported, case.faults);
 }
 
 #[derive(Debug)]
@@ -53,7 +53,7 @@
     ("report-desk", 7, 6, 130),
     ("evidence-store", 4, 6, 130),
 ] })]
-fn every_example_has_its_sizes_and_its_calls_have_routes(#[case] case: Example) {
+fn examples_have_the_expected_sizes_and_a_route_for_each_call(#[case] case: Example) {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     let dir = dir.join(case.name);
     let found = Deployment::load(&dir.join("deployment.yaml")).unwrap();
@@ -66,7 +66,7 @@
 
     let text = std::fs::read_to_string(dir.join("catalogue.yaml")).unwrap();
     let items = catalogue::parse(&text).unwrap();
-    let routes = crate::demo::routes(items).unwrap();
+    let routes = crate::demo::bind_routes(items).unwrap();
     for call in &found.calls {
         assert!(
             routes.match_route(None, call.path.as_str()).is_some(),
--- a/crates/bench/src/demo/flags.rs
+++ b/crates/bench/src/demo/flags.rs
@@ -3,31 +3,31 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// A whole deployment on loopback, judged by what it promises.
+    /// Run a whole deployment on loopback and check its guarantees.
     cmd sassafrasspool-demo {
-        /// Run the deployment of a directory.
+        /// Run the deployment that a directory describes.
         default cmd run {
             /// The directory with catalogue.yaml and deployment.yaml.
             required deployment: PathBuf
-            /// Requests a second from all callers (300).
+            /// Requests a second from all callers together (default 300).
             optional --rate rate: u32
-            /// What all random choices come from (1).
+            /// Seed of all random choices (default 1).
             optional --seed seed: u64
         }
 
-        /// Part of a demo: the platform.
+        /// Run a child process of a demo: the platform.
         cmd platform {
             /// Its settings.
             required --settings file: PathBuf
         }
 
-        /// Part of a demo: a target.
+        /// Run a child process of a demo: a target.
         cmd target {
             /// Its settings.
             required --settings file: PathBuf
         }
 
-        /// Part of a demo: a node.
+        /// Run a child process of a demo: a node.
         cmd node {
             /// Its settings.
             required --settings file: PathBuf
--- a/crates/bench/src/demo/fleet.rs
+++ b/crates/bench/src/demo/fleet.rs
@@ -1,4 +1,4 @@
-//! All processes of a demo.
+//! The processes of a demo.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -24,11 +24,11 @@
 use super::member;
 use super::member::Member;
 use super::member::ServiceFile;
-use super::platform::Publisher;
 use super::process::Process;
+use super::publisher::Publisher;
 use super::role::Role;
-use super::watch::Seen;
-use super::watch::Watch;
+use super::status_poller::StatusPoller;
+use super::status_poller::Statuses;
 use crate::chaos::events::Stopped;
 use crate::chaos::log::Log;
 use crate::load::LedgerRun;
@@ -38,29 +38,29 @@
 mod platform_file;
 mod stop;
 
-/// How long an admin address may take to answer.
+/// How long a request to an admin address may take.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between two attempts to reach the platform.
-const PAUSE: Duration = Duration::from_millis(10);
+const PLATFORM_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// How long the platform may take to start.
-const PLATFORM_START: Duration = Duration::from_secs(4);
-/// How long all nodes may take until they are ready.
-pub(super) const READY_BOUND: Duration = Duration::from_secs(9);
+const PLATFORM_START_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long the start of all nodes may take until each is ready.
+pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// The running processes, what they are told and what they say.
+/// The processes of a demo, with access to their admin addresses.
 #[derive(Debug)]
 pub(super) struct Fleet {
-    /// All workers, also those that were stopped.
+    /// All workers, stopped ones included.
     pub(super) members: Vec<Member>,
-    /// The operators' side of the platform.
+    /// Publishes to the platform.
     pub(super) publisher: Publisher,
-    /// What the nodes say.
-    pub(super) watch: Watch,
-    /// For asking them more.
+    /// Polls the nodes' statuses.
+    pub(super) poller: StatusPoller,
+    /// Client for the admin addresses.
     pub(super) client: AdminClient,
-    /// The record of the run.
+    /// The log of the run's events.
     pub(super) log: Arc<Log>,
-    /// Planned stops that ended.
+    /// Completed drains.
     pub(super) stops: Vec<Stopped>,
     platform: Process,
     dir: TempDir,
@@ -71,73 +71,71 @@
     ///
     /// # Errors
     ///
-    /// Fails if a process can't be started, ends or isn't ready in time.
+    /// Fails if a process can't be started, exits or isn't ready in time.
     pub(super) async fn start(
         deployment: &Deployment,
         catalogue: String,
-        service: &ServiceFile,
+        service_times: &ServiceFile,
         log: Arc<Log>,
     ) -> Result<Fleet> {
         let dir = tempfile::Builder::new()
             .prefix("sassafrasspool-demo-")
             .tempdir();
-        let dir =
-            dir.map_err(|cause| Error::new(Step::Settings, "no directory").with_cause(cause))?;
+        let dir = dir.map_err(|cause| {
+            Error::new(Step::Settings, "a temporary directory can't be created").with_cause(cause)
+        })?;
         let client = AdminClient::new(ADMIN_TIMEOUT);
         let mut ports = Ports::new();
-        let (reads, admin) = (take(&mut ports)?, take(&mut ports)?);
-        let settings = PlatformFile {
-            listen: reads,
-            admin,
-        };
+        let (listen, admin) = (reserve_addr(&mut ports)?, reserve_addr(&mut ports)?);
+        let settings = PlatformFile { listen, admin };
         let mut platform = start_platform(dir.path(), &settings)?;
         let mut members = Vec::new();
         for planned in plan(deployment, &mut ports)? {
-            members.push(Member::prepare(planned, reads, service, dir.path())?);
+            members.push(Member::prepare(planned, listen, service_times, dir.path())?);
         }
         let mut publisher = Publisher::new(client.clone(), admin, Arc::clone(&log));
-        until_up(&client, admin, &mut platform).await?;
-        publisher.catalogue(catalogue).await?;
+        wait_until_platform_up(&client, admin, &mut platform).await?;
+        publisher.publish_catalogue(catalogue).await?;
         let listed = members.iter().map(|member| member.instance.clone());
-        publisher.instances(listed.collect()).await?;
+        publisher.publish_instances(listed.collect()).await?;
         for member in &mut members {
             member.start_target()?;
             member.start_node()?;
         }
-        let watched = members
+        let nodes = members
             .iter()
             .map(|member| (member.id().clone(), member.listen.admin));
-        let watch = Watch::start(&client, watched.collect(), &log);
+        let poller = StatusPoller::start(&client, nodes.collect(), &log);
         let mut fleet = Fleet {
             members,
             publisher,
-            watch,
+            poller,
             client,
             log,
             stops: Vec::new(),
             platform,
             dir,
         };
-        fleet.until_ready().await?;
+        fleet.wait_until_ready().await?;
         Ok(fleet)
     }
 
-    /// Waits until every node that runs is ready.
+    /// Waits until every running node is ready.
     ///
     /// # Errors
     ///
-    /// Fails if one has ended or isn't ready in time.
-    pub(super) async fn until_ready(&mut self) -> Result<()> {
+    /// Fails if one has exited or isn't ready in time.
+    pub(super) async fn wait_until_ready(&mut self) -> Result<()> {
         let running = self.running();
-        let ready = |seen: &Seen| {
-            let phase = |id| seen.get(id).map(|status| status.phase);
+        let ready = |statuses: &Statuses| {
+            let phase = |id| statuses.get(id).map(|status| status.phase);
             running.iter().all(|id| phase(id) == Some(Phase::Ready))
         };
         let waited = self
-            .watch
-            .wait("every node is ready", READY_BOUND, ready)
+            .poller
+            .wait("every node is ready", READY_TIMEOUT, ready)
             .await;
-        self.still_runs()?;
+        self.check_running()?;
         waited?;
         for node in running {
             self.log.record(Event::NodeBack { node });
@@ -145,18 +143,18 @@
         Ok(())
     }
 
-    /// The instances whose nodes run.
+    /// The instances whose nodes are running.
     pub(super) fn running(&self) -> Vec<InstanceId> {
         let running = self.members.iter().filter(|member| member.node.is_some());
         running.map(|member| member.id().clone()).collect()
     }
 
-    /// What all targets ran.
+    /// The runs in all targets' ledgers.
     ///
     /// # Errors
     ///
-    /// Fails if a ledger can't be read or isn't whole.
-    pub(super) async fn runs(&self) -> Result<Vec<LedgerRun>> {
+    /// Fails if a ledger can't be read or is incomplete.
+    pub(super) async fn ledger_runs(&self) -> Result<Vec<LedgerRun>> {
         let mut runs = Vec::new();
         for (instance, member) in self.members.iter().enumerate() {
             let pages: LedgerPages = self.client.get(member.target_admin, "/ledger").await?;
@@ -170,43 +168,47 @@
         Ok(runs)
     }
 
-    /// Keeps the processes' logs and tells where.
+    /// Keeps the processes' logs and gives their directory.
     pub(super) fn keep_logs(self) -> String {
         self.dir.keep().display().to_string()
     }
 
-    /// Fails if a process has ended that should run.
+    /// Checks that every process that should run does.
     ///
     /// # Errors
     ///
-    /// Fails with its name and exit status.
-    pub(super) fn still_runs(&mut self) -> Result<()> {
-        self.platform.still_runs()?;
-        self.members.iter_mut().try_for_each(Member::still_runs)
+    /// Fails with the name and exit status of a process that has exited.
+    pub(super) fn check_running(&mut self) -> Result<()> {
+        self.platform.check_running()?;
+        self.members.iter_mut().try_for_each(Member::check_running)
     }
 }
 
-/// A free address.
-fn take(ports: &mut Ports) -> Result<SocketAddr> {
-    let taken = ports.take();
-    taken.map_err(|cause| Error::new(Step::Connect, "no free port").with_cause(cause))
+/// Reserves a free address.
+fn reserve_addr(ports: &mut Ports) -> Result<SocketAddr> {
+    let addr = ports.take();
+    addr.map_err(|cause| Error::new(Step::Connect, "no free port").with_cause(cause))
 }
 
 fn start_platform(dir: &Path, settings: &PlatformFile) -> Result<Process> {
     let file = dir.join("platform.yaml");
-    member::write(&file, settings)?;
+    member::write_settings(&file, settings)?;
     Process::start("platform", Role::Platform, &file, &dir.join("platform.log"))
 }
 
-async fn until_up(client: &AdminClient, admin: SocketAddr, platform: &mut Process) -> Result<()> {
+async fn wait_until_platform_up(
+    client: &AdminClient,
+    admin: SocketAddr,
+    platform: &mut Process,
+) -> Result<()> {
     let began = Instant::now();
     loop {
         let stats: Result<PlatformStats> = client.get(admin, "/stats").await;
-        platform.still_runs()?;
+        platform.check_running()?;
         match stats {
             Ok(_) => return Ok(()),
-            Err(err) if began.elapsed() > PLATFORM_START => return Err(err),
-            Err(_) => sleep(PAUSE).await,
+            Err(err) if began.elapsed() > PLATFORM_START_TIMEOUT => return Err(err),
+            Err(_) => sleep(PLATFORM_RETRY_INTERVAL).await,
         }
     }
 }
--- a/crates/bench/src/demo/fleet/plan.rs
+++ b/crates/bench/src/demo/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! Which workers there are and where they stand.
+//! Plans the workers, their failure domains and their addresses.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 use sassafrasspool_core::InstanceState;
 use sassafrasspool_core::Result;
 
-use super::take;
+use super::reserve_addr;
 use crate::demo::deployment::Deployment;
 use crate::demo::deployment::Domain;
 use crate::demo::deployment::Workers;
 use crate::demo::member::Listen;
-use crate::demo::member::Planned;
+use crate::demo::member::PlannedWorker;
 use crate::demo::member::TargetAddrs;
 use crate::load::Ports;
 
-/// Deals the workers out over the failure domains in turn.
+/// Places the workers over the failure domains round-robin.
 ///
 /// # Errors
 ///
 /// Fails if a name is too long or no port is free.
-pub(super) fn plan(deployment: &Deployment, ports: &mut Ports) -> Result<Vec<Planned>> {
+pub(super) fn plan(deployment: &Deployment, ports: &mut Ports) -> Result<Vec<PlannedWorker>> {
     let mut planned = Vec::new();
     let mut domains = deployment.domains.iter().cycle();
     for workers in &deployment.services {
@@ -33,20 +33,25 @@
     Ok(planned)
 }
 
-fn worker(workers: &Workers, number: u32, domain: &Domain, ports: &mut Ports) -> Result<Planned> {
-    let mut free = || take(ports);
+fn worker(
+    workers: &Workers,
+    number: u32,
+    domain: &Domain,
+    ports: &mut Ports,
+) -> Result<PlannedWorker> {
+    let mut free_addr = || reserve_addr(ports);
     let listen = Listen {
-        ingress: free()?,
-        egress: free()?,
-        traffic: free()?,
-        control: free()?,
-        admin: free()?,
+        ingress: free_addr()?,
+        egress: free_addr()?,
+        traffic: free_addr()?,
+        control: free_addr()?,
+        admin: free_addr()?,
     };
     let target = TargetAddrs {
-        listen: free()?,
-        admin: free()?,
+        listen: free_addr()?,
+        admin: free_addr()?,
     };
-    Ok(Planned {
+    Ok(PlannedWorker {
         instance: Instance {
             id: InstanceId::new(&format!("{}-{number}", workers.service))?,
             service: workers.service.clone(),
--- a/crates/bench/src/demo/fleet/platform_file.rs
+++ b/crates/bench/src/demo/fleet/platform_file.rs
@@ -7,8 +7,8 @@
 /// Where the platform listens.
 #[derive(Debug, Serialize)]
 pub(super) struct PlatformFile {
-    /// For readers.
+    /// For reads by nodes.
     pub(super) listen: SocketAddr,
-    /// For the operators' side.
+    /// For publishing and statistics.
     pub(super) admin: SocketAddr,
 }
--- a/crates/bench/src/demo/fleet/stop.rs
+++ b/crates/bench/src/demo/fleet/stop.rs
@@ -1,4 +1,4 @@
-//! Ways in which workers stop.
+//! Drains, kills and restarts workers.
 
 use std::time::Duration;
 
@@ -16,35 +16,35 @@
 use crate::load::Outage;
 use crate::load::OutageKind;
 
-/// How long a planned stop of a node may take.
-const STOP_BOUND: Duration = Duration::from_secs(8);
+/// How long the drain of a node may take.
+const STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl Fleet {
-    /// Stops a node as planned, by SIGTERM, and waits for its end.
+    /// Drains a node by SIGTERM and waits until it exits.
     ///
     /// # Errors
     ///
-    /// Fails if it doesn't end in time or its exit code tells of a cut.
+    /// Fails if it can't be signalled or doesn't exit in time.
     pub(in crate::demo) async fn drain(&mut self, id: &InstanceId) -> Result<()> {
         let target = id.clone();
         self.log.record(Event::DrainBegan { target });
         let mut node = self.take_node(id)?;
         node.terminate()?;
-        let status = node.ended(STOP_BOUND).await?;
+        let status = node.wait_for_exit(STOP_TIMEOUT).await?;
         let target = id.clone();
-        // The exit code doesn't say how many were cut, only that some were.
+        // The exit code only tells whether requests were cut, not how many.
         let cut = u64::from(!status.success());
         self.log.record(Event::DrainEnded { target, cut });
         self.log.record(Event::NodeLost { node: id.clone() });
-        self.note_stop(id);
+        self.record_stop(id);
         Ok(())
     }
 
-    /// Kills a node without warning, together with its target's work.
+    /// Kills a node by SIGKILL and crashes its target.
     ///
-    /// The target's process stays, since its ledger is the only witness of
-    /// what ran: it drops all its connections at once, so that to everybody
-    /// else it is as dead as its node.
+    /// The target's process keeps running, since its ledger is the only record
+    /// of what ran. The target drops all its connections at once, so that to all
+    /// others it looks as dead as its node.
     ///
     /// # Errors
     ///
@@ -60,12 +60,11 @@
         let target = id.clone();
         self.log.record(Event::Crashed { target });
         self.log.record(Event::NodeLost { node: id.clone() });
-        self.note_outage(id, from_us);
+        self.record_outage(id, from_us);
         Ok(())
     }
 
-    /// Starts a killed worker again, under the same name, and waits until it
-    /// is ready.
+    /// Restarts a killed worker under the same name and waits until it is ready.
     ///
     /// # Errors
     ///
@@ -74,15 +73,15 @@
         let admin = self.member(id)?.target_admin;
         self.client.post::<()>(admin, "/restart", &()).await?;
         self.member(id)?.start_node()?;
-        self.until_ready().await
+        self.wait_until_ready().await
     }
 
-    /// Stops every node that still runs, all at once, as planned.
+    /// Drains all running nodes at the same time.
     ///
     /// # Errors
     ///
-    /// Fails if one doesn't end in time.
-    pub(in crate::demo) async fn stop(&mut self) -> Result<()> {
+    /// Fails if one can't be signalled or doesn't exit in time.
+    pub(in crate::demo) async fn drain_all(&mut self) -> Result<()> {
         let mut nodes = Vec::new();
         for id in self.running() {
             let target = id.clone();
@@ -92,9 +91,9 @@
             nodes.push((id, node));
         }
         for (target, mut node) in nodes {
-            let status = node.ended(STOP_BOUND).await?;
+            let status = node.wait_for_exit(STOP_TIMEOUT).await?;
             let cut = u64::from(!status.success());
-            self.note_stop(&target);
+            self.record_stop(&target);
             self.log.record(Event::DrainEnded { target, cut });
         }
         Ok(())
@@ -107,12 +106,12 @@
     /// Fails if there is none.
     pub(in crate::demo) fn member(&mut self, id: &InstanceId) -> Result<&mut Member> {
         let found = self.members.iter_mut().find(|member| member.id() == id);
-        found.ok_or_else(|| Error::new(Step::Check, "is unknown").at_peer(id))
+        found.ok_or_else(|| Error::new(Step::Check, "is no worker of this demo").at_peer(id))
     }
 
-    /// Takes down when a node was gone, by which runs that were cut are laid
-    /// at its stop's door.
-    fn note_stop(&mut self, id: &InstanceId) {
+    /// Records when a node had exited, so that runs that were cut can be
+    /// attributed to its drain.
+    fn record_stop(&mut self, id: &InstanceId) {
         let stopped = self.position(id).map(|instance| Stopped {
             instance,
             at_us: now_us(),
@@ -120,7 +119,7 @@
         self.stops.extend(stopped);
     }
 
-    fn note_outage(&self, id: &InstanceId, from_us: u64) {
+    fn record_outage(&self, id: &InstanceId, from_us: u64) {
         let Some(instance) = self.position(id) else {
             return;
         };
@@ -142,6 +141,6 @@
 
     fn take_node(&mut self, id: &InstanceId) -> Result<Process> {
         let node = self.member(id)?.node.take();
-        node.ok_or_else(|| Error::new(Step::Check, "doesn't run").at_peer(id))
+        node.ok_or_else(|| Error::new(Step::Check, "isn't running").at_peer(id))
     }
 }
--- a/crates/bench/src/demo/member.rs
+++ b/crates/bench/src/demo/member.rs
@@ -1,4 +1,4 @@
-//! One worker of the demo: a target and the node beside it.
+//! One worker of the demo: a target and its node.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -22,14 +22,14 @@
 
 mod settings;
 
-/// A worker with its two processes, where they run.
+/// A worker and its two processes, those that are running.
 #[derive(Debug)]
 pub(super) struct Member {
-    /// As the platform lists it.
+    /// Its entry in the instance list.
     pub(super) instance: Instance,
-    /// Where its node listens.
+    /// The addresses of its node.
     pub(super) listen: Listen,
-    /// Where its target is switched and its ledger is read.
+    /// The admin address of its target, for switches and the ledger.
     pub(super) target_admin: SocketAddr,
     /// The node, unless it was stopped.
     pub(super) node: Option<Process>,
@@ -40,21 +40,21 @@
 
 /// A worker before its start.
 #[derive(Debug)]
-pub(super) struct Planned {
-    /// As the platform will list it.
+pub(super) struct PlannedWorker {
+    /// Its entry in the instance list to be published.
     pub(super) instance: Instance,
-    /// Where its node will listen.
+    /// The addresses of its node.
     pub(super) listen: Listen,
-    /// Where its target will listen.
+    /// The addresses of its target.
     pub(super) target: TargetAddrs,
 }
 
 /// Addresses of a worker's target.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TargetAddrs {
-    /// Where it serves.
+    /// For requests.
     pub(super) listen: SocketAddr,
-    /// Where it is switched and its ledger is read.
+    /// For switches and the ledger.
     pub(super) admin: SocketAddr,
 }
 
@@ -65,12 +65,12 @@
     ///
     /// Fails if a file can't be written.
     pub(super) fn prepare(
-        planned: Planned,
+        planned: PlannedWorker,
         platform: SocketAddr,
-        service: &ServiceFile,
+        service_times: &ServiceFile,
         dir: &Path,
     ) -> Result<Member> {
-        let Planned {
+        let PlannedWorker {
             instance,
             listen,
             target,
@@ -84,10 +84,10 @@
             listen,
         };
         let instance = &member.instance;
-        let node = NodeFile::of(instance, listen, target.listen, platform);
-        write(&member.file("node.yaml"), &node)?;
-        let target = TargetFile::of(instance, target, service);
-        write(&member.file("target.yaml"), &target)?;
+        let node = NodeFile::new(instance, listen, target.listen, platform);
+        write_settings(&member.file("node.yaml"), &node)?;
+        let target = TargetFile::new(instance, target, service_times);
+        write_settings(&member.file("target.yaml"), &target)?;
         Ok(member)
     }
 
@@ -116,17 +116,17 @@
         Ok(())
     }
 
-    /// Fails if a process that should run has ended.
+    /// Checks that the processes that should run do.
     ///
     /// # Errors
     ///
-    /// Fails with the name and the exit status.
-    pub(super) fn still_runs(&mut self) -> Result<()> {
+    /// Fails with the name and exit status of a process that has exited.
+    pub(super) fn check_running(&mut self) -> Result<()> {
         let processes = [&mut self.node, &mut self.target];
         processes
             .into_iter()
             .flatten()
-            .try_for_each(Process::still_runs)
+            .try_for_each(Process::check_running)
     }
 
     fn start(&self, role: Role, part: &str) -> Result<Process> {
@@ -141,12 +141,12 @@
     }
 }
 
-/// Writes settings as JSON, which is YAML too.
+/// Writes settings as JSON, which is valid YAML.
 ///
 /// # Errors
 ///
 /// Fails if they can't be encoded or written.
-pub(super) fn write(file: &Path, settings: &impl Serialize) -> Result<()> {
+pub(super) fn write_settings(file: &Path, settings: &impl Serialize) -> Result<()> {
     let failed = || {
         Error::new(
             Step::Settings,
--- a/crates/bench/src/demo/member/settings.rs
+++ b/crates/bench/src/demo/member/settings.rs
@@ -13,36 +13,39 @@
 
 use super::TargetAddrs;
 
-/// Threads that move a node's requests; a demo runs many nodes on one machine.
+/// Threads that forward a node's requests. One, since a demo runs many nodes on one
+/// machine.
 const TRAFFIC_THREADS: u32 = 1;
-/// How long a planned stop may take, in milliseconds.
+/// How long a drain may take, in milliseconds.
 const DRAIN_BOUND_MS: u64 = 10_000;
-/// How long a target refuses work after its start, in milliseconds.
+/// How long a target refuses requests after its start, in milliseconds.
 const COLD_START_MS: u64 = 150;
 /// How long a new connection to a target takes, in milliseconds.
 const CONNECT_MS: u64 = 1;
 
-/// How long the platform may hold a read, in milliseconds.
-const WATCH_MS: u64 = 500;
-/// Time between two comparisons with a peer, in milliseconds.
-const INTERVAL_MS: u64 = 300;
-/// Age of the newest contact at which others begin to read, in milliseconds.
+/// How long the platform may hold a watch open, in milliseconds.
+const WATCH_TIMEOUT_MS: u64 = 500;
+/// Time between two anti-entropy rounds with a peer, in milliseconds.
+const SYNC_INTERVAL_MS: u64 = 300;
+/// Age of the newest contact with the platform at which other nodes begin to read
+/// from it, in milliseconds.
 const CONTACT_BOUND_MS: u64 = 1_500;
-/// Nodes that are assumed until the list is known. The more a restarted node
-/// assumes, the longer it may wait for its first read.
-const ASSUMED_FLEET: u32 = 20;
-/// How old the proof may be that the instance list is in force, in
-/// milliseconds: two watches and some comparisons.
+/// Number of nodes that a node assumes until it has the instance list. With a larger
+/// number, a restarted node may wait longer before its first read.
+const ASSUMED_FLEET_NODES: u32 = 20;
+/// How old the proof may be that the instance list is in force, in milliseconds.
+/// That is the length of two watches and some anti-entropy rounds.
 const LEASE_MS: u64 = 2_000;
-/// How long callers may use a key, in milliseconds; they use none for longer
-/// than two of their timeouts.
-const HOLD_MS: u64 = 12_000;
+/// How long a request key is held for deduplication, in milliseconds. Callers use
+/// no key for longer than two of their timeouts.
+const KEY_HOLD_MS: u64 = 12_000;
 
 /// A node's settings.
 ///
-/// The times are shorter than the defaults. A node that became the owner of a
-/// key waits for two leases before it runs the first request with it, which
-/// by default is longer than the whole demo. The price is in the control bytes.
+/// The times are shorter than the defaults. A new owner of a request key waits for
+/// two leases before it runs the first request with that key. With the default
+/// lease this takes longer than the whole demo. Shorter times cost more control
+/// traffic.
 #[derive(Debug, Serialize)]
 pub(super) struct NodeFile<'a> {
     instance: &'a InstanceId,
@@ -62,9 +65,9 @@
 /// Where a node listens.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(in crate::demo) struct Listen {
-    /// For callers from outside.
+    /// For requests of callers.
     pub(in crate::demo) ingress: SocketAddr,
-    /// For the calls of its target.
+    /// For requests of the local target.
     pub(in crate::demo) egress: SocketAddr,
     /// For requests of other nodes.
     pub(in crate::demo) traffic: SocketAddr,
@@ -113,7 +116,7 @@
 }
 
 impl NodeFile<'_> {
-    pub(super) fn of(
+    pub(super) fn new(
         instance: &Instance,
         listen: Listen,
         target: SocketAddr,
@@ -128,21 +131,21 @@
             target: NodeTarget {
                 addr: target,
                 slots: instance.slots,
-                // A target that holds few connections bounds them; one that
-                // holds many needs no more than its slots.
+                // The target's own limit if it is low. Otherwise one connection
+                // for each slot is enough.
                 connections: instance.connections.min(instance.slots),
                 ready_path: HEALTH_PATH,
                 probe_ms: 50,
             },
             platform: NodePlatform { addr: platform },
             spread: NodeSpread {
-                interval_ms: INTERVAL_MS,
-                watch_ms: WATCH_MS,
+                interval_ms: SYNC_INTERVAL_MS,
+                watch_ms: WATCH_TIMEOUT_MS,
                 contact_bound_ms: CONTACT_BOUND_MS,
-                assumed_fleet: ASSUMED_FLEET,
+                assumed_fleet: ASSUMED_FLEET_NODES,
             },
             repeat: NodeRepeat {
-                hold_ms: HOLD_MS,
+                hold_ms: KEY_HOLD_MS,
                 lease_ms: LEASE_MS,
             },
             traffic_threads: TRAFFIC_THREADS,
@@ -154,10 +157,10 @@
     }
 }
 
-/// How long a target works on what.
+/// How long a target works on requests.
 #[derive(Debug, Clone, Default, Serialize)]
 pub(in crate::demo) struct ServiceFile {
-    /// Microseconds by kind.
+    /// Service time by kind, in microseconds.
     pub(in crate::demo) kinds_us: BTreeMap<String, u64>,
 }
 
@@ -174,7 +177,7 @@
 }
 
 impl<'a> TargetFile<'a> {
-    pub(super) fn of(
+    pub(super) fn new(
         instance: &Instance,
         target: TargetAddrs,
         service: &'a ServiceFile,
--- a/crates/bench/src/demo/process.rs
+++ b/crates/bench/src/demo/process.rs
@@ -20,19 +20,19 @@
 
 use super::role::Role;
 
-/// A running child. It is killed when this is dropped, and ends by itself
-/// when its standard input closes, so that none outlives the demo.
+/// A running child process. It is killed when this is dropped, and exits when its
+/// standard input closes, so that no child outlives the demo.
 #[derive(Debug)]
 pub(super) struct Process {
     name: String,
     child: Child,
-    // Held here since waiting for the child would close it, upon which the
-    // child would end at once instead of finishing what it has.
-    _lifeline: Option<ChildStdin>,
+    // Taken out of `child`, since waiting for the child would close it. The child
+    // would then exit at once, without finishing its requests in flight.
+    _stdin: Option<ChildStdin>,
 }
 
 impl Process {
-    /// Starts this program again in a role; what it says goes to `log`.
+    /// Starts this program in a role, with its output appended to `log`.
     ///
     /// # Errors
     ///
@@ -57,25 +57,25 @@
             .map_err(failed)?;
         Ok(Process {
             name: name.to_owned(),
-            _lifeline: child.stdin.take(),
+            _stdin: child.stdin.take(),
             child,
         })
     }
 
-    /// Asks it to stop, by SIGTERM.
+    /// Sends SIGTERM.
     ///
     /// # Errors
     ///
-    /// Fails if it has ended already.
+    /// Fails if it has exited or can't be signalled.
     pub(super) fn terminate(&self) -> Result<()> {
         let pid = self.child.id().and_then(|id| i32::try_from(id).ok());
         let pid = pid.and_then(Pid::from_raw);
-        let pid = pid.ok_or_else(|| error(&self.name, "has ended already"))?;
+        let pid = pid.ok_or_else(|| error(&self.name, "has already exited"))?;
         kill_process(pid, Signal::TERM)
-            .map_err(|cause| error(&self.name, "can't be told to stop").with_cause(cause))
+            .map_err(|cause| error(&self.name, "can't be sent SIGTERM").with_cause(cause))
     }
 
-    /// Kills it, by SIGKILL, and waits until it is gone.
+    /// Sends SIGKILL and waits until it has exited.
     ///
     /// # Errors
     ///
@@ -85,28 +85,28 @@
         killed.map_err(|cause| error(&self.name, "can't be killed").with_cause(cause))
     }
 
-    /// Waits for its end.
+    /// Waits until it exits.
     ///
     /// # Errors
     ///
-    /// Fails if it hasn't ended within `bound`.
-    pub(super) async fn ended(&mut self, bound: Duration) -> Result<ExitStatus> {
-        let ended = timeout(bound, self.child.wait()).await;
-        let ended = ended.map_err(|_| {
-            let ms = bound.as_millis();
-            error(&self.name, &format!("hasn't ended within {ms} ms"))
+    /// Fails if it hasn't exited within `max_wait`.
+    pub(super) async fn wait_for_exit(&mut self, max_wait: Duration) -> Result<ExitStatus> {
+        let status = timeout(max_wait, self.child.wait()).await;
+        let status = status.map_err(|_| {
+            let ms = max_wait.as_millis();
+            error(&self.name, &format!("hasn't exited within {ms} ms"))
         })?;
-        ended.map_err(|cause| error(&self.name, "can't be waited for").with_cause(cause))
+        status.map_err(|cause| error(&self.name, "can't be waited for").with_cause(cause))
     }
 
-    /// Fails if it has ended without being asked to.
+    /// Checks that it hasn't exited.
     ///
     /// # Errors
     ///
-    /// Fails with its exit status.
-    pub(super) fn still_runs(&mut self) -> Result<()> {
+    /// Fails with its exit status if it has.
+    pub(super) fn check_running(&mut self) -> Result<()> {
         match self.child.try_wait() {
-            Ok(Some(status)) => Err(error(&self.name, &format!("ended with {status}"))),
+            Ok(Some(status)) => Err(error(&self.name, &format!("exited with {status}"))),
             _ => Ok(()),
         }
     }
--- a/crates/bench/src/demo/platform.rs
+++ b/crates/bench/src/demo/publisher.rs
@@ -1,4 +1,4 @@
-//! The operators' side of the platform: publishing.
+//! Publishes catalogues and instance lists on the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,11 +21,11 @@
 use serde::Serialize;
 
 use super::changes;
-use super::routes::routes;
+use super::routes::bind_routes;
 use crate::chaos::log::Log;
 use crate::chaos::log::now_us;
 
-/// Where the platform is published to, and what was published.
+/// Publishes through the platform's admin address and logs what was published.
 #[derive(Debug)]
 pub(super) struct Publisher {
     client: AdminClient,
@@ -34,12 +34,12 @@
     instances: Vec<Instance>,
 }
 
-/// Something that was published.
+/// A published version.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Published {
-    /// The revision that it got.
+    /// The revision that the platform assigned.
     pub(super) revision: Revision,
-    /// Just before it was sent, in microseconds since the Unix epoch.
+    /// The time just before it was sent, in microseconds since the Unix epoch.
     pub(super) sent_us: u64,
 }
 
@@ -63,18 +63,18 @@
         }
     }
 
-    /// Publishes a catalogue, good or bad.
+    /// Publishes a catalogue, valid or not.
     ///
     /// # Errors
     ///
     /// Fails if the platform doesn't take it.
-    pub(super) async fn catalogue(&self, text: String) -> Result<Published> {
-        let items = changes::items(&text)?;
-        let good = routes(items.clone()).is_ok();
+    pub(super) async fn publish_catalogue(&self, text: String) -> Result<Published> {
+        let items = changes::parse_items(&text)?;
+        let binds = bind_routes(items.clone()).is_ok();
         let published = self.put("/catalogue", Bytes::from(text)).await?;
         let version = Catalogue::new(published.revision, items)?.version();
         let stream = Stream::Catalogue;
-        let event = match good {
+        let event = match binds {
             true => Event::PublishedGood { stream, version },
             false => Event::PublishedBad { stream, version },
         };
@@ -87,20 +87,20 @@
     /// # Errors
     ///
     /// Fails if the platform doesn't take it.
-    pub(super) async fn instances(&mut self, list: Vec<Instance>) -> Result<Published> {
+    pub(super) async fn publish_instances(&mut self, list: Vec<Instance>) -> Result<Published> {
         self.instances = list;
-        self.publish_instances().await
+        self.publish_list().await
     }
 
-    /// Publishes the list with one instance leaving.
+    /// Publishes the list with one instance in state leaving.
     ///
     /// # Errors
     ///
     /// Fails if the platform doesn't take it.
-    pub(super) async fn leaving(&mut self, id: &InstanceId) -> Result<Published> {
-        let listed = self.instances.iter_mut().filter(|entry| entry.id == *id);
-        listed.for_each(|entry| entry.state = InstanceState::Leaving);
-        self.publish_instances().await
+    pub(super) async fn publish_leaving(&mut self, id: &InstanceId) -> Result<Published> {
+        let matching = self.instances.iter_mut().filter(|entry| entry.id == *id);
+        matching.for_each(|entry| entry.state = InstanceState::Leaving);
+        self.publish_list().await
     }
 
     /// Publishes the list without an instance.
@@ -108,12 +108,12 @@
     /// # Errors
     ///
     /// Fails if the platform doesn't take it.
-    pub(super) async fn gone(&mut self, id: &InstanceId) -> Result<Published> {
+    pub(super) async fn publish_removed(&mut self, id: &InstanceId) -> Result<Published> {
         self.instances.retain(|entry| entry.id != *id);
-        self.publish_instances().await
+        self.publish_list().await
     }
 
-    /// What readers have asked for so far.
+    /// The platform's counts of reads so far.
     ///
     /// # Errors
     ///
@@ -122,7 +122,7 @@
         self.client.get(self.admin, "/stats").await
     }
 
-    async fn publish_instances(&self) -> Result<Published> {
+    async fn publish_list(&self) -> Result<Published> {
         let instances = &self.instances;
         let body = serde_json::to_vec(&ListBody { instances });
         let body = body.map_err(|cause| {
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -1,24 +1,24 @@
-//! The table at the end of a demo.
+//! The table that is printed at the end of a demo.
 
 use std::fmt;
 use std::time::Duration;
 
 use super::deployment::Deployment;
-use super::evidence::Evidence;
-use super::scenario::Played;
+use super::results::DemoResults;
+use super::scenario::ScriptResults;
 
-/// How many broken promises are told in words.
-const TOLD: usize = 10;
+/// Most violations that are printed.
+const MAX_VIOLATIONS_SHOWN: usize = 10;
 
-/// What a demo came to.
+/// The outcome of a demo.
 #[derive(Debug)]
 pub(super) struct Report {
     name: String,
     nodes: u32,
     domains: usize,
-    called: Duration,
-    played: Played,
-    evidence: Evidence,
+    load_duration: Duration,
+    script_results: ScriptResults,
+    results: DemoResults,
     logs: Option<String>,
 }
 
@@ -26,23 +26,23 @@
     pub(super) fn new(
         name: String,
         deployment: &Deployment,
-        called: Duration,
-        played: Played,
-        evidence: Evidence,
+        load_duration: Duration,
+        script_results: ScriptResults,
+        results: DemoResults,
     ) -> Report {
         let workers = deployment.services.iter();
         Report {
             name,
             nodes: workers.map(|service| service.workers).sum(),
             domains: deployment.domains.len(),
-            called,
-            played,
-            evidence,
+            load_duration,
+            script_results,
+            results,
             logs: None,
         }
     }
 
-    /// The same report, telling where the processes' logs are.
+    /// Adds the directory of the processes' logs.
     pub(super) fn with_logs(self, logs: String) -> Report {
         Report {
             logs: Some(logs),
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Whether every promise held.
-    pub(super) fn held(&self) -> bool {
-        self.evidence.held()
+    /// Whether all guarantees held.
+    pub(super) fn passed(&self) -> bool {
+        self.results.passed()
     }
 }
 
@@ -64,41 +64,50 @@
             domains,
             ..
         } = self;
-        let seconds = self.called.as_secs_f64();
+        let seconds = self.load_duration.as_secs_f64();
         writeln!(
             f,
             "{name}: {nodes} nodes, {domains} failure domains, {seconds:.1} s of calls"
         )?;
-        self.changes(f)?;
-        self.costs(f)?;
-        self.requests(f)?;
-        self.promises(f)
+        self.write_changes(f)?;
+        self.write_costs(f)?;
+        self.write_requests(f)?;
+        self.write_guarantees(f)
     }
 }
 
 impl Report {
-    fn changes(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_changes(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Report {
-            played, evidence, ..
+            script_results,
+            results,
+            ..
         } = self;
-        let summary = played.convergence.summary();
-        row(f, "changes in force everywhere", played.changes)?;
+        let summary = script_results.convergence.summary();
+        row(
+            f,
+            "changes in force everywhere",
+            script_results.applied_changes,
+        )?;
         let bad = format!(
             "applied by {} of {} nodes, fetched and refused by {}",
-            played.misled, played.judges, played.refused
+            script_results.applied_bad, script_results.nodes_checked, script_results.refused_bad
         );
         row(f, "bad change", bad)?;
         let times = format!("p50 {:.0} ms, max {:.0} ms", summary.p50, summary.max);
         row(f, "convergence", times)?;
-        row(f, "planned stops", evidence.stops)?;
-        let back = format!("ready {} ms after its start", played.returned.as_millis());
+        row(f, "planned stops", results.stops)?;
+        let back = format!(
+            "ready {} ms after its start",
+            script_results.restart_time.as_millis()
+        );
         row(f, "killed node", back)
     }
 
-    fn costs(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Evidence {
+    fn write_costs(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let DemoResults {
             control, platform, ..
-        } = &self.evidence;
+        } = &self.results;
         let bytes = format!("{} ({} a second)", control.bytes, control.bytes_per_s);
         row(f, "control bytes a node", bytes)?;
         let reads = format!(
@@ -108,13 +117,13 @@
         row(f, "reads of the platform", reads)
     }
 
-    fn requests(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let verdict = &self.evidence.verdict;
+    fn write_requests(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let verdict = &self.results.verdict;
         row(f, "requests sent", verdict.sent)?;
         row(f, "  answered", verdict.answered)?;
         row(f, "  refused, not run", verdict.refused_not_run)?;
         row(f, "  unknown", verdict.unknown)?;
-        for (reason, count) in &self.evidence.reasons {
+        for (reason, count) in &self.results.reasons {
             row(f, &format!("    {reason}"), count)?;
         }
         row(f, "  failed by the target", verdict.failed)?;
@@ -125,16 +134,16 @@
         row(f, "refused but run", verdict.false_refusals)
     }
 
-    fn promises(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        row(f, "promises held", if self.held() { "yes" } else { "NO" })?;
-        let violations = &self.evidence.violations;
-        for violation in violations.iter().take(TOLD) {
+    fn write_guarantees(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        row(f, "promises held", if self.passed() { "yes" } else { "NO" })?;
+        let violations = &self.results.violations;
+        for violation in violations.iter().take(MAX_VIOLATIONS_SHOWN) {
             writeln!(f, "  {violation}")?;
         }
-        if violations.len() > TOLD {
-            writeln!(f, "  and {} more", violations.len() - TOLD)?;
+        if violations.len() > MAX_VIOLATIONS_SHOWN {
+            writeln!(f, "  and {} more", violations.len() - MAX_VIOLATIONS_SHOWN)?;
         }
-        for fault in &self.evidence.faults {
+        for fault in &self.results.faults {
             writeln!(f, "  {fault}")?;
         }
         match &self.logs {
--- a/crates/bench/src/demo/evidence.rs
+++ b/crates/bench/src/demo/results.rs
@@ -1,4 +1,4 @@
-//! What is left of a demo to be judged.
+//! Collects the results of a demo and checks its guarantees.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use sassafrasspool_standin::platform::PlatformStats;
 use serde::Deserialize;
 
-use self::control::Control;
+use self::control_cost::ControlCost;
 use super::fleet::Fleet;
 use crate::chaos::events;
 use crate::load;
@@ -19,51 +19,51 @@
 use crate::load::OpenLoop;
 use crate::load::Verdict;
 
-pub(super) mod control;
+pub(super) mod control_cost;
 #[cfg(test)]
 mod tests;
 
-/// How long after it began to leave a target may start new work, and how long
-/// a version may take.
+/// How long after its drain began a target may still start new work, and how long
+/// a version may take until it is in force.
 const BOUNDS: Bounds = Bounds {
     leaving: Duration::from_secs(2),
     in_force: Duration::from_secs(11),
 };
 
-/// How many faults are told in words.
-const TOLD: usize = 5;
+/// Most faulty attempts that the report shows.
+const MAX_FAULTS_SHOWN: usize = 5;
 
-/// What callers, targets, nodes and the platform say in the end.
+/// The results from callers, targets, nodes and the platform.
 #[derive(Debug)]
-pub(super) struct Evidence {
-    /// What became of the requests.
+pub(super) struct DemoResults {
+    /// Counts of the requests' outcomes.
     pub(super) verdict: Verdict,
-    /// Promises that were broken.
+    /// Violated guarantees.
     pub(super) violations: Vec<Violation>,
-    /// Why requests were refused or their outcome was unknown, and how often.
+    /// How often requests were refused or had an unknown outcome, by reason.
     pub(super) reasons: BTreeMap<String, u64>,
-    /// Some of the attempts that went wrong, in words.
+    /// Some of the faulty attempts, as text.
     pub(super) faults: Vec<String>,
-    /// What keeping the nodes current cost.
-    pub(super) control: Control,
-    /// What the platform was asked.
+    /// Control traffic of the nodes.
+    pub(super) control: ControlCost,
+    /// Reads that the platform received.
     pub(super) platform: PlatformStats,
-    /// Planned stops.
+    /// Number of nodes that were drained.
     pub(super) stops: usize,
 }
 
-impl Evidence {
-    /// Takes what the nodes say, stops them as planned, reads the ledgers and
-    /// judges.
+impl DemoResults {
+    /// Takes the nodes' statuses, drains the nodes, reads the ledgers and checks
+    /// the guarantees.
     ///
     /// # Errors
     ///
     /// Fails if a node doesn't stop in time or a ledger can't be read.
-    pub(super) async fn gather(fleet: &mut Fleet, load: OpenLoop) -> Result<Evidence> {
-        let control = Control::of(&fleet.watch.now());
+    pub(super) async fn gather(fleet: &mut Fleet, load: OpenLoop) -> Result<DemoResults> {
+        let control = ControlCost::new(&fleet.poller.statuses());
         let platform = fleet.publisher.stats().await?;
-        fleet.stop().await?;
-        let runs = fleet.runs().await?;
+        fleet.drain_all().await?;
+        let runs = fleet.ledger_runs().await?;
         let (_, outages) = fleet.log.copy();
         let joined = load::Evidence::new(&load.records, &runs, &outages);
         let names = fleet.members.iter().map(|member| member.id().clone());
@@ -71,8 +71,8 @@
         let excused = |record: &CallRecord| joined.is_excused(record);
         let records = &load.records;
         let history = events::history(&fleet.log, records, &runs, &names, &fleet.stops, excused);
-        let faults = joined.faults().take(TOLD);
-        Ok(Evidence {
+        let faults = joined.faults().take(MAX_FAULTS_SHOWN);
+        Ok(DemoResults {
             verdict: joined.verdict(),
             violations: check(&history, &BOUNDS),
             reasons: reasons(records),
@@ -83,13 +83,13 @@
         })
     }
 
-    /// Whether every promise held.
-    pub(super) fn held(&self) -> bool {
+    /// Whether all guarantees held.
+    pub(super) fn passed(&self) -> bool {
         self.violations.is_empty() && !self.verdict.has_fault()
     }
 }
 
-/// The body of an answer that no target gave, in part.
+/// The fields of a node's refusal that are counted.
 #[derive(Debug, Deserialize)]
 struct RefusalBody {
     outcome: String,
--- a/crates/bench/src/demo/evidence/tests.rs
+++ b/crates/bench/src/demo/results/tests.rs
@@ -37,12 +37,12 @@
         record(Ending::Answered, ""),
     ];
     let counts = reasons(&records);
-    let told: Vec<_> = counts
+    let counts: Vec<_> = counts
         .iter()
         .map(|(reason, n)| (reason.as_str(), *n))
         .collect();
     assert_eq!(
-        told,
+        counts,
         [("not-run: settling", 2), ("unknown: connection-lost", 1)]
     );
 }
--- a/crates/bench/src/demo/role.rs
+++ b/crates/bench/src/demo/role.rs
@@ -1,4 +1,4 @@
-//! What a child process of the demo is.
+//! The roles of the demo's child processes.
 
 use std::io;
 use std::path::Path;
@@ -18,10 +18,10 @@
 
 use super::runtime;
 
-/// The exit code of a child whose demo has gone.
-const EXIT_ORPHAN: i32 = 9;
+/// Exit code of a child whose demo has ended.
+const ORPHAN_EXIT_CODE: i32 = 9;
 
-/// One of the parts of a demo.
+/// What a child process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Role {
     /// The stand-in for the platform.
@@ -33,7 +33,7 @@
 }
 
 impl Role {
-    /// The verb that starts it.
+    /// The verb of the command line that starts it.
     pub(super) const fn as_str(self) -> &'static str {
         match self {
             Role::Platform => "platform",
@@ -43,21 +43,21 @@
     }
 }
 
-/// Runs a role to its end.
+/// Runs a role until it is stopped.
 ///
 /// # Errors
 ///
-/// Fails if its settings are bad or its ports can't be opened.
+/// Fails if its settings are invalid or its ports can't be opened.
 pub(super) fn run(role: Role, settings: &Path) -> Result<ExitCode> {
-    end_with_demo();
+    exit_when_stdin_closes();
     match role {
         Role::Platform => runtime()?.block_on(async {
-            let platform = Platform::start(read_settings(settings)?, stopped_by_signal()?).await?;
+            let platform = Platform::start(read_settings(settings)?, cancel_on_sigterm()?).await?;
             platform.stopped().await;
             Ok(ExitCode::SUCCESS)
         }),
         Role::Target => runtime()?.block_on(async {
-            let target = Target::start(read_settings(settings)?, stopped_by_signal()?).await?;
+            let target = Target::start(read_settings(settings)?, cancel_on_sigterm()?).await?;
             target.stopped().await;
             Ok(ExitCode::SUCCESS)
         }),
@@ -65,19 +65,20 @@
     }
 }
 
-/// Ends this process when its standard input closes: the demo holds the other
-/// end. A demo that was killed can't end its children itself, and they would
-/// go on for ever.
-fn end_with_demo() {
+/// Exits this process when its standard input closes, whose other end the demo
+/// holds open. A demo that was killed can't stop its children, which would otherwise
+/// run for ever.
+fn exit_when_stdin_closes() {
     thread::spawn(|| {
         let _ = io::copy(&mut io::stdin().lock(), &mut io::sink());
-        process::exit(EXIT_ORPHAN);
+        process::exit(ORPHAN_EXIT_CODE);
     });
 }
 
-fn stopped_by_signal() -> Result<CancellationToken> {
-    let mut term = signal(SignalKind::terminate())
-        .map_err(|cause| Error::new(Step::Check, "no signals").with_cause(cause))?;
+fn cancel_on_sigterm() -> Result<CancellationToken> {
+    let mut term = signal(SignalKind::terminate()).map_err(|cause| {
+        Error::new(Step::Check, "no handler can be set for SIGTERM").with_cause(cause)
+    })?;
     let cancel = CancellationToken::new();
     let stop = cancel.clone();
     tokio::spawn(async move {
--- a/crates/bench/src/demo/routes.rs
+++ b/crates/bench/src/demo/routes.rs
@@ -1,4 +1,4 @@
-//! What a catalogue's routes say of a path, without any instance.
+//! Binds a catalogue's routes without any instance.
 
 use sassafrasspool_core::Catalogue;
 use sassafrasspool_core::CatalogueItem;
@@ -9,14 +9,15 @@
 use sassafrasspool_core::Snapshot;
 use sassafrasspool_core::Step;
 
-/// Binds a catalogue to an empty instance list.
+/// Binds a catalogue to an empty instance list, to look up the routes of paths.
 ///
 /// # Errors
 ///
-/// Fails with every fault if it doesn't bind.
-pub fn routes(items: Vec<CatalogueItem>) -> Result<Snapshot> {
+/// Fails with all faults if the catalogue doesn't bind.
+pub fn bind_routes(items: Vec<CatalogueItem>) -> Result<Snapshot> {
     let first = Revision::new(1)?;
-    let held = Catalogue::new(first, items)?;
-    let nobody = InstanceList::new(first, [])?;
-    Snapshot::build(&held, &nobody).map_err(|faults| Error::new(Step::Bind, faults.to_string()))
+    let catalogue = Catalogue::new(first, items)?;
+    let no_instances = InstanceList::new(first, [])?;
+    Snapshot::build(&catalogue, &no_instances)
+        .map_err(|faults| Error::new(Step::Bind, faults.to_string()))
 }
--- a/crates/bench/src/demo/scenario.rs
+++ b/crates/bench/src/demo/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens in a demo, in which order.
+//! Loads a deployment and runs its demo from start to report.
 
 use std::fs;
 use std::sync::Arc;
@@ -10,36 +10,36 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use self::play::Play;
+use self::script::Script;
 use super::callers;
 use super::callers::Callers;
 use super::changes;
 use super::changes::WorkingCopy;
 use super::deployment::Deployment;
-use super::evidence::Evidence;
 use super::flags;
 use super::fleet::Fleet;
 use super::member::ServiceFile;
 use super::report::Report;
-use super::routes::routes;
+use super::results::DemoResults;
+use super::routes::bind_routes;
 use crate::chaos::log::Log;
 use crate::load::CallKind;
 
-pub(super) use self::play::Played;
+pub(super) use self::script::ScriptResults;
 
-mod play;
+mod script;
 
-/// How long a demo may take in all.
-pub(super) const BOUND: Duration = Duration::from_secs(28);
+/// How long a whole demo may take.
+pub(super) const MAX_DURATION: Duration = Duration::from_secs(28);
 
-/// Requests a second unless told otherwise.
-const DEFAULT_RATE: u32 = 300;
-/// The most requests a second.
-const MAX_RATE: u32 = 2_000;
-/// How long callers call before anything happens, and after everything did.
+/// Requests a second if no rate is given.
+const DEFAULT_RATE_PER_S: u32 = 300;
+/// Most requests a second.
+const MAX_RATE_PER_S: u32 = 2_000;
+/// How long callers call before the first scripted event and after the last.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// A deployment that is to be shown.
+/// A deployment and the load that the demo runs on it.
 #[derive(Debug)]
 pub(super) struct Scenario {
     name: String,
@@ -57,11 +57,11 @@
     ///
     /// Fails if a file can't be read or has faults, if a call has no route or
     /// the rate is out of bounds.
-    pub(super) fn load(given: &flags::Run) -> Result<Scenario> {
-        let dir = &given.deployment;
-        let rate = given.rate.unwrap_or(DEFAULT_RATE);
-        if !(1..=MAX_RATE).contains(&rate) {
-            let reason = format!("--rate must be 1 to {MAX_RATE}, is {rate}");
+    pub(super) fn load(args: &flags::Run) -> Result<Scenario> {
+        let dir = &args.deployment;
+        let rate = args.rate.unwrap_or(DEFAULT_RATE_PER_S);
+        if !(1..=MAX_RATE_PER_S).contains(&rate) {
+            let reason = format!("--rate must be 1 to {MAX_RATE_PER_S}, is {rate}");
             return Err(Error::new(Step::Check, reason));
         }
         let file = dir.join("catalogue.yaml");
@@ -69,9 +69,9 @@
             let reason = format!("{} can't be read", file.display());
             Error::new(Step::Settings, reason).with_cause(cause)
         })?;
-        let items = changes::items(&text)?;
+        let items = changes::parse_items(&text)?;
         let deployment = Deployment::load(&dir.join("deployment.yaml"))?;
-        let kinds = callers::kinds(&deployment.calls, &routes(items.clone())?)?;
+        let kinds = callers::call_kinds(&deployment.calls, &bind_routes(items.clone())?)?;
         let name = dir.file_name().unwrap_or(dir.as_os_str());
         Ok(Scenario {
             name: name.to_string_lossy().into_owned(),
@@ -79,29 +79,29 @@
             deployment,
             kinds,
             rate,
-            seed: given.seed.unwrap_or(1),
+            seed: args.seed.unwrap_or(1),
         })
     }
 
-    /// Starts everything, lets it happen, stops everything and judges.
+    /// Starts the fleet, runs the script under load, stops the fleet and reports.
     ///
     /// # Errors
     ///
-    /// Fails if something doesn't happen in time, and tells where the logs
-    /// are.
+    /// Fails if an event doesn't complete in time. The error names the directory
+    /// of the logs.
     pub(super) async fn run(self) -> Result<Report> {
         let log = Arc::new(Log::default());
-        let service = self.service();
-        let text = self.copy.text();
+        let service_times = self.service_times();
+        let text = self.copy.render();
         let began = Instant::now();
-        let mut fleet = Fleet::start(&self.deployment, text, &service, log).await?;
+        let mut fleet = Fleet::start(&self.deployment, text, &service_times, log).await?;
         let nodes = fleet.members.len();
         println!(
             "{nodes} nodes are ready after {:.1} s",
             began.elapsed().as_secs_f64()
         );
-        match self.show(&mut fleet).await {
-            Ok(report) if report.held() => Ok(report),
+        match self.run_on(&mut fleet).await {
+            Ok(report) if report.passed() => Ok(report),
             Ok(report) => Ok(report.with_logs(fleet.keep_logs())),
             Err(err) => {
                 let logs = fleet.keep_logs();
@@ -113,30 +113,30 @@
         }
     }
 
-    async fn show(self, fleet: &mut Fleet) -> Result<Report> {
+    async fn run_on(self, fleet: &mut Fleet) -> Result<Report> {
         let entries = fleet.members.iter().map(|member| member.listen.ingress);
         let entries = entries.collect();
-        let callers = Callers::start(self.kinds, entries, self.rate, self.seed, BOUND);
+        let callers = Callers::start(self.kinds, entries, self.rate, self.seed, MAX_DURATION);
         let began = Instant::now();
         sleep(SETTLE_TIME).await;
-        let played = Play::new(self.copy, fleet).run().await?;
+        let script_results = Script::new(self.copy, fleet).run().await?;
         sleep(SETTLE_TIME).await;
-        let called = began.elapsed();
+        let load_duration = began.elapsed();
         let load = callers.stop().await?;
-        let evidence = Evidence::gather(fleet, load).await?;
+        let results = DemoResults::gather(fleet, load).await?;
         Ok(Report::new(
             self.name,
             &self.deployment,
-            called,
-            played,
-            evidence,
+            load_duration,
+            script_results,
+            results,
         ))
     }
 
-    fn service(&self) -> ServiceFile {
+    fn service_times(&self) -> ServiceFile {
         let calls = self.deployment.calls.iter().zip(&self.kinds);
         let times = calls.filter_map(|(call, kind)| {
-            let us = u64::try_from(call.service.as_micros()).ok()?;
+            let us = u64::try_from(call.service_time.as_micros()).ok()?;
             Some((kind.name.to_owned(), us))
         });
         ServiceFile {
--- a/crates/bench/src/demo/watch.rs
+++ b/crates/bench/src/demo/status_poller.rs
@@ -1,4 +1,4 @@
-//! Watching what every node says of itself.
+//! Polls the status of every node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,110 +26,112 @@
 use crate::chaos::log::Log;
 use crate::chaos::observer::held_by;
 
-/// Time between two questions to a node.
-const INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two looks at what was seen.
-const LOOK: Duration = Duration::from_millis(5);
+/// Time between two status requests to a node.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time between two checks of a condition on the statuses.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The newest status of every node that answers.
-pub(super) type Seen = BTreeMap<InstanceId, Status>;
+/// The newest status of each node that answers.
+pub(super) type Statuses = BTreeMap<InstanceId, Status>;
 
-/// Asks all nodes for their status until it is dropped.
+/// Polls the status of all nodes until it is dropped, and records in the log which
+/// versions came into force.
 #[derive(Debug)]
-pub(super) struct Watch {
-    seen: Arc<Mutex<Seen>>,
+pub(super) struct StatusPoller {
+    statuses: Arc<Mutex<Statuses>>,
     _tasks: JoinSet<()>,
 }
 
-impl Watch {
-    /// Begins to ask the admin addresses of all instances.
+impl StatusPoller {
+    /// Starts polling the admin addresses of all instances.
     pub(super) fn start(
         client: &AdminClient,
         nodes: Vec<(InstanceId, SocketAddr)>,
         log: &Arc<Log>,
-    ) -> Watch {
-        let seen = Arc::new(Mutex::default());
+    ) -> StatusPoller {
+        let statuses = Arc::new(Mutex::default());
         let mut tasks = JoinSet::new();
         for (id, admin) in nodes {
-            let observer = Observer {
+            let poller = NodePoller {
                 client: client.clone(),
                 log: Arc::clone(log),
-                seen: Arc::clone(&seen),
+                statuses: Arc::clone(&statuses),
                 id,
                 admin,
             };
-            tasks.spawn(observer.run());
+            tasks.spawn(poller.run());
         }
-        Watch {
-            seen,
+        StatusPoller {
+            statuses,
             _tasks: tasks,
         }
     }
 
-    /// What is seen now.
-    pub(super) fn now(&self) -> Seen {
-        lock(&self.seen).clone()
+    /// The statuses now.
+    pub(super) fn statuses(&self) -> Statuses {
+        lock(&self.statuses).clone()
     }
 
-    /// Waits until `holds`, which is said by `what`.
+    /// Waits until `condition` holds; `what` describes it in the error.
     ///
     /// # Errors
     ///
-    /// Fails if that takes longer than `bound`.
+    /// Fails if that takes longer than `timeout`.
     pub(super) async fn wait(
         &self,
         what: &str,
-        bound: Duration,
-        holds: impl Fn(&Seen) -> bool,
+        timeout: Duration,
+        condition: impl Fn(&Statuses) -> bool,
     ) -> Result<()> {
         let began = Instant::now();
         loop {
-            if holds(&lock(&self.seen)) {
+            if condition(&lock(&self.statuses)) {
                 return Ok(());
             }
-            if began.elapsed() > bound {
-                let seen = lock(&self.seen);
-                let seen: Vec<String> = seen.values().map(told).collect();
-                let ms = bound.as_millis();
-                let reason = format!("not within {ms} ms: {what}; seen: {}", seen.join(", "));
+            if began.elapsed() > timeout {
+                let statuses = lock(&self.statuses);
+                let statuses: Vec<String> = statuses.values().map(describe).collect();
+                let ms = timeout.as_millis();
+                let reason = format!("not within {ms} ms: {what}; seen: {}", statuses.join(", "));
                 return Err(Error::new(Step::Check, reason));
             }
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 }
 
 #[derive(Debug)]
-struct Observer {
+struct NodePoller {
     client: AdminClient,
     log: Arc<Log>,
-    seen: Arc<Mutex<Seen>>,
+    statuses: Arc<Mutex<Statuses>>,
     id: InstanceId,
     admin: SocketAddr,
 }
 
-impl Observer {
+impl NodePoller {
     async fn run(self) {
         let mut last = None;
         loop {
             let status: Result<Status> = self.client.get(self.admin, STATUS_PATH).await;
             match status {
                 Ok(status) => {
-                    self.note(&status, &mut last).await;
-                    lock(&self.seen).insert(self.id.clone(), status);
+                    self.record_in_force(&status, &mut last).await;
+                    lock(&self.statuses).insert(self.id.clone(), status);
                 }
                 Err(_) => {
-                    lock(&self.seen).remove(&self.id);
+                    lock(&self.statuses).remove(&self.id);
                     last = None;
                 }
             }
-            sleep(INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Records what came into force. A node that isn't ready yet serves
-    /// nothing, so what it holds until then is in force for nobody.
-    async fn note(&self, status: &Status, last: &mut Option<Held>) {
+    /// Records the versions that came into force. A node that isn't ready yet
+    /// serves no request, so a version that it holds until then doesn't count as
+    /// in force.
+    async fn record_in_force(&self, status: &Status, last: &mut Option<Held>) {
         if status.phase < Phase::Ready || last.as_ref() == Some(&status.held) {
             return;
         }
@@ -142,7 +144,7 @@
     }
 }
 
-fn told(status: &Status) -> String {
+fn describe(status: &Status) -> String {
     let revision = |held: &Option<VersionInfo>| held.as_ref().map_or(0, |held| held.revision);
     format!(
         "{} {} {}/{}",
@@ -153,6 +155,6 @@
     )
 }
 
-fn lock(seen: &Mutex<Seen>) -> MutexGuard<'_, Seen> {
-    seen.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(statuses: &Mutex<Statuses>) -> MutexGuard<'_, Statuses> {
+    statuses.lock().unwrap_or_else(PoisonError::into_inner)
 }
