--- a/crates/bench/src/demo_main.rs
+++ b/crates/bench/src/demo_main.rs
@@ -1,4 +1,4 @@
-//! The demo's program.
+//! The demo program.
 
 use std::process::ExitCode;
 
--- a/crates/bench/src/load/admin.rs
+++ b/crates/bench/src/load/admin.rs
@@ -1,4 +1,4 @@
-//! Asking nodes what operators can ask, and turning stand-ins.
+//! Client for the admin addresses of nodes and stand-ins.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,48 +17,49 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// How long a node may take to answer; a paused one doesn't.
-const TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a GET may take. A paused node doesn't answer.
+const GET_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often a node that isn't ready is asked again.
-const POLL: Duration = Duration::from_millis(20);
+/// Time between two checks whether a node is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a stand-in may take to answer; on a busy machine it waits its turn.
-const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a POST or PUT to a stand-in may take. On a busy machine the stand-in
+/// may wait for processor time.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The JSON at `path` of a node's admin address; `None` if the node doesn't
-/// answer with any.
+/// Gets the JSON at `path` of an admin address. `None` if the answer isn't JSON or
+/// doesn't come in time.
 pub async fn get(addr: SocketAddr, path: &str) -> Option<Value> {
-    let asked = tokio::time::timeout(TIMEOUT, ask(addr, path));
-    let body = asked.await.ok()??;
+    let fetched = tokio::time::timeout(GET_TIMEOUT, fetch(addr, path));
+    let body = fetched.await.ok()??;
     serde_json::from_slice(&body).ok()
 }
 
-/// Whether the node says that it is ready.
+/// Whether the node reports that it is ready.
 pub async fn is_ready(addr: SocketAddr) -> bool {
     let status = get(addr, "/status").await;
     let phase = status.as_ref().and_then(|status| status["phase"].as_str());
     phase == Some("ready")
 }
 
-/// Waits until the node says that it is ready; tells whether it did so before
-/// `end`.
-pub async fn is_ready_before(addr: SocketAddr, end: Instant) -> bool {
+/// Waits until the node reports that it is ready. `false` if it isn't by
+/// `deadline`.
+pub async fn is_ready_before(addr: SocketAddr, deadline: Instant) -> bool {
     while !is_ready(addr).await {
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             return false;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
     true
 }
 
-/// Posts JSON to the admin port of a stand-in; `None` if that doesn't answer.
+/// Posts JSON to the admin address of a stand-in. `None` if that doesn't answer.
 pub async fn post(addr: SocketAddr, path: &str, json: String) -> Option<StatusCode> {
     send_json(addr, Request::post(path), json).await
 }
 
-/// Puts JSON or YAML to the admin port of a stand-in; `None` if that doesn't
+/// Puts JSON or YAML to the admin address of a stand-in. `None` if that doesn't
 /// answer.
 pub async fn put(addr: SocketAddr, path: &str, body: String) -> Option<StatusCode> {
     send_json(addr, Request::put(path), body).await
@@ -66,11 +67,11 @@
 
 async fn send_json(addr: SocketAddr, req: Builder, body: String) -> Option<StatusCode> {
     let req = req.header(CONTENT_TYPE, "application/json");
-    let told = tokio::time::timeout(CHANGE_TIMEOUT, send(addr, req, body.into()));
-    told.await.ok()?.map(|(status, _)| status)
+    let sent = tokio::time::timeout(WRITE_TIMEOUT, send(addr, req, body.into()));
+    sent.await.ok()?.map(|(status, _)| status)
 }
 
-async fn ask(addr: SocketAddr, path: &str) -> Option<Bytes> {
+async fn fetch(addr: SocketAddr, path: &str) -> Option<Bytes> {
     let (_, body) = send(addr, Request::get(path), Bytes::new()).await?;
     Some(body)
 }
--- a/crates/bench/src/load/repeat.rs
+++ b/crates/bench/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that try again.
+//! A caller that makes calls and retries them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -18,22 +18,22 @@
 use super::request::Attempt;
 use super::way::Way;
 
-/// How often and when a caller tries again.
+/// How often and when a caller retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Repeats {
-    /// Attempts in all, the first one counted.
+    /// Attempts in all, the first one included.
     pub attempts: u32,
-    /// How long it waits between attempts.
+    /// Time between the end of an attempt and the next one.
     pub pause: Duration,
-    /// Calls of 100 whose caller doesn't await the first attempt's end before
-    /// it sends the second one.
+    /// Percentage of calls whose second attempt is sent without waiting for the end
+    /// of the first one.
     pub impatient_percent: u64,
-    /// When such a caller sends the second attempt.
+    /// When the second attempt of such a call is sent, counted from the first one.
     pub impatient_after: Duration,
 }
 
 impl Repeats {
-    /// Never tries again.
+    /// No retries.
     pub const NONE: Repeats = Repeats {
         attempts: 1,
         pause: Duration::ZERO,
@@ -42,43 +42,44 @@
     };
 }
 
-/// A caller, as many of which run at once as there are calls under way.
+/// Makes calls, any number of them concurrently.
 ///
-/// It repeats a request under a new request id where that does no harm: after
-/// a refusal, or when the call carries a key or is idempotent.
+/// It retries a request, under a new request id, only where that is safe: after a
+/// refusal, or if the call carries a request key or is idempotent.
 #[derive(Debug)]
 pub struct Caller {
-    /// Its connections.
+    /// The client with its connections.
     pub client: Client,
-    /// How it reaches the targets.
+    /// The system that it sends its requests to.
     pub way: Way,
-    /// The kinds that the calls refer to.
+    /// The kinds that the calls index.
     pub kinds: Vec<CallKind>,
-    /// Tells its requests from those of other runs on the same targets.
+    /// Prefix of its request ids, different from those of other runs on the same
+    /// targets.
     pub run: String,
-    /// When it tries again.
+    /// How it retries.
     pub repeats: Repeats,
-    /// How long it wants an answer for, which it tells the node.
+    /// Caller timeout, which is sent with each request.
     pub timeout: Duration,
-    /// How much longer it waits for the node to say that the time is over.
+    /// How long after the timeout it still waits for the node's timeout answer.
     pub grace: Duration,
 }
 
 impl Caller {
-    /// Makes a call to its end and gives a record for each attempt.
+    /// Makes a call with its retries and gives a record of each attempt.
     pub async fn call(&self, due: Due) -> Vec<CallRecord> {
         let mut rng = SmallRng::seed_from_u64(due.call.draw);
-        let impatient = rng.random_range(0..100) < self.repeats.impatient_percent;
-        if impatient && self.repeats.attempts > 1 && self.may_repeat(&due.call, Ending::Unknown) {
-            return self.overlapping(&due, &mut rng).await;
+        let overlaps = rng.random_range(0..100) < self.repeats.impatient_percent;
+        if overlaps && self.repeats.attempts > 1 && self.may_retry(&due.call, Ending::Unknown) {
+            return self.overlapping_attempts(&due, &mut rng).await;
         }
         let mut records: Vec<CallRecord> = Vec::new();
         let mut due_at = due.at;
         for number in 1..=self.repeats.attempts {
             let record = self.attempt(&due.call, number, due_at, rng.random()).await;
-            let again = self.may_repeat(&due.call, record.ending);
+            let retries = self.may_retry(&due.call, record.ending);
             records.push(record);
-            if !again {
+            if !retries {
                 break;
             }
             tokio::time::sleep(self.repeats.pause).await;
@@ -87,8 +88,8 @@
         records
     }
 
-    /// Two attempts of which the second doesn't await the first.
-    async fn overlapping(&self, due: &Due, rng: &mut SmallRng) -> Vec<CallRecord> {
+    /// Makes two attempts, the second without waiting for the end of the first.
+    async fn overlapping_attempts(&self, due: &Due, rng: &mut SmallRng) -> Vec<CallRecord> {
         let first = self.attempt(&due.call, 1, due.at, rng.random());
         let draw = rng.random();
         let second = async {
@@ -99,7 +100,7 @@
         vec![first, second]
     }
 
-    fn may_repeat(&self, call: &Call, ending: Ending) -> bool {
+    fn may_retry(&self, call: &Call, ending: Ending) -> bool {
         match ending {
             Ending::Answered | Ending::Wrong => false,
             Ending::NotRun | Ending::NotSent => true,
@@ -113,10 +114,10 @@
         let kind = &self.kinds[call.kind];
         let attempt = Attempt::new(&self.run, call, kind, number, self.timeout);
         let sent_us = now_us();
-        let patience = self.timeout + self.grace;
+        let max_wait = self.timeout + self.grace;
         let exchange = self
             .way
-            .exchange(&self.client, &attempt, patience, draw)
+            .exchange(&self.client, &attempt, max_wait, draw)
             .await;
         let latency = due_at.elapsed();
         CallRecord {
@@ -138,7 +139,7 @@
     }
 }
 
-/// Microseconds since the Unix epoch, to compare with targets' ledgers.
+/// Microseconds since the Unix epoch, the clock of the targets' ledgers.
 fn now_us() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(since.unwrap_or_default().as_micros()).unwrap_or(u64::MAX)
--- a/crates/bench/src/load/client.rs
+++ b/crates/bench/src/load/client.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! The callers' HTTP client.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -33,31 +33,31 @@
 
 /// Connections to nodes or targets, kept open between calls.
 ///
-/// It never sends a request again that may have left: only one that the
-/// library hands back unsent goes out on another connection.
+/// It never resends a request that may have been sent. Only a request that the
+/// library returns unsent goes out on another connection.
 #[derive(Debug, Default)]
 pub struct Client {
-    idle: Arc<Mutex<Idle>>,
+    idle: Arc<Mutex<IdleConnections>>,
 }
 
-/// Open connections that no call uses.
-type Idle = HashMap<SocketAddr, Vec<Sender>>;
+/// Open connections that no call is using.
+type IdleConnections = HashMap<SocketAddr, Vec<Sender>>;
 
-/// What came back on one attempt.
+/// The result of one attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Exchange {
-    /// The node that took the connection.
+    /// The node or target that accepted the connection.
     pub entry: Option<SocketAddr>,
     /// The status, if an answer began.
     pub status: Option<u16>,
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// What went wrong, for a person.
+    /// What went wrong, as text; empty if nothing did.
     pub detail: String,
 }
 
 impl Exchange {
-    /// Nothing was sent.
+    /// The result of an attempt that was never sent.
     pub(super) fn not_sent() -> Exchange {
         Exchange {
             entry: None,
@@ -69,69 +69,73 @@
 }
 
 impl Client {
-    /// Sends an attempt to the first of `addrs` that takes a connection and
-    /// waits for the end of the answer, at most `patience`.
+    /// Sends an attempt to the first of `addrs` that accepts a connection and
+    /// waits for the end of the answer, at most `timeout`.
     pub async fn exchange(
         &self,
         addrs: &[SocketAddr],
         attempt: &Attempt,
-        patience: Duration,
+        timeout: Duration,
     ) -> Exchange {
-        let mut begun = Exchange::not_sent();
-        let sent = self.send(addrs, attempt, &mut begun);
-        if tokio::time::timeout(patience, sent).await.is_err() {
-            begun.ending = match (begun.entry, begun.status) {
+        let mut exchange = Exchange::not_sent();
+        let sent = self.send(addrs, attempt, &mut exchange);
+        if tokio::time::timeout(timeout, sent).await.is_err() {
+            exchange.ending = match (exchange.entry, exchange.status) {
                 (None, _) => Ending::NotSent,
                 (_, None) => Ending::Silence,
                 (_, Some(_)) => Ending::Broken,
             };
-            begun.detail = "patience ended".to_owned();
+            exchange.detail = "timed out".to_owned();
         }
-        begun
+        exchange
     }
 
-    async fn send(&self, addrs: &[SocketAddr], attempt: &Attempt, begun: &mut Exchange) {
+    async fn send(&self, addrs: &[SocketAddr], attempt: &Attempt, exchange: &mut Exchange) {
         for &addr in addrs {
             let Ok(mut req) = attempt.request(&addr.to_string()) else {
                 return;
             };
             while let Ok(mut sender) = self.connection(addr).await {
-                begun.entry = Some(addr);
+                exchange.entry = Some(addr);
                 let mut err = match sender.try_send_request(req).await {
-                    Ok(answer) => return self.read(addr, sender, answer, attempt, begun).await,
+                    Ok(answer) => {
+                        return self
+                            .read_answer(addr, sender, answer, attempt, exchange)
+                            .await;
+                    }
                     Err(err) => err,
                 };
                 let Some(unsent) = err.take_message() else {
-                    begun.ending = Ending::Silence;
-                    begun.detail = format!("{:?}", err.into_error());
+                    exchange.ending = Ending::Silence;
+                    exchange.detail = format!("{:?}", err.into_error());
                     return;
                 };
-                begun.entry = None;
+                exchange.entry = None;
                 req = unsent;
             }
         }
     }
 
-    async fn read(
+    async fn read_answer(
         &self,
         addr: SocketAddr,
         sender: Sender,
         answer: Response<Incoming>,
         attempt: &Attempt,
-        begun: &mut Exchange,
+        exchange: &mut Exchange,
     ) {
         let (head, body) = answer.into_parts();
-        begun.status = Some(head.status.as_u16());
-        let body = match collect(body).await {
+        exchange.status = Some(head.status.as_u16());
+        let body = match read_to_end(body).await {
             Ok(body) => body,
             Err(err) => {
-                begun.ending = Ending::Broken;
-                begun.detail = format!("{err:?}");
+                exchange.ending = Ending::Broken;
+                exchange.detail = format!("{err:?}");
                 return;
             }
         };
-        self.keep(addr, sender);
-        begun.ending = match header::outcome(&head.headers) {
+        self.keep_idle(addr, sender);
+        exchange.ending = match header::outcome(&head.headers) {
             Some(Outcome::NotRun) => Ending::NotRun,
             Some(Outcome::Unknown) => Ending::Unknown,
             None if head.status != StatusCode::OK => Ending::Failed,
@@ -141,13 +145,13 @@
                 check_answer(attempt, &body, received)
             }
         };
-        if begun.ending != Ending::Answered {
-            begun.detail = String::from_utf8_lossy(&body[..body.len().min(200)]).into_owned();
+        if exchange.ending != Ending::Answered {
+            exchange.detail = String::from_utf8_lossy(&body[..body.len().min(200)]).into_owned();
         }
     }
 
     async fn connection(&self, addr: SocketAddr) -> std::io::Result<Sender> {
-        while let Some(sender) = self.idle(addr) {
+        while let Some(sender) = self.pop_idle(addr) {
             if sender.is_ready() {
                 return Ok(sender);
             }
@@ -155,14 +159,14 @@
         connect(addr).await
     }
 
-    fn idle(&self, addr: SocketAddr) -> Option<Sender> {
+    fn pop_idle(&self, addr: SocketAddr) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.get_mut(&addr)?.pop()
     }
 
-    /// Keeps a connection whose answer was read. The library takes a moment
-    /// until it is ready again, for which a task waits.
-    fn keep(&self, addr: SocketAddr, mut sender: Sender) {
+    /// Keeps a connection whose answer was read, for later calls. A task waits
+    /// until the library reports it ready again.
+    fn keep_idle(&self, addr: SocketAddr, mut sender: Sender) {
         let idle = Arc::clone(&self.idle);
         tokio::spawn(async move {
             if sender.ready().await.is_ok() {
@@ -173,7 +177,7 @@
     }
 }
 
-/// Opens a connection, whose task ends with it.
+/// Opens a connection and spawns the task that drives it.
 async fn connect(addr: SocketAddr) -> std::io::Result<Sender> {
     let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
     let io = opened.await.map_err(std::io::Error::other)??;
@@ -184,28 +188,28 @@
     Ok(sender)
 }
 
-async fn collect(mut body: Incoming) -> hyper::Result<BytesMut> {
-    let mut whole = BytesMut::new();
+async fn read_to_end(mut body: Incoming) -> hyper::Result<BytesMut> {
+    let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         if let Some(data) = frame?.data_ref() {
-            whole.extend_from_slice(data);
+            bytes.extend_from_slice(data);
         }
     }
-    Ok(whole)
+    Ok(bytes)
 }
 
-/// Whether `body` is the whole answer to `attempt`, made from the whole
-/// request: the target echoes the id, a pattern that follows from it, and how
-/// much it received.
+/// Checks that `body` is the complete answer to `attempt` and that the target
+/// received the complete request. The target echoes the request id, sends a pattern
+/// derived from it, and reports how many bytes it received.
 fn check_answer(attempt: &Attempt, body: &[u8], received: Option<usize>) -> Ending {
     let id = body.split(|byte| *byte == b'\n').next().unwrap_or_default();
     let Ok(id) = str::from_utf8(id) else {
         return Ending::Wrong;
     };
-    let own = attempt.is_answered_by(id);
-    let whole = body == answer_body(id, attempt.answer_bytes);
-    let sent_whole = received.is_none_or(|received| received == attempt.request_bytes);
-    match own && whole && sent_whole {
+    let is_own = attempt.is_answered_by(id);
+    let is_complete = body == answer_body(id, attempt.answer_bytes);
+    let request_complete = received.is_none_or(|received| received == attempt.request_bytes);
+    match is_own && is_complete && request_complete {
         true => Ending::Answered,
         false => Ending::Wrong,
     }
--- a/crates/bench/src/load/ending.rs
+++ b/crates/bench/src/load/ending.rs
@@ -1,27 +1,28 @@
-//! How one attempt ended for its caller.
+//! How an attempt ended for its caller.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What the caller was left with.
+/// The end of one attempt, as its caller saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ending {
-    /// The whole answer to the caller's own request.
+    /// The complete answer to the caller's own request.
     Answered,
-    /// A refusal that says that the request was not run.
+    /// A refusal with the outcome that the request was not run.
     NotRun,
-    /// An answer that says that nobody knows whether the request was run.
+    /// An answer with the outcome that it is unknown whether the request was run.
     Unknown,
-    /// A whole answer of another status and without an outcome, such as what
-    /// the target itself says when it sheds.
+    /// A complete answer with a status other than 200 and without an outcome, such
+    /// as a load-shedding answer of the target itself.
     Failed,
-    /// A whole answer with success, but short or to another request.
+    /// A complete answer with status 200 that is too short or belongs to another
+    /// request, or whose request didn't arrive complete.
     Wrong,
-    /// An answer that began and broke off, which its caller can see.
+    /// An answer that began and broke off, visibly to the caller.
     Broken,
-    /// Nothing came before the connection ended or the caller's patience did.
+    /// No answer began before the connection ended or the caller timed out.
     Silence,
-    /// No node took a connection, so that nothing was ever sent.
+    /// No node accepted a connection, so nothing was sent.
     NotSent,
 }
--- a/crates/bench/src/load/entries.rs
+++ b/crates/bench/src/load/entries.rs
@@ -1,24 +1,24 @@
-//! Where callers send their requests.
+//! The nodes that callers send their requests to.
 
 use std::net::SocketAddr;
 
-/// The nodes that callers know, in no order.
+/// The addresses of the nodes that callers use, in no particular order.
 ///
-/// Callers aren't told when a node stops; they find out by a refused
-/// connection and go on to the next.
+/// Callers aren't notified when a node stops. They detect it by a refused
+/// connection and try the next node.
 #[derive(Debug, Default)]
 pub struct Entries {
     addrs: Vec<SocketAddr>,
 }
 
 impl Entries {
-    /// Callers know `addrs`.
+    /// Makes a list of the nodes at `addrs`.
     pub fn new(addrs: Vec<SocketAddr>) -> Entries {
         Entries { addrs }
     }
 
-    /// All nodes, beginning with the one that `draw` picks.
-    pub fn from_draw(&self, draw: u64) -> Vec<SocketAddr> {
+    /// All nodes, starting with the one that the random number `draw` selects.
+    pub fn rotated_by(&self, draw: u64) -> Vec<SocketAddr> {
         let mut addrs = self.addrs.clone();
         if !addrs.is_empty() {
             let len = u64::try_from(addrs.len()).unwrap_or(1);
--- a/crates/bench/src/load/fleet/layout.rs
+++ b/crates/bench/src/load/fleet/layout.rs
@@ -1,42 +1,42 @@
-//! What a fleet consists of.
+//! The specification of a fleet.
 
 use std::time::Duration;
 
 use sassafrasspool_standin::TargetSettings;
 
-/// One instance before it has addresses.
+/// The specification of one instance, without addresses.
 #[derive(Debug, Clone)]
 pub struct Place {
     /// The service of the instance.
     pub service: String,
     /// Its failure domain.
     pub domain: &'static str,
-    /// How its target behaves. The ports are taken by the fleet.
+    /// How its target behaves. The fleet assigns the ports.
     pub target: TargetSettings,
 }
 
-/// A fleet before it is started.
+/// The specification of a fleet.
 #[derive(Debug, Clone)]
 pub struct Layout {
     /// The instances.
     pub places: Vec<Place>,
     /// The catalogue that is published first.
     pub catalogue: String,
-    /// Whether there are nodes; the naive version has none.
+    /// Whether nodes are started. The naive proxy uses none.
     pub nodes: bool,
-    /// More lines of each node's settings.
+    /// Lines appended to each node's settings.
     pub settings: &'static str,
-    /// Whether nodes reach each other through links that can be held.
+    /// Whether nodes reach each other through links that can be made to fail.
     pub links: bool,
-    /// How long nodes may take until all are ready.
+    /// How long the start may take until all nodes are ready.
     pub patience: Duration,
 }
 
-/// The failure domains that instances stand in, in turn.
+/// The failure domains over which instances are placed round-robin.
 pub const DOMAINS: [&str; 3] = ["bayanzurkh", "khan-uul", "sukhbaatar"];
 
 impl Place {
-    /// The `n`th instance of a fleet, standing in a failure domain in turn.
+    /// The `n`th instance of a fleet, placed in a failure domain round-robin.
     pub fn new(n: usize, service: impl Into<String>, target: TargetSettings) -> Place {
         Place {
             service: service.into(),
--- a/crates/bench/src/load/fleet/member.rs
+++ b/crates/bench/src/load/fleet/member.rs
@@ -14,22 +14,23 @@
 use crate::load::Link;
 use crate::load::NodeProcess;
 
-/// A target with the node beside it.
+/// A target and its node.
 #[derive(Debug)]
 pub struct Member {
     /// Its number.
     pub n: usize,
-    /// As the platform lists it.
+    /// Its entry in the instance list.
     pub instance: Instance,
-    /// Where its node takes calls from outside.
+    /// The address of its node for callers.
     pub ingress: SocketAddr,
-    /// Where its node answers operators.
+    /// The admin address of its node.
     pub admin: SocketAddr,
     /// Its target.
     pub target: Target,
-    /// The links by which other nodes reach its node, if they can be held.
+    /// The links through which other nodes reach its node; empty if the fleet has no
+    /// links.
     pub links: Vec<Link>,
-    /// Its node, unless that is down.
+    /// Its node, if it is running.
     pub node: Mutex<Option<NodeProcess>>,
     pub(super) listen: Listen,
     pub(super) settings: PathBuf,
@@ -42,10 +43,11 @@
         &self,
         platform: SocketAddr,
         seeds: &[SocketAddr],
-        more: &str,
+        extra: &str,
     ) -> std::io::Result<()> {
         let target = self.target.addr();
-        let text = settings::text(&self.instance, self.listen, target, platform, seeds, more);
+        let text =
+            settings::node_settings(&self.instance, self.listen, target, platform, seeds, extra);
         std::fs::write(&self.settings, text)
     }
 
@@ -76,8 +78,7 @@
         Ok(())
     }
 
-    /// Asks its node to drain and stop, and waits for its end. `None` if it
-    /// was down.
+    /// Drains its node and waits until it exits. `None` if it wasn't running.
     ///
     /// # Errors
     ///
@@ -97,7 +98,7 @@
         }
     }
 
-    /// What its target ran.
+    /// The runs in its target's ledger.
     pub fn runs(&self) -> Vec<LedgerRun> {
         let runs = self.target.ledger().runs.into_iter();
         let instance = self.n;
--- a/crates/bench/src/load/fleet/whole.rs
+++ b/crates/bench/src/load/fleet/running_fleet.rs
@@ -1,4 +1,4 @@
-//! Starting a fleet.
+//! Starts a fleet and gives access to its members.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -30,13 +30,13 @@
 use crate::load::Ports;
 use crate::load::admin;
 
-/// The region that all instances stand in.
+/// The region of all instances.
 const REGION: &str = "ulaanbaatar";
 
-/// Other nodes that each node's settings name.
-const SEEDS: usize = 3;
+/// Seed peers in each node's settings.
+const SEEDS_PER_NODE: usize = 3;
 
-/// A running fleet; its processes are killed when it is dropped.
+/// A running fleet. Its processes are killed when it is dropped.
 #[derive(Debug)]
 pub struct Fleet {
     /// The platform.
@@ -60,7 +60,7 @@
             .await
             .into_diagnostic()?;
         let dir = tempfile::tempdir().into_diagnostic()?;
-        let mut maker = Maker {
+        let mut builder = MemberBuilder {
             ports: Ports::new(),
             dir: dir.path().to_owned(),
             links: layout.links,
@@ -69,29 +69,29 @@
         for (n, place) in layout.places.iter().enumerate() {
             let target = Target::start(place.target.clone(), cancel.clone());
             let target = target.await.into_diagnostic()?;
-            members.push(maker.member(n, place, target).await?);
+            members.push(builder.build(n, place, target).await?);
         }
         let fleet = Fleet {
             platform,
             members,
             dir,
-            _ports: maker.ports,
+            _ports: builder.ports,
         };
         fleet.write_settings(layout.settings).into_diagnostic()?;
         fleet.publish(layout)?;
         if layout.nodes {
             fleet.start_nodes().await?;
-            fleet.until_ready(layout.patience).await?;
+            fleet.wait_until_ready(layout.patience).await?;
         }
         Ok(fleet)
     }
 
-    /// Where callers reach the nodes.
+    /// The addresses of the nodes for callers.
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.members.iter().map(|member| member.ingress).collect()
     }
 
-    /// What all targets ran.
+    /// The runs in all targets' ledgers.
     pub fn runs(&self) -> Vec<LedgerRun> {
         self.members.iter().flat_map(Member::runs).collect()
     }
@@ -100,11 +100,11 @@
     ///
     /// # Errors
     ///
-    /// Fails if one isn't after `patience`, and says which.
-    pub async fn until_ready(&self, patience: Duration) -> miette::Result<()> {
-        let end = Instant::now() + patience;
+    /// Fails if one isn't ready after `timeout`. The error names it and has its log.
+    pub async fn wait_until_ready(&self, timeout: Duration) -> miette::Result<()> {
+        let deadline = Instant::now() + timeout;
         for member in &self.members {
-            if !admin::is_ready_before(member.admin, end).await {
+            if !admin::is_ready_before(member.admin, deadline).await {
                 let log = std::fs::read_to_string(&member.log).unwrap_or_default();
                 return Err(miette!("{} isn't ready; {log}", member.instance.id));
             }
@@ -112,7 +112,8 @@
         Ok(())
     }
 
-    /// Puts something beside the nodes' logs, one line of JSON for each item.
+    /// Writes a file into the directory of the nodes' logs, one line of JSON for each
+    /// item.
     ///
     /// # Errors
     ///
@@ -126,19 +127,20 @@
         std::fs::write(self.dir.path().join(name), text)
     }
 
-    /// Keeps the nodes' settings and logs after the end, and says where.
+    /// Keeps the nodes' settings and logs and gives their directory.
     pub fn keep_logs(self) -> PathBuf {
         self.dir.keep()
     }
 
-    /// Gives each node some others to ask before it knows the instance list,
-    /// without which a node that starts in an outage would stay empty.
-    fn write_settings(&self, more: &str) -> std::io::Result<()> {
+    /// Writes each node's settings with some other nodes as seed peers. Without
+    /// them, a node that starts in an outage of the platform would never get the
+    /// instance list.
+    fn write_settings(&self, extra: &str) -> std::io::Result<()> {
         for member in &self.members {
             let others = self.members.iter().filter(|other| other.n != member.n);
             let controls = others.map(|other| other.instance.control);
-            let seeds: Vec<SocketAddr> = controls.take(SEEDS).collect();
-            member.write_settings(self.platform.addr(), &seeds, more)?;
+            let seeds: Vec<SocketAddr> = controls.take(SEEDS_PER_NODE).collect();
+            member.write_settings(self.platform.addr(), &seeds, extra)?;
         }
         Ok(())
     }
@@ -159,23 +161,23 @@
     }
 }
 
-/// What members are made with.
+/// Builds members with free ports and, if required, links.
 #[derive(Debug)]
-struct Maker {
+struct MemberBuilder {
     ports: Ports,
     dir: PathBuf,
     links: bool,
 }
 
-impl Maker {
-    async fn member(&mut self, n: usize, place: &Place, target: Target) -> miette::Result<Member> {
-        let listen = self.listen().into_diagnostic()?;
+impl MemberBuilder {
+    async fn build(&mut self, n: usize, place: &Place, target: Target) -> miette::Result<Member> {
+        let listen = self.reserve_listen().into_diagnostic()?;
         let mut instance = instance(n, place, listen).into_diagnostic()?;
         let mut links = Vec::new();
         if self.links {
             for addr in [&mut instance.traffic, &mut instance.control] {
-                let public = self.ports.take().into_diagnostic()?;
-                let link = Link::start(public, *addr).await.into_diagnostic()?;
+                let listed = self.ports.take().into_diagnostic()?;
+                let link = Link::start(listed, *addr).await.into_diagnostic()?;
                 *addr = link.addr();
                 links.push(link);
             }
@@ -194,7 +196,7 @@
         })
     }
 
-    fn listen(&mut self) -> std::io::Result<Listen> {
+    fn reserve_listen(&mut self) -> std::io::Result<Listen> {
         Ok(Listen {
             ingress: self.ports.take()?,
             egress: self.ports.take()?,
--- a/crates/bench/src/load/fleet/settings.rs
+++ b/crates/bench/src/load/fleet/settings.rs
@@ -1,33 +1,33 @@
-//! The settings of a node's process.
+//! The settings text of a node's process.
 
 use std::net::SocketAddr;
 
 use sassafrasspool_core::Instance;
 
-/// Where a node listens. The instance list may have other addresses, from
-/// which connections are passed on to these.
+/// Where a node listens. The instance list may have other addresses, from which links
+/// forward connections to these.
 #[derive(Debug, Clone, Copy)]
 pub struct Listen {
     /// Requests of callers.
     pub ingress: SocketAddr,
-    /// Requests of the own target.
+    /// Requests of the local target.
     pub egress: SocketAddr,
-    /// Requests that other nodes pass on.
+    /// Requests that other nodes forward.
     pub traffic: SocketAddr,
     /// Control messages of other nodes.
     pub control: SocketAddr,
-    /// Questions of operators.
+    /// Admin requests of operators.
     pub admin: SocketAddr,
 }
 
-/// The text of a node's settings.
-pub fn text(
+/// The text of a node's settings, with `extra` lines at the end.
+pub fn node_settings(
     instance: &Instance,
     listen: Listen,
     target: SocketAddr,
     platform: SocketAddr,
     seeds: &[SocketAddr],
-    more: &str,
+    extra: &str,
 ) -> String {
     let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
     let seeds = seeds.join(", ");
@@ -56,6 +56,6 @@
          target: {{addr: \"{target}\", slots: {slots}, connections: {slots}, ready_path: /healthz}}\n\
          platform: {{addr: \"{platform}\"}}\n\
          seeds: [{seeds}]\n\
-         {more}"
+         {extra}"
     )
 }
--- a/crates/bench/src/load/kind.rs
+++ b/crates/bench/src/load/kind.rs
@@ -1,37 +1,37 @@
-//! Kinds of calls in a mix.
+//! The kinds of calls in a load mix.
 
 use sassafrasspool_core::Class;
 
-/// What the calls of one kind have in common.
+/// The properties of the calls of one kind.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallKind {
     /// The kind's name in the catalogue.
     pub name: &'static str,
-    /// Where it is sent.
+    /// The path that it is sent to.
     pub path: &'static str,
     /// Its class in the catalogue.
     pub class: Class,
-    /// How much one answered call counts.
+    /// Weight of one answered call.
     pub weight: u32,
-    /// Whether it may run twice without harm.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Whether its calls carry keys.
+    /// Which of its calls carry a request key.
     pub keys: Keys,
-    /// Its share among all kinds, relative to theirs.
+    /// Its share of all calls, relative to the other kinds' shares.
     pub share: u32,
-    /// The longest answer that is asked for, in bytes of pattern.
+    /// Longest answer that is requested, in bytes of the pattern.
     pub answer_bytes: usize,
-    /// The longest body that is sent, in bytes.
+    /// Longest request body, in bytes.
     pub request_bytes: usize,
 }
 
-/// Whether calls carry a key, by which repeats are known.
+/// Which calls carry a request key, by which retries are deduplicated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Keys {
-    /// Never.
+    /// No call.
     None,
-    /// On every call.
+    /// Every call.
     All,
-    /// On every other call.
+    /// Each call with probability 1/2.
     Half,
 }
--- a/crates/bench/src/load/link.rs
+++ b/crates/bench/src/load/link.rs
@@ -1,4 +1,4 @@
-//! A way between two processes that can be made to fail.
+//! A TCP proxy between two processes that can inject network faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,50 +23,50 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes that are passed on at once.
-const BUF_BYTES: usize = 16 * 1024;
+/// Size of the buffer that bytes are copied through.
+const COPY_BUF_BYTES: usize = 16 * 1024;
 
-/// What a link does with bytes at the moment.
+/// The faults that a link injects at the moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct State {
-    /// How long bytes take on top.
+    /// Extra delay of each chunk of bytes.
     delay: Duration,
-    /// Bytes from who opened the connection wait.
-    holds_forth: bool,
-    /// Bytes to who opened the connection wait.
-    holds_back: bool,
+    /// Bytes from the client, which opened the connection, are held back.
+    blocked_forward: bool,
+    /// Bytes to the client are held back.
+    blocked_backward: bool,
     /// Connections with a lower number are reset.
     reset_below: u64,
-    /// Connections with a lower number stay open and carry nothing more.
+    /// Connections with a lower number stay open and carry no more bytes.
     silent_below: u64,
 }
 
-/// Which direction of a connection.
+/// The direction of bytes in a connection: from the client, or to it.
 #[derive(Debug, Clone, Copy)]
 enum Direction {
-    Forth,
-    Back,
+    Forward,
+    Backward,
 }
 
-/// Passes connections on to one address and back.
+/// Forwards connections from one address to another, and injects faults into them.
 #[derive(Debug)]
 pub struct Link {
     addr: SocketAddr,
     to: SocketAddr,
     state: Arc<watch::Sender<State>>,
     connections: Arc<AtomicU64>,
-    open: Mutex<Option<Open>>,
+    open: Mutex<Option<OpenLink>>,
 }
 
-/// What accepts and passes on while a link is open.
+/// The tasks of an open link.
 #[derive(Debug)]
-struct Open {
+struct OpenLink {
     accepting: JoinHandle<Option<()>>,
     guard: DropGuard,
 }
 
 impl Link {
-    /// Begins to pass connections to `addr` on to `to`.
+    /// Starts forwarding connections to `addr` on to `to`.
     ///
     /// # Errors
     ///
@@ -83,22 +83,22 @@
         Ok(link)
     }
 
-    /// Where it takes connections.
+    /// The address where it accepts connections.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Makes bytes take longer; zero ends that.
+    /// Delays bytes; a delay of zero ends that.
     pub fn delay(&self, delay: Duration) {
         self.state.send_modify(|state| state.delay = delay);
     }
 
-    /// Holds bytes in one or both directions, as a network that loses them
-    /// does: nothing is reset, and what was sent arrives late.
-    pub fn hold(&self, forth: bool, back: bool) {
+    /// Holds bytes back in one or both directions, like a network partition: no
+    /// connection is reset, and the bytes arrive once the link is unblocked.
+    pub fn hold(&self, forward: bool, backward: bool) {
         self.state.send_modify(|state| {
-            state.holds_forth = forth;
-            state.holds_back = back;
+            state.blocked_forward = forward;
+            state.blocked_backward = backward;
         });
     }
 
@@ -108,24 +108,24 @@
         self.state.send_modify(|state| state.reset_below = below);
     }
 
-    /// Lets the connections that are open now go silent for good, as behind a
-    /// middlebox that forgot them; new ones work.
+    /// Drops all further bytes of the connections that are open now without closing
+    /// them, like a middlebox that lost its state. New connections work.
     pub fn silence(&self) {
         let below = self.connections.load(Ordering::Relaxed);
         self.state.send_modify(|state| state.silent_below = below);
     }
 
-    /// Ends all connections and refuses new ones, as a process that ended.
+    /// Closes all connections and refuses new ones, like a process that exited.
     pub async fn close(&self) {
         let open = self.lock().take();
-        if let Some(Open { accepting, guard }) = open {
+        if let Some(OpenLink { accepting, guard }) = open {
             drop(guard);
-            // The address is free again only when the listener is gone.
+            // The address is free only once the task has dropped the listener.
             let _ = accepting.await;
         }
     }
 
-    /// Takes connections again; nothing to do if it wasn't closed.
+    /// Accepts connections again. Does nothing if the link is open.
     ///
     /// # Errors
     ///
@@ -143,19 +143,19 @@
         };
         let accepting = accept(listener, shared, cancel.clone());
         let accepting = tokio::spawn(cancel.clone().run_until_cancelled_owned(accepting));
-        *self.lock() = Some(Open {
+        *self.lock() = Some(OpenLink {
             accepting,
             guard: cancel.drop_guard(),
         });
         Ok(())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<Open>> {
+    fn lock(&self) -> MutexGuard<'_, Option<OpenLink>> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// What the connections of a link share.
+/// State that all connections of a link share.
 #[derive(Debug, Clone)]
 struct Shared {
     to: SocketAddr,
@@ -164,58 +164,70 @@
 }
 
 async fn accept(listener: TcpListener, shared: Shared, cancel: CancellationToken) {
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((client, _)) = listener.accept().await {
         let number = shared.connections.fetch_add(1, Ordering::Relaxed);
-        let passing = pass(near, shared.clone(), number);
-        tokio::spawn(cancel.clone().run_until_cancelled_owned(passing));
+        let forwarding = forward(client, shared.clone(), number);
+        tokio::spawn(cancel.clone().run_until_cancelled_owned(forwarding));
     }
 }
 
-async fn pass(near: TcpStream, shared: Shared, number: u64) {
+async fn forward(client: TcpStream, shared: Shared, number: u64) {
     let mut state = shared.state.subscribe();
-    let opening = state.wait_for(|state| !state.holds_forth && !state.holds_back);
+    let opening = state.wait_for(|state| !state.blocked_forward && !state.blocked_backward);
     if opening.await.is_err() {
         return;
     }
-    // A refused connection ends the near one, as if it had been refused.
-    let Ok(far) = TcpStream::connect(shared.to).await else {
+    // If the server refuses, the client's connection is closed too.
+    let Ok(server) = TcpStream::connect(shared.to).await else {
         return;
     };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_rx, near_tx) = near.into_split();
-    let (far_rx, far_tx) = far.into_split();
-    let carried = async {
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
+    let (client_rx, client_tx) = client.into_split();
+    let (server_rx, server_tx) = server.into_split();
+    let copying = async {
         tokio::join!(
-            copy(near_rx, far_tx, state.clone(), number, Direction::Forth),
-            copy(far_rx, near_tx, state.clone(), number, Direction::Back)
+            copy_one_way(
+                client_rx,
+                server_tx,
+                state.clone(),
+                number,
+                Direction::Forward
+            ),
+            copy_one_way(
+                server_rx,
+                client_tx,
+                state.clone(),
+                number,
+                Direction::Backward
+            )
         )
     };
     let mut watched = shared.state.subscribe();
     let reset = watched.wait_for(|state| number < state.reset_below);
-    // Dropping both ends with bytes unread resets them; else they are closed,
-    // in the middle of whatever they carried.
+    // Dropping a socket with unread bytes resets it. Otherwise it is closed, possibly
+    // in the middle of a message.
     tokio::select! {
-        _ = carried => {}
+        _ = copying => {}
         _ = reset => {}
     }
 }
 
-/// Passes bytes on in one direction until the reader or the writer ends.
-async fn copy(
+/// Copies bytes in one direction until the reader or the writer ends.
+async fn copy_one_way(
     mut rx: OwnedReadHalf,
     mut tx: OwnedWriteHalf,
     mut state: watch::Receiver<State>,
     number: u64,
     direction: Direction,
 ) {
-    let mut buf = vec![0; BUF_BYTES];
+    let mut buf = vec![0; COPY_BUF_BYTES];
     while let Ok(len) = rx.read(&mut buf).await {
-        let flows = |state: &State| match direction {
-            Direction::Forth => !state.holds_forth,
-            Direction::Back => !state.holds_back,
+        let is_unblocked = |state: &State| match direction {
+            Direction::Forward => !state.blocked_forward,
+            Direction::Backward => !state.blocked_backward,
         };
-        let Ok(now) = state.wait_for(flows).await.map(|state| *state) else {
+        let Ok(now) = state.wait_for(is_unblocked).await.map(|state| *state) else {
             return;
         };
         if number < now.silent_below {
--- a/crates/bench/src/load/link/tests.rs
+++ b/crates/bench/src/load/link/tests.rs
@@ -8,18 +8,18 @@
 
 use super::Link;
 
-/// Longer than bytes take on loopback, and than a test waits for none to come.
-const A_WHILE: Duration = Duration::from_millis(200);
+/// How long a test waits for a reply, which is longer than bytes take on loopback.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What is read within a while from a connection on which `ping` was sent.
+/// What a connection gives within `REPLY_TIMEOUT` after `ping` was sent on it.
 #[derive(Debug, PartialEq)]
-enum Heard {
+enum Reply {
     Echo,
-    End,
-    Nothing,
+    Closed,
+    Timeout,
 }
 
-/// A link to something that sends back what it gets.
+/// A link to an echo server.
 async fn echo_link() -> Link {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let to = listener.local_addr().expect("an address");
@@ -37,52 +37,53 @@
     Link::start(addr, to).await.expect("a link")
 }
 
-async fn ping(stream: &mut TcpStream) -> Heard {
+async fn ping(stream: &mut TcpStream) -> Reply {
     let _ = stream.write_all(b"ping").await;
     let mut buf = [0; 4];
-    match tokio::time::timeout(A_WHILE, stream.read_exact(&mut buf)).await {
-        Ok(Ok(_)) => Heard::Echo,
-        Ok(Err(_)) => Heard::End,
-        Err(_) => Heard::Nothing,
+    match tokio::time::timeout(REPLY_TIMEOUT, stream.read_exact(&mut buf)).await {
+        Ok(Ok(_)) => Reply::Echo,
+        Ok(Err(_)) => Reply::Closed,
+        Err(_) => Reply::Timeout,
     }
 }
 
-/// What a fault does to a connection that is open and to one opened after it.
+/// The expected effect of a fault on an open connection and on one opened later.
 #[derive(Debug)]
 struct Case {
-    hurt: fn(&Link),
-    open: Heard,
-    new: Heard,
+    inject: fn(&Link),
+    open: Reply,
+    new: Reply,
 }
 
-// A fault that does something else than its name says proves nothing of a system
-// that bears it.
+// Guards against faults that aren't injected as named: tests that rely on them would
+// then prove nothing.
 #[rstest]
-#[case::none(Case { hurt: |_| {}, open: Heard::Echo, new: Heard::Echo })]
-#[case::delay(Case { hurt: |it| it.delay(A_WHILE), open: Heard::Nothing, new: Heard::Nothing })]
-#[case::cut(Case { hurt: |it| it.hold(true, true), open: Heard::Nothing, new: Heard::Nothing })]
-#[case::cut_forth(Case { hurt: |it| it.hold(true, false), open: Heard::Nothing, new: Heard::Nothing })]
-#[case::cut_back(Case { hurt: |it| it.hold(false, true), open: Heard::Nothing, new: Heard::Nothing })]
-#[case::reset(Case { hurt: Link::reset, open: Heard::End, new: Heard::Echo })]
-#[case::silence(Case { hurt: Link::silence, open: Heard::Nothing, new: Heard::Echo })]
+#[case::none(Case { inject: |_| {}, open: Reply::Echo, new: Reply::Echo })]
+#[case::delay(Case { inject: |link| link.delay(REPLY_TIMEOUT), open: Reply::Timeout, new: Reply::Timeout })]
+#[case::cut(Case { inject: |link| link.hold(true, true), open: Reply::Timeout, new: Reply::Timeout })]
+#[case::cut_forth(Case { inject: |link| link.hold(true, false), open: Reply::Timeout, new: Reply::Timeout })]
+#[case::cut_back(Case { inject: |link| link.hold(false, true), open: Reply::Timeout, new: Reply::Timeout })]
+#[case::reset(Case { inject: Link::reset, open: Reply::Closed, new: Reply::Echo })]
+#[case::silence(Case { inject: Link::silence, open: Reply::Timeout, new: Reply::Echo })]
 #[tokio::test]
-async fn a_fault_does_what_its_name_says(#[case] case: Case) {
+async fn a_fault_affects_open_and_new_connections_as_named(#[case] case: Case) {
     let link = echo_link().await;
     let mut open = TcpStream::connect(link.addr()).await.expect("a connection");
-    assert_eq!(ping(&mut open).await, Heard::Echo);
-    (case.hurt)(&link);
+    assert_eq!(ping(&mut open).await, Reply::Echo);
+    (case.inject)(&link);
     assert_eq!(ping(&mut open).await, case.open);
     let mut new = TcpStream::connect(link.addr()).await.expect("a connection");
     assert_eq!(ping(&mut new).await, case.new);
 }
 
-// A partition heals: what was sent in it arrives, late and whole.
+// Guards against a link that loses the bytes which it holds back, instead of
+// delivering them when the partition heals.
 #[tokio::test]
-async fn held_bytes_arrive_late() {
+async fn bytes_held_back_arrive_after_the_link_is_unblocked() {
     let link = echo_link().await;
     let mut stream = TcpStream::connect(link.addr()).await.expect("a connection");
     link.hold(false, true);
-    assert_eq!(ping(&mut stream).await, Heard::Nothing);
+    assert_eq!(ping(&mut stream).await, Reply::Timeout);
     link.hold(false, false);
     let mut buf = [0; 4];
     stream.read_exact(&mut buf).await.expect("an echo");
--- a/crates/bench/src/load/naive.rs
+++ b/crates/bench/src/load/naive.rs
@@ -1,4 +1,4 @@
-//! The naive version, which the real one is compared to.
+//! A naive proxy as the baseline for the nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,21 +13,22 @@
 use super::ending::Ending;
 use super::request::Attempt;
 
-/// A proxy as it is quickly written: an equal choice among all targets of the
-/// path, no admission, no owner of a key, and another try on any failure.
+/// A proxy without the nodes' mechanisms: it picks uniformly among the targets of the
+/// path, has no admission control and no owner of a request key, and retries on any
+/// failure.
 #[derive(Debug)]
 pub struct Naive {
     /// The targets of each path.
     pub targets: HashMap<&'static str, Vec<SocketAddr>>,
-    /// Tries in all.
+    /// Attempts in all, the first one included.
     pub tries: u32,
-    /// How long it waits for each.
+    /// Timeout of each attempt.
     pub try_timeout: Duration,
 }
 
 impl Naive {
-    /// Tries until there is an answer; after the last try it calls the
-    /// request not run, since it got no answer.
+    /// Retries until there is an answer. After the last attempt it reports the
+    /// request as not run, which may be wrong: a target may have run it.
     pub(super) async fn exchange(&self, client: &Client, attempt: &Attempt, draw: u64) -> Exchange {
         let mut rng = SmallRng::seed_from_u64(draw);
         let mut last = Exchange::not_sent();
--- a/crates/bench/src/load/node_process.rs
+++ b/crates/bench/src/load/node_process.rs
@@ -1,4 +1,4 @@
-//! A node as a process of its own, which can be killed and paused.
+//! A node as a separate process, which can be killed and paused.
 
 use std::path::Path;
 use std::process::ExitStatus;
@@ -11,17 +11,17 @@
 use super::process::beside;
 use super::process::signal;
 
-/// The node's program, which is built beside this one.
+/// The node's program, expected in the directory of this one.
 const PROGRAM: &str = "sassafrasspool-node";
 
-/// A running node; killed when dropped.
+/// A running node. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct NodeProcess {
     child: Child,
 }
 
 impl NodeProcess {
-    /// Starts a node on the settings in `file`, which logs to `log`.
+    /// Starts a node with the settings in `file`. Its output is appended to `log`.
     ///
     /// # Errors
     ///
@@ -43,12 +43,12 @@
         Ok(NodeProcess { child })
     }
 
-    /// Its process id, until it was waited for.
+    /// Its process id; `None` once its exit was awaited.
     pub fn pid(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Kills it and waits for its end.
+    /// Kills it and waits until it has exited.
     ///
     /// # Errors
     ///
@@ -57,7 +57,7 @@
         self.child.kill().await
     }
 
-    /// Asks it to drain and stop, and waits for its end.
+    /// Drains it by SIGTERM and waits until it has exited.
     ///
     /// # Errors
     ///
@@ -67,7 +67,7 @@
         self.child.wait().await
     }
 
-    /// Makes it stand still.
+    /// Pauses its process by SIGSTOP.
     ///
     /// # Errors
     ///
@@ -76,7 +76,7 @@
         signal(&self.child, Signal::STOP)
     }
 
-    /// Lets it go on.
+    /// Resumes its process by SIGCONT.
     ///
     /// # Errors
     ///
--- a/crates/bench/src/load/open_loop.rs
+++ b/crates/bench/src/load/open_loop.rs
@@ -1,32 +1,32 @@
-//! Sending a plan's calls when they are due, whatever became of earlier ones.
+//! Sends a plan's calls when they are due, independent of earlier answers.
 
 use std::sync::Arc;
 
 use tokio::task::JoinSet;
 
+use super::caller::Caller;
 use super::pacer::Pacer;
 use super::plan::Call;
 use super::record::CallRecord;
-use super::repeat::Caller;
 use crate::summary::Samples;
 
-/// Calls that may be under way at once; more would only measure this process.
-const MOST_UNDER_WAY: usize = 20_000;
+/// Most calls in flight at once. More would only measure this process.
+const MAX_CALLS_IN_FLIGHT: usize = 20_000;
 
-/// The records of a run.
+/// The records of an open-loop run.
 #[derive(Debug, Default)]
 pub struct OpenLoop {
     /// One record for each attempt, in no order.
     pub records: Vec<CallRecord>,
-    /// By how much calls were released late, which says whether the machine
-    /// kept up with the plan.
+    /// By how much calls were released late, which shows whether the machine kept
+    /// up with the plan.
     pub late: Samples,
-    /// Calls that were never made since too many were under way.
+    /// Calls that were never made because too many were in flight.
     pub dropped: u64,
 }
 
 impl OpenLoop {
-    /// Makes all calls of `plan` and waits for their ends.
+    /// Makes all calls of `plan` and waits until they have ended.
     pub async fn run(
         plan: impl Iterator<Item = Call> + Send + 'static,
         caller: Arc<Caller>,
@@ -36,7 +36,7 @@
         let mut pacer = Pacer::start(plan);
         while let Some(due) = pacer.next().await {
             done.late.add(due.late);
-            if calls.len() >= MOST_UNDER_WAY {
+            if calls.len() >= MAX_CALLS_IN_FLIGHT {
                 done.dropped += 1;
                 continue;
             }
--- a/crates/bench/src/load/judge.rs
+++ b/crates/bench/src/load/outcomes.rs
@@ -1,7 +1,7 @@
-//! What became of the calls, from callers' records and targets' ledgers.
+//! Derives the outcome of the calls from callers' records and targets' ledgers.
 
 pub use self::evidence::Evidence;
-pub use self::evidence::judge;
+pub use self::evidence::count_outcomes;
 pub use self::ledger_run::LedgerRun;
 pub use self::outage::Outage;
 pub use self::outage::OutageKind;
--- a/crates/bench/src/load/judge/evidence.rs
+++ b/crates/bench/src/load/outcomes/evidence.rs
@@ -1,4 +1,4 @@
-//! Judging one run.
+//! Joins callers' records with targets' ledgers and counts the outcomes.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -11,22 +11,23 @@
 use crate::load::CallRecord;
 use crate::load::Ending;
 
-/// How long after the end of an outage a call may still feel it, in
-/// microseconds: a connection is found dead only when it is used.
-const AFTERMATH_US: u64 = 200_000;
+/// How long after the end of an outage a call may still fail because of it, in
+/// microseconds. A dead connection is detected only when it is used.
+const OUTAGE_DETECTION_US: u64 = 200_000;
 
-/// How soon a caller sees a connection closed that its request crossed, in
-/// microseconds. A request that a node has read is answered or cut much later.
-const CROSSING_US: u64 = 20_000;
+/// How soon after sending a caller sees that the node closed the idle connection
+/// while the request was on its way, in microseconds. A request that the node has
+/// read is answered or cut much later.
+const CLOSE_DETECTION_US: u64 = 20_000;
 
-/// Judges the attempts in `records` by the targets' ledgers. `outages` are
-/// what was done to processes on purpose: they excuse silence and broken
-/// answers on their way, but never a false refusal or a second run.
-pub fn judge(records: &[CallRecord], runs: &[LedgerRun], outages: &[Outage]) -> Verdict {
+/// Counts the outcomes of the attempts in `records`, checked against the targets'
+/// ledgers. `outages` are the injected faults. They excuse missing and broken answers
+/// of the attempts that they affected, but never a false refusal or a second run.
+pub fn count_outcomes(records: &[CallRecord], runs: &[LedgerRun], outages: &[Outage]) -> Verdict {
     Evidence::new(records, runs, outages).verdict()
 }
 
-/// Records and ledgers, joined.
+/// Callers' records joined with targets' ledgers.
 #[derive(Debug)]
 pub struct Evidence<'a> {
     records: &'a [CallRecord],
@@ -36,7 +37,7 @@
 }
 
 impl<'a> Evidence<'a> {
-    /// Joins the records with the runs that began.
+    /// Joins the records with the runs that began. Other runs are left out.
     pub fn new(
         records: &'a [CallRecord],
         runs: &'a [LedgerRun],
@@ -57,18 +58,18 @@
         }
     }
 
-    /// Judges every attempt.
+    /// Counts the outcomes of all attempts.
     pub fn verdict(&self) -> Verdict {
         let mut verdict = Verdict {
             sent: u64::try_from(self.records.len()).unwrap_or(u64::MAX),
-            doubled: self.doubled(),
+            doubled: self.count_doubled(),
             ..Verdict::default()
         };
         for record in self.records {
             self.count(record, &mut verdict);
         }
-        verdict.served_weighted_by_kind = by_kind(self.records);
-        verdict.served_weighted = share(verdict.served_weighted_by_kind.values());
+        verdict.served_weighted_by_kind = count_by_kind(self.records);
+        verdict.served_weighted = served_share(verdict.served_weighted_by_kind.values());
         verdict
     }
 
@@ -81,10 +82,10 @@
         })
     }
 
-    /// The requests that may not be repeated and began more than once.
-    fn doubled(&self) -> u64 {
+    /// The number of requests that aren't idempotent and began more than once.
+    fn count_doubled(&self) -> u64 {
         let once = self.records.iter().filter(|record| !record.idempotent);
-        let mut calls: Vec<&str> = once.map(call_of).collect();
+        let mut calls: Vec<&str> = once.map(call_id).collect();
         calls.sort_unstable();
         calls.dedup();
         let doubled = calls.iter().filter(|call| self.runs_of(call).len() > 1);
@@ -93,7 +94,7 @@
 
     fn count(&self, record: &CallRecord, verdict: &mut Verdict) {
         match record.ending {
-            Ending::Answered if self.finished(record) => verdict.answered += 1,
+            Ending::Answered if self.has_finished_run(record) => verdict.answered += 1,
             Ending::Answered => verdict.lost += 1,
             Ending::NotRun => self.count_refusal(record, verdict),
             Ending::Unknown => verdict.unknown += 1,
@@ -102,7 +103,7 @@
             Ending::Wrong => verdict.cut += 1,
             Ending::Broken | Ending::Silence if self.is_excused(record) => {
                 verdict.unknown += 1;
-                verdict.unknown_by_death += 1;
+                verdict.unknown_by_outage += 1;
             }
             Ending::Broken => verdict.cut += 1,
             Ending::Silence => verdict.lost += 1,
@@ -118,33 +119,35 @@
         }
     }
 
-    /// Whether the answer has its cause: a run of the same request that was
-    /// done to its end.
-    fn finished(&self, record: &CallRecord) -> bool {
-        let runs = self.runs_of(call_of(record));
+    /// Whether a run of the same request finished. An answer without such a run can't
+    /// be genuine.
+    fn has_finished_run(&self, record: &CallRecord) -> bool {
+        let runs = self.runs_of(call_id(record));
         runs.iter().any(|run| run.run.finished)
     }
 
     fn began_before(&self, record: &CallRecord) -> bool {
-        let runs = self.runs_of(call_of(record));
+        let runs = self.runs_of(call_id(record));
         runs.iter().any(|run| run.run.started_us < record.ended_us)
     }
 
-    /// Whether the node that was asked, or what ran the request, was hurt
-    /// while the attempt was under way.
+    /// Whether an outage explains the end of the attempt: the node that it was sent
+    /// to, or an instance that ran it, had an outage while the attempt was in flight
+    /// or shortly before.
     pub fn is_excused(&self, record: &CallRecord) -> bool {
         let during = |outage: &&Outage| {
-            let to_us = outage.to_us.saturating_add(AFTERMATH_US);
+            let to_us = outage.to_us.saturating_add(OUTAGE_DETECTION_US);
             outage.from_us <= record.ended_us && record.sent_us <= to_us
         };
-        let runs = self.runs_of(call_of(record));
-        let ran = |instance| runs.iter().any(|run| run.instance == instance);
-        let crossed = runs.is_empty() && record.ended_us < record.sent_us + CROSSING_US;
+        let runs = self.runs_of(call_id(record));
+        let ran_on = |instance| runs.iter().any(|run| run.instance == instance);
+        let crossed_close =
+            runs.is_empty() && record.ended_us < record.sent_us + CLOSE_DETECTION_US;
         self.outages.iter().filter(during).any(|outage| {
-            let asked = record.entry == Some(outage.entry);
+            let sent_to_node = record.entry == Some(outage.entry);
             match outage.kind {
-                OutageKind::IdleClosed => asked && crossed,
-                kind => (asked && kind.is_of_node()) || ran(outage.instance),
+                OutageKind::IdleClosed => sent_to_node && crossed_close,
+                kind => (sent_to_node && kind.affects_node()) || ran_on(outage.instance),
             }
         })
     }
@@ -154,12 +157,12 @@
     }
 }
 
-/// What names the request in the ledgers: its key, or else its id.
-fn call_of(record: &CallRecord) -> &str {
+/// What identifies the request in the ledgers: its key, or its id if it has none.
+fn call_id(record: &CallRecord) -> &str {
     record.key.as_deref().unwrap_or(&record.id)
 }
 
-fn by_kind(records: &[CallRecord]) -> BTreeMap<&'static str, KindCount> {
+fn count_by_kind(records: &[CallRecord]) -> BTreeMap<&'static str, KindCount> {
     let mut answered: BTreeMap<(&'static str, &str), bool> = BTreeMap::new();
     let mut weights = BTreeMap::new();
     for record in records {
@@ -179,15 +182,15 @@
     kinds
 }
 
-fn share<'a>(kinds: impl Iterator<Item = &'a KindCount>) -> f64 {
+fn served_share<'a>(kinds: impl Iterator<Item = &'a KindCount>) -> f64 {
     let mut served = 0;
-    let mut made = 0;
+    let mut total = 0;
     for kind in kinds {
         served += kind.served;
-        made += kind.calls * u64::from(kind.weight);
+        total += kind.calls * u64::from(kind.weight);
     }
-    match made {
+    match total {
         0 => 0.0,
-        made => served as f64 / made as f64,
+        total => served as f64 / total as f64,
     }
 }
--- a/crates/bench/src/load/pacer.rs
+++ b/crates/bench/src/load/pacer.rs
@@ -1,4 +1,4 @@
-//! Releasing calls when they are due.
+//! Releases calls when they are due.
 
 use std::thread;
 use std::time::Duration;
@@ -13,32 +13,32 @@
 pub struct Due {
     /// The call.
     pub call: Call,
-    /// When it was released, from which its latency counts.
+    /// When it was released; its latency counts from then.
     pub at: Instant,
-    /// By how much the release itself was late.
+    /// By how much the release was late.
     pub late: Duration,
 }
 
-/// Releases planned calls on a thread of its own.
+/// Releases planned calls on a separate thread.
 ///
-/// The runtime's timer has steps of a millisecond, which is more than what a
-/// call through two nodes takes; a sleeping thread wakes within some tens of
-/// microseconds. It never waits for answers, so that a slow one can't delay
-/// the calls behind it.
+/// The runtime's timer has a resolution of a millisecond, which is longer than a call
+/// through two nodes takes. A sleeping thread wakes within some tens of
+/// microseconds. The thread never waits for answers, so a slow answer can't delay
+/// later calls.
 #[derive(Debug)]
 pub struct Pacer {
     rx: mpsc::UnboundedReceiver<Due>,
 }
 
 impl Pacer {
-    /// Starts releasing `calls`, whose times count from now.
+    /// Starts releasing `calls`, whose due times count from now.
     pub fn start(calls: impl Iterator<Item = Call> + Send + 'static) -> Pacer {
         let (tx, rx) = mpsc::unbounded_channel();
         thread::spawn(move || release(calls, &tx));
         Pacer { rx }
     }
 
-    /// The next call when it is due; `None` after the last one.
+    /// Waits for the next call that is due. `None` after the last one.
     pub async fn next(&mut self) -> Option<Due> {
         self.rx.recv().await
     }
@@ -49,9 +49,13 @@
     for call in calls {
         let planned = start + call.due;
         thread::sleep(planned.saturating_duration_since(Instant::now()));
-        let at = Instant::now();
-        let late = at.saturating_duration_since(planned);
-        if tx.send(Due { call, at, late }).is_err() {
+        let now = Instant::now();
+        let due = Due {
+            call,
+            at: now,
+            late: now.saturating_duration_since(planned),
+        };
+        if tx.send(due).is_err() {
             return;
         }
     }
--- a/crates/bench/src/load/plan.rs
+++ b/crates/bench/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! Planned calls.
+//! Plans calls from a seed.
 
 use std::time::Duration;
 
@@ -9,29 +9,29 @@
 use super::kind::CallKind;
 use super::kind::Keys;
 
-/// One call as it is planned before the run, whatever happens in it.
+/// One call as planned before the run, independent of what happens in it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
     /// The number of the call, from 0.
     pub n: u64,
     /// Index into the plan's kinds.
     pub kind: usize,
-    /// Whether it carries a key.
+    /// Whether it carries a request key.
     pub keyed: bool,
-    /// When it is due after the start of the run.
+    /// When it is due, counted from the start of the run.
     pub due: Duration,
-    /// Bytes of pattern that it asks for.
+    /// Requested length of the answer, in bytes of the pattern.
     pub answer_bytes: usize,
-    /// Bytes that it sends.
+    /// Length of the request body, in bytes.
     pub request_bytes: usize,
-    /// A random number of its own, for choices made during the run.
+    /// Random number that seeds the choices made during the run.
     pub draw: u64,
 }
 
 /// Calls with exponentially distributed gaps, all drawn from one seed.
 ///
-/// The plan doesn't depend on answers, so that a slow answer delays no later
-/// call and the latencies don't omit those that would have waited.
+/// The plan doesn't depend on answers. So a slow answer delays no later call, and the
+/// latencies include calls that would have waited (no coordinated omission).
 #[derive(Debug, Clone)]
 pub struct Plan {
     kinds: Vec<CallKind>,
@@ -49,8 +49,11 @@
     ///
     /// Panics if there is no kind with a share or the rate isn't positive.
     pub fn new(kinds: &[CallKind], rate_per_s: f64, length: Duration, seed: u64) -> Plan {
-        assert!(kinds.iter().any(|kind| kind.share > 0), "no kind to draw");
-        assert!(rate_per_s > 0.0, "no rate");
+        assert!(
+            kinds.iter().any(|kind| kind.share > 0),
+            "no kind has a share"
+        );
+        assert!(rate_per_s > 0.0, "the rate must be positive");
         Plan {
             kinds: kinds.to_vec(),
             rate_per_s,
--- a/crates/bench/src/load/ports.rs
+++ b/crates/bench/src/load/ports.rs
@@ -1,58 +1,60 @@
-//! Ports that a process can be started on again.
+//! Reserves ports on which a process can be restarted.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
 
 use tokio::net::TcpSocket;
 
-/// The lowest port that is tried. Below the range from which the system takes
-/// ports of outgoing connections, so that none takes a stopped node's port.
-const LOWEST: u16 = 10_000;
+/// The lowest port that is tried. All ports that are tried lie below the range of the
+/// system's ephemeral ports, so that no outgoing connection takes a stopped node's
+/// port.
+const LOWEST_PORT: u16 = 10_000;
 
-/// How many ports are tried from there.
-const RANGE: u16 = 22_000;
+/// Number of ports that are tried from there.
+const PORT_COUNT: u16 = 22_000;
 
-/// How far apart the places are at which two processes begin to try.
-const APART: u32 = 607;
+/// Distance between the first ports that two processes with successive ids try.
+const PORTS_BETWEEN_PROCESSES: u32 = 607;
 
 /// Free ports on loopback.
 ///
 /// # Invariants
 ///
-/// Each port that was given out stays bound until this is dropped, by a socket
-/// that doesn't listen: no other run takes it while its node is down, and the
-/// node can still listen on it.
+/// Each reserved port stays bound until this is dropped, by a socket that doesn't
+/// listen. So no other run takes it while its node is down, and the node can still
+/// listen on it.
 #[derive(Debug)]
 pub struct Ports {
     next: u16,
-    held: Vec<TcpSocket>,
+    reserved: Vec<TcpSocket>,
 }
 
 impl Ports {
-    /// Begins at a place that depends on the process, so that runs side by
-    /// side rarely try the same ports.
+    /// The first port that is tried depends on the process id, so that concurrent
+    /// runs rarely try the same ports.
     pub fn new() -> Ports {
-        let place = std::process::id().wrapping_mul(APART) % u32::from(RANGE);
+        let offset =
+            std::process::id().wrapping_mul(PORTS_BETWEEN_PROCESSES) % u32::from(PORT_COUNT);
         Ports {
-            next: u16::try_from(place).unwrap_or(0),
-            held: Vec::new(),
+            next: u16::try_from(offset).unwrap_or(0),
+            reserved: Vec::new(),
         }
     }
 
-    /// The next free address.
+    /// Reserves the next free address.
     ///
     /// # Errors
     ///
     /// Fails if no port of the range can be bound.
     pub fn take(&mut self) -> std::io::Result<SocketAddr> {
-        let mut err = std::io::Error::other("no port tried");
-        for _ in 0..RANGE {
-            let port = LOWEST + self.next;
-            self.next = (self.next + 1) % RANGE;
+        let mut err = std::io::Error::other("no port was tried");
+        for _ in 0..PORT_COUNT {
+            let port = LOWEST_PORT + self.next;
+            self.next = (self.next + 1) % PORT_COUNT;
             let addr = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
             match reserve(addr) {
                 Ok(socket) => {
-                    self.held.push(socket);
+                    self.reserved.push(socket);
                     return Ok(addr);
                 }
                 Err(e) => err = e,
@@ -62,13 +64,13 @@
     }
 }
 
-/// Binds alone, and only then lets others bind beside it: the other way round
-/// it would share a port that another run reserved.
+/// Binds exclusively and allows other sockets to bind only afterwards. In the other
+/// order it could share a port that another run has reserved.
 fn reserve(addr: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(false)?;
     socket.bind(addr)?;
-    // INVARIANT: Bound from here on.
+    // INVARIANT: The port is bound from here on.
     socket.set_reuseaddr(true)?;
     Ok(socket)
 }
--- a/crates/bench/src/load/process.rs
+++ b/crates/bench/src/load/process.rs
@@ -1,4 +1,4 @@
-//! What all child processes need.
+//! Helpers for child processes: signals and the path of a program.
 
 use std::path::PathBuf;
 
@@ -7,21 +7,21 @@
 use rustix::process::kill_process;
 use tokio::process::Child;
 
-/// Signals a child that wasn't waited for yet, so that its id can't have gone to
+/// Signals a child whose exit hasn't been awaited, so that its id can't belong to
 /// another process.
 ///
 /// # Errors
 ///
-/// Fails if the process has ended.
+/// Fails if the process has exited.
 pub fn signal(child: &Child, signal: Signal) -> std::io::Result<()> {
     let pid = child.id().and_then(|id| i32::try_from(id).ok());
     let Some(pid) = pid.and_then(Pid::from_raw) else {
-        return Err(std::io::Error::other("the process has ended"));
+        return Err(std::io::Error::other("the process has exited"));
     };
     Ok(kill_process(pid, signal)?)
 }
 
-/// A program that was built beside this one.
+/// The path of a program in the directory of this one.
 ///
 /// # Errors
 ///
@@ -31,7 +31,7 @@
     match path.exists() {
         true => Ok(path),
         false => Err(std::io::Error::other(format!(
-            "{} isn't there: build {program} with the same profile",
+            "{} doesn't exist: build {program} with the same profile",
             path.display()
         ))),
     }
--- a/crates/bench/src/load/record.rs
+++ b/crates/bench/src/load/record.rs
@@ -1,4 +1,4 @@
-//! What the caller knows of one attempt.
+//! The caller's record of one attempt.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 pub struct CallRecord {
     /// The attempt's request id.
     pub id: String,
-    /// The key that all attempts of its call share.
+    /// The request key that all attempts of its call share, if it has one.
     pub key: Option<String>,
     /// Which attempt it is, from 1.
     pub attempt: u32,
@@ -21,22 +21,22 @@
     pub kind: &'static str,
     /// Its class.
     pub class: Class,
-    /// How much its answer counts.
+    /// Weight of its answer.
     pub weight: u32,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// The node that it was sent to, if one took it.
+    /// The node that it was sent to, if one accepted a connection.
     pub entry: Option<SocketAddr>,
     /// When it was sent, in microseconds since the Unix epoch.
     pub sent_us: u64,
-    /// When its caller was done with it, on the same clock.
+    /// When it ended for its caller, on the same clock.
     pub ended_us: u64,
-    /// From when it was due until its last byte came.
+    /// From its release until its last byte was received.
     pub latency: Duration,
     /// The status of its answer, if one began.
     pub status: Option<u16>,
     /// How it ended.
     pub ending: Ending,
-    /// What went wrong, for a person; empty if nothing did.
+    /// What went wrong, as text; empty if nothing did.
     pub detail: String,
 }
--- a/crates/bench/src/load/request.rs
+++ b/crates/bench/src/load/request.rs
@@ -1,4 +1,4 @@
-//! One attempt as it goes over the connection.
+//! Builds the HTTP request of one attempt.
 
 use std::time::Duration;
 
@@ -22,24 +22,25 @@
 pub struct Attempt {
     /// Its request id.
     pub id: String,
-    /// The key of its call, if that has one.
+    /// The request key of its call, if it has one.
     pub key: Option<String>,
     /// Which attempt it is, from 1.
     pub number: u32,
-    /// Where it is sent.
+    /// The path that it is sent to.
     pub path: &'static str,
-    /// The kind that the target is told.
+    /// The kind, which is sent to the target.
     pub kind: &'static str,
-    /// Bytes of pattern that it asks for.
+    /// Requested length of the answer, in bytes of the pattern.
     pub answer_bytes: usize,
-    /// Bytes that it sends.
+    /// Length of the request body, in bytes.
     pub request_bytes: usize,
-    /// How long it wants an answer for.
+    /// Caller timeout.
     pub timeout: Duration,
 }
 
 impl Attempt {
-    /// The `number`th attempt of `call`; `run` tells runs on one target apart.
+    /// The `number`th attempt of `call`. `run` is the prefix of its ids, different for
+    /// each run on one target.
     pub fn new(run: &str, call: &Call, kind: &CallKind, number: u32, timeout: Duration) -> Attempt {
         let key = format!("{run}-{}", call.n);
         Attempt {
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Whether an answer that names `id` answers this attempt: with a key, an
-    /// answer to an earlier attempt of the same call does.
+    /// Whether an answer with the request id `id` belongs to this attempt. If the call
+    /// has a request key, an answer to any attempt of the same call does.
     pub fn is_answered_by(&self, id: &str) -> bool {
         let Some(key) = &self.key else {
             return id == self.id;
@@ -66,11 +67,11 @@
         number.is_some_and(|number| number.parse::<u32>().is_ok())
     }
 
-    /// The request that is sent.
+    /// The HTTP request to send.
     ///
     /// # Errors
     ///
-    /// Fails if a header or the path has a byte that HTTP doesn't take.
+    /// Fails if a header or the path has a byte that is invalid in HTTP.
     pub fn request(&self, host: &str) -> http::Result<Request<Full<Bytes>>> {
         let method = match self.request_bytes {
             0 => Method::GET,
--- a/crates/bench/src/load/tests.rs
+++ b/crates/bench/src/load/tests.rs
@@ -32,7 +32,7 @@
 use super::Repeats;
 use super::Verdict;
 use super::Way;
-use super::judge;
+use super::count_outcomes;
 
 const KIND: CallKind = CallKind {
     name: "approval",
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_plan_repeats_from_its_seed_at_about_its_rate() {
+fn a_plan_is_reproducible_from_its_seed_and_near_its_rate() {
     let long = |seed| Plan::new(&[KIND], RATE, Duration::from_secs(100), seed);
     let one: Vec<_> = long(1).collect();
     assert_eq!(one, long(1).collect::<Vec<_>>());
@@ -86,10 +86,10 @@
 }
 
 #[tokio::test]
-async fn a_bare_target_loses_nothing_in_peace() {
+async fn every_call_to_a_healthy_target_is_answered() {
     let target = start_target().await;
     let done = OpenLoop::run(plan(1), caller(vec![target.addr()])).await;
-    let verdict = judge(&done.records, &ledger_of(&target), &[]);
+    let verdict = count_outcomes(&done.records, &ledger_of(&target), &[]);
     assert_eq!(verdict.sent, u64::try_from(plan(1).count()).unwrap());
     assert_eq!(verdict.answered, verdict.sent, "{verdict:?}");
     assert!(!verdict.has_fault(), "{verdict:?}");
@@ -97,38 +97,38 @@
 }
 
 #[tokio::test]
-async fn a_body_that_breaks_off_is_cut() {
+async fn an_answer_body_that_breaks_off_counts_as_cut() {
     let target = start_target().await;
     target.set_cut_body(true).await;
     let done = OpenLoop::run(plan(1), caller(vec![target.addr()])).await;
-    let verdict = judge(&done.records, &ledger_of(&target), &[]);
+    let verdict = count_outcomes(&done.records, &ledger_of(&target), &[]);
     assert_eq!(verdict.cut, verdict.sent, "{verdict:?}");
 }
 
 #[tokio::test]
-async fn a_node_that_takes_no_connection_got_nothing() {
-    // Bound, so that nobody else gets the port, and not listening.
+async fn attempts_to_a_node_that_refuses_connections_count_as_not_sent() {
+    // The port is bound, so that no other process gets it, but nothing listens.
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let addr = socket.local_addr().unwrap();
     let done = OpenLoop::run(plan(1), caller(vec![addr])).await;
-    let verdict = judge(&done.records, &[], &[]);
+    let verdict = count_outcomes(&done.records, &[], &[]);
     assert_eq!(verdict.not_sent, verdict.sent, "{verdict:?}");
 }
 
 #[tokio::test]
-async fn a_held_wire_is_silent_and_delivers_late() {
+async fn a_request_held_back_by_a_link_runs_after_it_is_unblocked() {
     let target = start_target().await;
     let mut ports = Ports::new();
     let addr = ports.take().unwrap();
     let link = Link::start(addr, target.addr()).await.unwrap();
     link.hold(true, true);
-    let one = || plan(1).take(1).last().unwrap();
+    let first_call = || plan(1).take(1).last().unwrap();
     let caller = caller(vec![link.addr()]);
-    let late = {
+    let delayed = {
         let caller = Arc::clone(&caller);
         let due = Due {
-            call: one(),
+            call: first_call(),
             at: Instant::now(),
             late: Duration::ZERO,
         };
@@ -136,16 +136,16 @@
     };
     assert!(target.ledger().runs.is_empty());
     link.hold(false, false);
-    let records = late.await.unwrap();
+    let records = delayed.await.unwrap();
     assert_eq!(records[0].ending, Ending::Answered);
     assert_eq!(target.ledger().runs.len(), 1);
     link.close().await;
     link.open().await.unwrap();
 }
 
-/// Guards against a judge that passes a naive proxy.
+/// Guards against counts that don't show the faults of a naive proxy.
 #[tokio::test]
-async fn the_naive_version_doubles_and_refuses_falsely() {
+async fn the_naive_proxy_doubles_requests_and_refuses_falsely() {
     let target = start_target().await;
     target.late_answers(1, Duration::from_secs(60)).await;
     let naive = Naive {
@@ -160,7 +160,7 @@
     let plan = Plan::new(&[KIND], RATE, Duration::from_millis(20), 1);
     let calls = u64::try_from(plan.clone().count()).unwrap();
     let done = OpenLoop::run(plan, Arc::new(caller)).await;
-    let verdict = judge(&done.records, &ledger_of(&target), &[]);
+    let verdict = count_outcomes(&done.records, &ledger_of(&target), &[]);
     assert_eq!(verdict.doubled, calls, "{verdict:?}");
     assert_eq!(verdict.false_refusals, calls, "{verdict:?}");
 }
@@ -218,119 +218,119 @@
     records: Vec<CallRecord>,
     runs: Vec<LedgerRun>,
     outages: Vec<Outage>,
-    told: Verdict,
+    expected: Verdict,
 }
 
-/// The counts that a case is about.
-fn told(counts: Verdict, verdict: &Verdict) -> Verdict {
+/// The expected counts of a case, with those fields of `verdict` that no case checks.
+fn with_unchecked_fields(expected: Verdict, verdict: &Verdict) -> Verdict {
     Verdict {
         sent: verdict.sent,
         served_weighted: verdict.served_weighted,
         served_weighted_by_kind: verdict.served_weighted_by_kind.clone(),
-        ..counts
+        ..expected
     }
 }
 
 #[rstest]
-#[case::an_answer_without_a_run_is_invented(Case {
+#[case::answer_without_a_run_is_lost(Case {
     records: vec![record(1, Ending::Answered)],
     runs: vec![],
     outages: vec![],
-    told: Verdict { lost: 1, ..Verdict::default() },
+    expected: Verdict { lost: 1, ..Verdict::default() },
 })]
-#[case::an_answer_to_work_that_never_ended_is_invented(Case {
+#[case::answer_without_a_finished_run_is_lost(Case {
     records: vec![record(1, Ending::Answered)],
     runs: vec![run(1, RunEnd::Cancelled)],
     outages: vec![],
-    told: Verdict { lost: 1, ..Verdict::default() },
+    expected: Verdict { lost: 1, ..Verdict::default() },
 })]
-#[case::silence_in_peace_is_a_loss(Case {
+#[case::no_answer_without_an_outage_is_lost(Case {
     records: vec![record(1, Ending::Silence)],
     runs: vec![run(1, RunEnd::Finished)],
     outages: vec![],
-    told: Verdict { lost: 1, ..Verdict::default() },
+    expected: Verdict { lost: 1, ..Verdict::default() },
 })]
-#[case::silence_of_a_killed_node_is_known_to_be_unknown(Case {
+#[case::no_answer_from_a_killed_node_is_unknown(Case {
     records: vec![record(1, Ending::Silence)],
     runs: vec![],
     outages: vec![outage(0, ENTRY, OutageKind::NodeKilled)],
-    told: Verdict { unknown: 1, unknown_by_death: 1, ..Verdict::default() },
+    expected: Verdict { unknown: 1, unknown_by_outage: 1, ..Verdict::default() },
 })]
-#[case::a_crash_elsewhere_excuses_nothing(Case {
+#[case::no_answer_during_an_outage_of_another_node_is_lost(Case {
     records: vec![record(1, Ending::Silence)],
     runs: vec![],
     outages: vec![outage(0, "127.0.0.1:2000", OutageKind::NodeKilled)],
-    told: Verdict { lost: 1, ..Verdict::default() },
+    expected: Verdict { lost: 1, ..Verdict::default() },
 })]
-#[case::a_request_that_crossed_the_close_at_a_stop_is_known_to_be_unknown(Case {
+#[case::request_that_crossed_an_idle_close_is_unknown(Case {
     records: vec![record(1, Ending::Silence)],
     runs: vec![],
     outages: vec![outage(0, ENTRY, OutageKind::IdleClosed)],
-    told: Verdict { unknown: 1, unknown_by_death: 1, ..Verdict::default() },
+    expected: Verdict { unknown: 1, unknown_by_outage: 1, ..Verdict::default() },
 })]
-#[case::a_request_that_a_stopping_node_ran_was_read(Case {
+#[case::idle_close_doesnt_excuse_a_request_that_ran(Case {
     records: vec![record(1, Ending::Silence)],
     runs: vec![run(1, RunEnd::Finished)],
     outages: vec![outage(3, ENTRY, OutageKind::IdleClosed)],
-    told: Verdict { lost: 1, ..Verdict::default() },
+    expected: Verdict { lost: 1, ..Verdict::default() },
 })]
-#[case::a_request_that_lay_at_a_stopping_node_didn_t_cross(Case {
+#[case::idle_close_doesnt_excuse_a_late_end(Case {
     records: vec![CallRecord { ended_us: 100_000, ..record(1, Ending::Silence) }],
     runs: vec![],
     outages: vec![outage(0, ENTRY, OutageKind::IdleClosed)],
-    told: Verdict { lost: 1, ..Verdict::default() },
+    expected: Verdict { lost: 1, ..Verdict::default() },
 })]
-#[case::a_target_that_crashed_amid_its_answer_breaks_it(Case {
+#[case::answer_broken_by_a_target_crash_is_unknown(Case {
     records: vec![record(1, Ending::Broken)],
     runs: vec![run(1, RunEnd::AnswerCut)],
     outages: vec![outage(3, "127.0.0.1:2000", OutageKind::TargetCrashed)],
-    told: Verdict { unknown: 1, unknown_by_death: 1, ..Verdict::default() },
+    expected: Verdict { unknown: 1, unknown_by_outage: 1, ..Verdict::default() },
 })]
-#[case::a_broken_answer_in_peace_is_cut(Case {
+#[case::broken_answer_without_an_outage_is_cut(Case {
     records: vec![record(1, Ending::Broken)],
     runs: vec![run(1, RunEnd::AnswerCut)],
     outages: vec![],
-    told: Verdict { cut: 1, ..Verdict::default() },
+    expected: Verdict { cut: 1, ..Verdict::default() },
 })]
-#[case::another_ones_answer_is_cut_even_amid_crashes(Case {
+#[case::answer_to_another_request_is_cut_even_in_an_outage(Case {
     records: vec![record(1, Ending::Wrong)],
     runs: vec![run(1, RunEnd::Finished)],
     outages: vec![outage(0, ENTRY, OutageKind::NodeKilled)],
-    told: Verdict { cut: 1, ..Verdict::default() },
+    expected: Verdict { cut: 1, ..Verdict::default() },
 })]
-#[case::two_runs_of_one_key_are_doubled_even_if_both_crashed(Case {
+#[case::two_crashed_runs_of_one_key_are_doubled(Case {
     records: vec![record(1, Ending::Unknown), record(2, Ending::Unknown)],
     runs: vec![run(1, RunEnd::Crashed), run(2, RunEnd::Crashed)],
     outages: vec![outage(3, ENTRY, OutageKind::TargetCrashed)],
-    told: Verdict { unknown: 2, doubled: 1, ..Verdict::default() },
+    expected: Verdict { unknown: 2, doubled: 1, ..Verdict::default() },
 })]
-#[case::a_run_whose_request_never_came_whole_is_none(Case {
+#[case::run_with_a_cut_request_doesnt_count(Case {
     records: vec![record(1, Ending::NotRun), record(2, Ending::Answered)],
     runs: vec![run(1, RunEnd::RequestCut), run(2, RunEnd::Finished)],
     outages: vec![],
-    told: Verdict { refused_not_run: 1, answered: 1, ..Verdict::default() },
+    expected: Verdict { refused_not_run: 1, answered: 1, ..Verdict::default() },
 })]
-#[case::a_refusal_of_what_ran_is_false(Case {
+#[case::refusal_of_a_request_that_ran_is_false(Case {
     records: vec![record(1, Ending::NotRun)],
     runs: vec![run(1, RunEnd::Cancelled)],
     outages: vec![],
-    told: Verdict { refused_not_run: 1, false_refusals: 1, ..Verdict::default() },
+    expected: Verdict { refused_not_run: 1, false_refusals: 1, ..Verdict::default() },
 })]
-#[case::a_refused_repeat_of_what_ran_is_noted(Case {
+#[case::refused_retry_of_a_request_that_ran_is_counted(Case {
     records: vec![record(1, Ending::Unknown), record(2, Ending::NotRun)],
     runs: vec![run(1, RunEnd::Finished)],
     outages: vec![],
-    told: Verdict { unknown: 1, refused_not_run: 1, refused_after_run: 1, ..Verdict::default() },
+    expected: Verdict { unknown: 1, refused_not_run: 1, refused_after_run: 1, ..Verdict::default() },
 })]
-fn each_judgement_can_fail(#[case] case: Case) {
-    let verdict = judge(&case.records, &case.runs, &case.outages);
-    assert_eq!(verdict, told(case.told, &verdict));
+fn attempts_are_counted_by_records_ledgers_and_outages(#[case] case: Case) {
+    let verdict = count_outcomes(&case.records, &case.runs, &case.outages);
+    assert_eq!(verdict, with_unchecked_fields(case.expected, &verdict));
 }
 
 #[test]
-fn a_call_is_served_once_however_often_it_was_tried() {
+fn a_call_with_several_attempts_counts_once() {
     let records = [record(1, Ending::NotRun), record(2, Ending::Answered)];
-    let verdict = judge(&records, &[run(2, RunEnd::Finished)], &[]);
+    let verdict = count_outcomes(&records, &[run(2, RunEnd::Finished)], &[]);
     let count = &verdict.served_weighted_by_kind[KIND.name];
     assert_eq!((count.calls, count.answered, count.served), (1, 1, 10));
 }
--- a/crates/bench/src/load/way.rs
+++ b/crates/bench/src/load/way.rs
@@ -1,4 +1,4 @@
-//! How callers reach the targets.
+//! The system that callers send their requests to.
 
 use std::time::Duration;
 
@@ -8,29 +8,29 @@
 use super::naive::Naive;
 use super::request::Attempt;
 
-/// Through the nodes, or through the naive version that they are compared to.
+/// The system under test: the nodes, or the naive proxy as their baseline.
 #[derive(Debug)]
 pub enum Way {
-    /// To one of the nodes, which routes it.
+    /// Requests go to one of the nodes, which routes them.
     Nodes(Entries),
-    /// By the naive version, straight to a target.
+    /// Requests go through the naive proxy, straight to a target.
     Naive(Naive),
 }
 
 impl Way {
-    /// Sends one attempt and waits for its end, at most `patience`. `draw`
-    /// makes the random choices.
+    /// Sends one attempt and waits for its end, at most `timeout`; the naive proxy has
+    /// its own timeout. `draw` seeds the random choices.
     pub async fn exchange(
         &self,
         client: &Client,
         attempt: &Attempt,
-        patience: Duration,
+        timeout: Duration,
         draw: u64,
     ) -> Exchange {
         match self {
             Way::Nodes(entries) => {
-                let addrs = entries.from_draw(draw);
-                client.exchange(&addrs, attempt, patience).await
+                let addrs = entries.rotated_by(draw);
+                client.exchange(&addrs, attempt, timeout).await
             }
             Way::Naive(naive) => naive.exchange(client, attempt, draw).await,
         }
--- a/crates/bench/tests/demo.rs
+++ b/crates/bench/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The demo's program, as far as it refuses what it can't show.
+//! The demo program: rejected inputs, and children of a demo that has ended.
 
 use std::fs;
 use std::process::Command;
@@ -33,37 +33,38 @@
     from: &'static str,
     to: &'static str,
     args: &'static [&'static str],
-    told: &'static str,
+    error: &'static str,
 }
 
 #[rstest]
-#[case::no_catalogue(Case { catalogue: None, from: "", to: "", args: &[], told: "catalogue.yaml can't be read" })]
-#[case::bad_catalogue(Case { catalogue: Some("kinds: 1"), from: "", to: "", args: &[], told: "parse: 1:8: kinds: must be a table" })]
-#[case::nothing_routed(Case { catalogue: Some("kinds: {}"), from: "", to: "", args: &[], told: "no route for /desk" })]
-#[case::bad_deployment(Case { catalogue: Some(CATALOGUE), from: "workers: 2", to: "workers: 99", args: &[], told: "4:19: desk: workers: must be 1 to 40" })]
-#[case::no_route(Case { catalogue: Some(CATALOGUE), from: "path: /desk", to: "path: /table", args: &[], told: "no route for /table" })]
-#[case::bad_rate(Case { catalogue: Some(CATALOGUE), from: "", to: "", args: &["--rate", "0"], told: "--rate must be 1 to 2000, is 0" })]
-fn what_cant_be_shown_is_refused_before_anything_starts(#[case] case: Case) {
+#[case::no_catalogue(Case { catalogue: None, from: "", to: "", args: &[], error: "catalogue.yaml can't be read" })]
+#[case::bad_catalogue(Case { catalogue: Some("kinds: 1"), from: "", to: "", args: &[], error: "parse: 1:8: kinds: must be a table" })]
+#[case::nothing_routed(Case { catalogue: Some("kinds: {}"), from: "", to: "", args: &[], error: "no route for /desk" })]
+#[case::bad_deployment(Case { catalogue: Some(CATALOGUE), from: "workers: 2", to: "workers: 99", args: &[], error: "4:19: desk: workers: must be 1 to 40" })]
+#[case::no_route(Case { catalogue: Some(CATALOGUE), from: "path: /desk", to: "path: /table", args: &[], error: "no route for /table" })]
+#[case::bad_rate(Case { catalogue: Some(CATALOGUE), from: "", to: "", args: &["--rate", "0"], error: "--rate must be 1 to 2000, is 0" })]
+fn invalid_input_is_rejected_before_any_process_starts(#[case] case: Case) {
     let dir = tempfile::tempdir().unwrap();
     if let Some(catalogue) = case.catalogue {
         fs::write(dir.path().join("catalogue.yaml"), catalogue).unwrap();
     }
     let deployment = DEPLOYMENT.replacen(case.from, case.to, 1);
     fs::write(dir.path().join("deployment.yaml"), deployment).unwrap();
-    let ran = Command::new(env!("CARGO_BIN_EXE_sassafrasspool-demo"))
+    let output = Command::new(env!("CARGO_BIN_EXE_sassafrasspool-demo"))
         .arg(dir.path())
         .args(case.args)
         .output()
         .unwrap();
-    let told = String::from_utf8_lossy(&ran.stderr);
-    assert!(!ran.status.success());
-    assert!(told.contains(case.told), "{told}");
-    assert!(ran.stdout.is_empty());
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(!output.status.success());
+    assert!(stderr.contains(case.error), "{stderr}");
+    assert!(output.stdout.is_empty());
 }
 
-/// Guards against children that outlive a killed demo.
+/// Guards against child processes that outlive a killed demo: their standard input
+/// closes, and nothing else stops them.
 #[test]
-fn a_child_ends_when_its_demo_is_gone() {
+fn a_child_exits_when_its_standard_input_closes() {
     let dir = tempfile::tempdir().unwrap();
     let settings = dir.path().join("platform.yaml");
     fs::write(&settings, "{}").unwrap();
@@ -74,15 +75,15 @@
         .spawn()
         .unwrap();
     drop(child.stdin.take());
-    let bound = Instant::now() + Duration::from_secs(60);
-    let ended = loop {
-        if let Some(ended) = child.try_wait().unwrap() {
-            break ended;
+    let deadline = Instant::now() + Duration::from_secs(60);
+    let status = loop {
+        if let Some(status) = child.try_wait().unwrap() {
+            break status;
         }
-        if Instant::now() > bound {
+        if Instant::now() > deadline {
             child.kill().unwrap();
         }
         sleep(Duration::from_millis(10));
     };
-    assert_eq!(ended.code(), Some(9));
+    assert_eq!(status.code(), Some(9));
 }
--- a/crates/bench/tests/fault.rs
+++ b/crates/bench/tests/fault.rs
@@ -1,4 +1,4 @@
-//! The fault cases on a small fleet, judged by the history checker.
+//! The fault cases on a small fleet, checked by the history checker.
 
 use rstest::rstest;
 use sassafrasspool_bench::control_fleet::FleetOptions;
@@ -15,7 +15,7 @@
 #[case::stale(Case::Stale)]
 #[case::reader_loss(Case::ReaderLoss)]
 #[case::bad_version(Case::BadVersion)]
-fn nothing_is_broken(#[case] case: Case) {
+fn a_fault_case_violates_no_guarantee(#[case] case: Case) {
     let fleet = FleetOptions {
         nodes: NODES,
         shape: Shape {
