--- a/crates/bench/src/calls.rs
+++ b/crates/bench/src/calls.rs
@@ -1,9 +1,10 @@
-//! What a call through two nodes costs beside a direct one.
+//! The verb `calls`: the latency and processor time that two nodes add to a
+//! call.
 //!
-//! Each call through the nodes is paired with one that goes straight to the
-//! same target in the same moment, in either order, so that whatever else the
-//! machine does meets both alike. The targets take no time of their own: what
-//! is left is the way.
+//! Each call through the nodes is paired with a direct call to the same
+//! target at the same time, in random order, so that other load on the machine
+//! affects both alike. The service time of the targets is zero, so that the
+//! difference is the overhead of the path through the nodes.
 
 pub use self::options::Options;
 pub(crate) use self::process::load_average;
--- a/crates/bench/src/calls/options.rs
+++ b/crates/bench/src/calls/options.rs
@@ -1,18 +1,18 @@
-//! What a run is asked for.
+//! Options of a run.
 
 use std::time::Duration;
 
 /// The options of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Instances, each with its node and a service of its own.
+    /// Number of instances, each with its node and its own service.
     pub nodes: usize,
-    /// Calls a second that enter at each node.
+    /// Calls per second that are sent to each node.
     pub rate_per_node: f64,
-    /// How long calls are measured.
+    /// Duration of the measured load.
     pub length: Duration,
-    /// What the calls are drawn from.
+    /// Seed of the random calls.
     pub seed: u64,
-    /// Bytes of each answer.
+    /// Upper limit of the size of an answer, in bytes.
     pub answer_bytes: usize,
 }
--- a/crates/bench/src/calls/pairs.rs
+++ b/crates/bench/src/calls/pairs.rs
@@ -1,4 +1,4 @@
-//! Pairs of calls.
+//! Pairs of a direct call and a call through two nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,21 +16,21 @@
 use crate::load::Plan;
 use crate::summary::Samples;
 
-/// How long a call may take.
+/// Timeout of a call.
 const PATIENCE: Duration = Duration::from_secs(5);
 
-/// Where the calls to one instance go.
+/// Where the calls to one instance are sent.
 #[derive(Debug, Clone)]
 pub(super) struct Way {
-    /// The instance's target.
+    /// Address of the instance's target, for direct calls.
     pub(super) target: SocketAddr,
-    /// Where another instance's node takes calls.
+    /// Ingress of another instance's node, for calls through two nodes.
     pub(super) entry: SocketAddr,
     /// The path whose route leads to the instance's service.
     pub(super) path: &'static str,
 }
 
-/// What is measured.
+/// Latencies of all pairs.
 #[derive(Debug, Default)]
 pub(super) struct Measured {
     pub(super) direct: Samples,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Makes all pairs of `plan`, which are spread over `ways`.
+/// Makes all pairs of `plan`, distributed at random over `ways`.
 pub(super) async fn measure(run: &'static str, plan: Plan, ways: &[Way]) -> Measured {
     let client = Arc::new(Client::default());
     let mut measured = Measured::default();
@@ -113,7 +113,7 @@
     }
 }
 
-/// How long a call took; `None` if it wasn't answered.
+/// Latency of a call; `None` if it wasn't answered.
 async fn call(client: &Client, addr: SocketAddr, attempt: Attempt) -> Option<Duration> {
     let start = Instant::now();
     let exchange = client.exchange(&[addr], &attempt, PATIENCE).await;
--- a/crates/bench/src/calls/process.rs
+++ b/crates/bench/src/calls/process.rs
@@ -1,8 +1,8 @@
-//! What the system counts for a process.
+//! Figures that the kernel reports in `/proc`.
 
 use std::fs;
 
-/// TCP connections that `pid` has open, listeners left out.
+/// Number of established IPv4 TCP connections of the process `pid`.
 pub(super) fn connections(pid: u32) -> Option<usize> {
     let established = established_inodes(pid)?;
     let mut open = 0;
@@ -20,7 +20,7 @@
     Some(open)
 }
 
-/// The machine's load over one, five and fifteen minutes.
+/// The machine's load average over one, five and fifteen minutes.
 pub(crate) fn load_average() -> String {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let parts: Vec<&str> = text.split_whitespace().take(3).collect();
@@ -28,7 +28,7 @@
 }
 
 fn established_inodes(pid: u32) -> Option<Vec<String>> {
-    /// How the system writes the state of an open connection.
+    /// State of an established connection in `/proc/{pid}/net/tcp`.
     const ESTABLISHED: &str = "01";
     let table = fs::read_to_string(format!("/proc/{pid}/net/tcp")).ok()?;
     let rows = table.lines().skip(1);
--- a/crates/bench/src/calls/report.rs
+++ b/crates/bench/src/calls/report.rs
@@ -1,4 +1,4 @@
-//! What a run prints.
+//! Report of a run.
 
 use serde::Serialize;
 
@@ -7,36 +7,36 @@
 /// The report of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// The verb.
+    /// Name of the verb.
     pub verb: &'static str,
-    /// Instances.
+    /// Number of instances.
     pub nodes: usize,
-    /// Calls a second that were to enter at each node.
+    /// Calls per second that were offered to each node.
     pub rate_per_node: f64,
-    /// How long calls were measured, in seconds.
+    /// Duration of the measured load, in seconds.
     pub seconds: f64,
-    /// Pairs whose calls were both answered.
+    /// Pairs of which both calls were answered.
     pub pairs: u64,
-    /// Calls of pairs that weren't answered.
+    /// Pairs of which at least one call wasn't answered.
     pub unanswered: u64,
-    /// What the nodes added: by pair, the call through the nodes less the
-    /// direct one. The jitter of both is in it.
+    /// Latency that the nodes added, by pair: the latency through the nodes
+    /// minus the direct one. It contains the jitter of both.
     pub added_ms: SummaryMs,
-    /// The difference of the two distributions at the same percentiles.
+    /// Difference of the two distributions at the same percentiles.
     pub added_at_percentile_ms: SummaryMs,
-    /// Calls straight to the target.
+    /// Latency of direct calls to the target.
     pub direct_ms: SummaryMs,
-    /// Calls through two nodes.
+    /// Latency of calls through two nodes.
     pub via_ms: SummaryMs,
-    /// Answered calls through the nodes a second, over all nodes.
+    /// Answered calls through the nodes per second, over all nodes.
     pub calls_per_s: f64,
-    /// Processor time of all nodes for each of those calls, over both hops
-    /// and with the control thread, in microseconds.
+    /// Processor time of all nodes per answered call, in microseconds. It
+    /// covers both hops and the control threads.
     pub cpu_us_per_call: f64,
-    /// The most connections that a node had open in the end.
+    /// Largest number of open connections of a node at the end.
     pub connections_per_node: usize,
-    /// By how much pairs were released late.
+    /// Delay between the planned and the actual start of pairs.
     pub release_late_ms: SummaryMs,
-    /// The machine's load average at the start.
+    /// Load average of the machine at the start.
     pub load_average: String,
 }
--- a/crates/bench/src/calls/run.rs
+++ b/crates/bench/src/calls/run.rs
@@ -1,4 +1,4 @@
-//! One run.
+//! Run of the verb `calls`.
 
 use std::time::Duration;
 
@@ -20,13 +20,14 @@
 use crate::summary::SummaryMs;
 use crate::usage::ProcessUsage;
 
-/// Calls that open connections and warm caches, before any is measured.
+/// Duration of the warm-up, which opens connections and fills caches before
+/// the measured load.
 const WARM_UP: Duration = Duration::from_secs(1);
 
-/// How long the fleet may take to be ready.
+/// Timeout for the fleet to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs the pairs and reports what the nodes added.
+/// Makes the pairs of calls and reports the overhead of the nodes.
 ///
 /// # Errors
 ///
@@ -95,8 +96,8 @@
     text
 }
 
-/// To each instance by the node of the next one, so that every call has both
-/// hops. The paths live as long as the process: there are few.
+/// Calls to each instance enter at the node of the next one, so that every
+/// call takes both hops. The paths are leaked: there are as many as instances.
 fn ways(fleet: &Fleet) -> Vec<Way> {
     let members = &fleet.members;
     let way = |n: usize| Way {
--- a/crates/bench/src/overload.rs
+++ b/crates/bench/src/overload.rs
@@ -1,5 +1,5 @@
-//! Goodput by class when more is asked for than the targets' slots can do,
-//! with admission and retry budgets and without.
+//! The verb `overload`: goodput by class under a load above the capacity of
+//! the targets' slots, with and without admission and retry budgets.
 
 pub use self::options::Options;
 pub use self::report::ClassGoodput;
--- a/crates/bench/src/overload/options.rs
+++ b/crates/bench/src/overload/options.rs
@@ -1,16 +1,16 @@
-//! What a run is asked for.
+//! Options of a run.
 
 use std::time::Duration;
 
 /// The options of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Instances, each with its node.
+    /// Number of instances, each with its node.
     pub nodes: usize,
-    /// Calls offered over what the slots can do.
+    /// Offered load as a multiple of the capacity of the slots.
     pub factor: f64,
-    /// How long calls are made, with and without each.
+    /// Duration of the load in each of the two runs.
     pub length: Duration,
-    /// What the calls are drawn from.
+    /// Seed of the random calls.
     pub seed: u64,
 }
--- a/crates/bench/src/overload/report.rs
+++ b/crates/bench/src/overload/report.rs
@@ -1,4 +1,4 @@
-//! What a run prints.
+//! Report of a run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,61 +15,62 @@
 /// The report of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// The verb.
+    /// Name of the verb.
     pub verb: &'static str,
-    /// Instances.
+    /// Number of instances.
     pub nodes: usize,
-    /// Calls offered over what the slots can do.
+    /// Offered load as a multiple of the capacity of the slots.
     pub factor: f64,
-    /// Seconds of each of the two runs.
+    /// Duration of the load in each of the two runs, in seconds.
     pub seconds: f64,
-    /// Through the nodes.
+    /// Results of the run through the nodes.
     pub with: Goodput,
-    /// By the naive version.
+    /// Results of the run through the naive proxy.
     pub without: Goodput,
-    /// The machine's load average at the start.
+    /// Load average of the machine at the start.
     pub load_average: String,
 }
 
-/// What came out of one of the two runs.
+/// Results of one of the two runs.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Goodput {
-    /// Calls a second that the slots can do, by how long the runs took.
+    /// Capacity of the slots in calls per second, computed from the measured
+    /// run time.
     pub capacity_per_s: f64,
-    /// Calls a second that were answered in time.
+    /// Calls per second that were answered in time.
     pub goodput_per_s: f64,
-    /// Those over the capacity.
+    /// Goodput as a fraction of the capacity.
     pub goodput_of_capacity: f64,
-    /// Runs that targets began for each call that was answered in time.
+    /// Runs that targets started per call answered in time.
     pub runs_per_answer: f64,
-    /// By class.
+    /// Results by class.
     pub by_class: BTreeMap<&'static str, ClassGoodput>,
-    /// By how much calls were released late.
+    /// Delay between the planned and the actual start of calls.
     pub release_late_ms: SummaryMs,
 }
 
-/// What came out for one class.
+/// Results of one class.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ClassGoodput {
-    /// Calls a second that were made.
+    /// Calls per second that were made.
     pub offered_per_s: f64,
-    /// Calls a second that were answered in time.
+    /// Calls per second that were answered in time.
     pub goodput_per_s: f64,
-    /// The share of calls that were answered in time.
+    /// Fraction of the calls that were answered in time.
     pub answered: f64,
-    /// Attempts that were refused as not run.
+    /// Attempts that were refused without being run.
     pub refused_not_run: u64,
-    /// Attempts that ended in another way.
+    /// Attempts with any other outcome.
     pub other: u64,
-    /// Latency of the answered.
+    /// Latency of answered calls.
     pub latency_ms: SummaryMs,
-    /// How soon refusals came.
+    /// Latency of refusals.
     pub refusal_ms: SummaryMs,
 }
 
 impl Goodput {
-    /// Counts what `load` got over `length` from `slots` that took `run_time`
-    /// for each of `runs`.
+    /// Evaluates `load`, which was offered for `length` to `slots` slots. The
+    /// targets started `runs` runs, each of which takes `run_time` on average.
     pub(super) fn new(
         load: &OpenLoop,
         length: Duration,
--- a/crates/bench/src/overload/run.rs
+++ b/crates/bench/src/overload/run.rs
@@ -1,4 +1,4 @@
-//! The two runs.
+//! Run of the verb `overload`.
 
 use std::collections::HashMap;
 use std::num::NonZeroU32;
@@ -31,23 +31,23 @@
 /// Slots of each target.
 const SLOTS: NonZeroU32 = NonZeroU32::new(10).unwrap();
 
-/// How long each request runs, in microseconds.
+/// Service time of each request, in microseconds.
 const SERVICE_US: u64 = 40_000;
 
-/// How long callers want answers for.
+/// Request timeout that callers send to the node.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How much longer they wait to be told that the time is over.
+/// How long callers wait beyond [`TIMEOUT`] for the answer that it has expired.
 const GRACE: Duration = Duration::from_millis(500);
 
-/// How long the fleet may take to be ready.
+/// Timeout for the fleet to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Tries of the naive version.
+/// Maximum number of attempts of the naive proxy.
 const NAIVE_TRIES: u32 = 3;
 
-/// One kind for each class. At twice the slots, the critical calls alone ask
-/// for six tenths of them.
+/// One kind for each class. At a load of twice the capacity, the critical
+/// calls alone need six tenths of the slots.
 const KINDS: [CallKind; 3] = [
     kind("approval", "/approvals", Class::Critical, 3),
     kind("lookup", "/lookups", Class::Standard, 4),
@@ -68,7 +68,7 @@
     }
 }
 
-/// Runs the same calls through the nodes and by the naive version.
+/// Runs the same calls through the nodes and through the naive proxy.
 ///
 /// # Errors
 ///
@@ -170,7 +170,7 @@
     }
 }
 
-/// How long a finished run held its slot.
+/// Mean time for which a finished run occupied its slot; `None` without any.
 fn mean_run_time(runs: &[LedgerRun]) -> Option<Duration> {
     let times = runs.iter().filter(|run| run.run.finished);
     let times = times.filter_map(|run| Some(run.run.ended_us? - run.run.started_us));
