--- a/crates/bench/src/chaos.rs
+++ b/crates/bench/src/chaos.rs
@@ -1,9 +1,9 @@
-//! Load while everything fails: instances stop, die, pause and come back, the
-//! platform misleads, and callers repeat themselves.
+//! The verb `chaos`: load under injected faults. Instances stop, crash, pause
+//! and restart, the platform serves stale, late or no data, and callers retry.
 //!
-//! The faults are drawn from a seed before the run. What the run did to whom
-//! is logged, so that the judge can tell what nobody could have prevented
-//! from what a node got wrong.
+//! The faults are drawn from a seed before the run. Each fault is logged with
+//! its time and instance, so that the evaluation can tell losses that no node
+//! could have prevented from faults of a node.
 
 pub use self::fault::Fault;
 pub use self::options::Options;
--- a/crates/bench/src/chaos/callers.rs
+++ b/crates/bench/src/chaos/callers.rs
@@ -1,10 +1,10 @@
-//! How callers behave in a chaos run.
+//! Behaviour of the callers in a chaos run.
 
 use std::time::Duration;
 
 use crate::load::Repeats;
 
-/// How callers repeat themselves.
+/// Retry policy of the callers.
 pub const REPEATS: Repeats = Repeats {
     attempts: 3,
     pause: Duration::from_millis(150),
@@ -12,9 +12,9 @@
     impatient_after: Duration::from_millis(30),
 };
 
-/// How long callers want answers for.
+/// Request timeout that callers send to the node.
 pub const TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How much longer callers wait. A paused node may answer late, but it has
-/// to answer.
+/// How long callers wait beyond [`TIMEOUT`]. A paused node may answer late,
+/// but it has to answer.
 pub const GRACE: Duration = Duration::from_millis(3_500);
--- a/crates/bench/src/chaos/catalogue.rs
+++ b/crates/bench/src/chaos/catalogue.rs
@@ -1,14 +1,14 @@
-//! The catalogue of the fleet in a chaos run.
+//! Catalogue of the fleet in a chaos run.
 
 use sassafrasspool_core::Class;
 
 use crate::load::CallKind;
 use crate::load::Keys;
 
-/// The services that the instances belong to, in turn.
+/// The services, assigned to the instances round-robin.
 pub const SERVICES: [&str; 2] = ["workshop-desk", "adjuster-desk"];
 
-/// What callers ask for.
+/// The kinds of calls in the load.
 pub const KINDS: [CallKind; 4] = [
     CallKind {
         name: "approval",
@@ -56,17 +56,19 @@
     },
 ];
 
-/// The service that a kind's requests belong to: an index into [`SERVICES`].
+/// The service that serves a kind's requests, as an index into [`SERVICES`].
 pub fn service_of(kind: &CallKind) -> usize {
     usize::from(kind.path.starts_with("/adjuster"))
 }
 
-/// The `change`th text of the catalogue, which differs in a limit.
+/// The text of the catalogue after `change` changes; each change raises the
+/// rate limits by one.
 pub fn text(change: u64) -> String {
     text_with(change, "")
 }
 
-/// The same with one more line for each service, or none if it is empty.
+/// The same text as [`text`], with `line` added to each service unless it is
+/// empty.
 pub fn text_with(change: u64, line: &str) -> String {
     let mut text = String::from("kinds:\n");
     for kind in &KINDS {
@@ -90,7 +92,7 @@
     text
 }
 
-/// A text with a route to a service that isn't there.
+/// A text with a route to a service that doesn't exist.
 pub fn bad_text(change: u64) -> String {
     text(change) + "      - {path: /gone, kind: lookup, service: gone-desk}\n"
 }
--- a/crates/bench/src/chaos/driver.rs
+++ b/crates/bench/src/chaos/driver.rs
@@ -1,4 +1,4 @@
-//! Doing what the script says.
+//! Injection of the scripted faults into the fleet.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -26,28 +26,29 @@
 use crate::load::Outage;
 use crate::load::OutageKind;
 
-/// One answer in so many is late while answers are.
+/// During a fault of late answers, one answer of this many is late.
 const LATE_EVERY: u64 = 3;
 
-/// What faults are done with.
+/// Injects faults into a fleet.
 #[derive(Debug)]
 pub(super) struct Driver {
     pub(super) fleet: Arc<Fleet>,
     pub(super) operators: Operators,
     pub(super) log: Arc<Log>,
-    /// Whether there are nodes to hurt; else their faults hit the targets.
+    /// Whether the fleet has nodes. Without nodes, faults of nodes are injected
+    /// into the targets.
     pub(super) nodes: bool,
     pub(super) stops: Mutex<Vec<Stopped>>,
-    /// By instance: held while something is done to it.
+    /// By instance: locked while a fault of the instance lasts.
     pub(super) busy: Vec<tokio::sync::Mutex<()>>,
 }
 
 impl Driver {
-    /// Does every step when it is due and waits until all faults are over.
+    /// Injects every fault when it is due and waits until all faults are over.
     ///
     /// # Errors
     ///
-    /// Fails if a process can't be hurt or started as the script says.
+    /// Fails if a fault can't be injected or a process can't be restarted.
     pub(super) async fn play(self: &Arc<Driver>, script: &Script) -> miette::Result<()> {
         let start = Instant::now();
         let mut under_way = JoinSet::new();
@@ -63,8 +64,9 @@
         Ok(())
     }
 
-    /// Does one step, unless an earlier one at the same instance isn't over: a
-    /// drain takes as long as its requests, which the script can't know.
+    /// Injects a fault, unless an earlier one of the same instance still lasts.
+    /// A drain takes as long as the requests in flight, so that the script can't
+    /// plan its end.
     async fn perform(&self, fault: Fault) -> miette::Result<()> {
         let Some(instance) = fault.instance() else {
             return self.perform_alone(fault).await;
@@ -186,8 +188,9 @@
         Ok(())
     }
 
-    /// Holds the links to a node. It excuses no silence: whoever took a call
-    /// must tell its caller that nobody knows.
+    /// Blocks the links to a node. This isn't recorded as an outage, as it
+    /// explains no missing answer: a node that accepted a call has to answer
+    /// that the outcome is unknown.
     async fn isolate(&self, instance: usize, length: Duration) {
         let links = &self.member(instance).links;
         self.lost(instance);
@@ -210,7 +213,7 @@
         Ok(())
     }
 
-    /// Faults of a target that end by themselves.
+    /// Injects a fault of a target for its duration.
     async fn hinder(&self, fault: Fault) {
         let Some(instance) = fault.instance() else {
             return;
@@ -239,7 +242,7 @@
         }
     }
 
-    /// Faults of the platform that end by themselves.
+    /// Injects a fault of the platform for its duration.
     async fn mislead(&self, fault: Fault) -> miette::Result<()> {
         let platform = &self.fleet.platform;
         self.log.record(Event::SourceLost);
@@ -257,7 +260,7 @@
             Fault::Stale { .. } | Fault::StepBack { .. } => platform.set_stale(false),
             Fault::ListLag { lag, .. } => {
                 platform.set_list_lag(Duration::ZERO);
-                // A list of the last moment is still held back that long.
+                // A list published at the end is still delayed by the lag.
                 tokio::time::sleep(lag).await;
             }
             _ => platform.set_answer_delay(Duration::ZERO),
--- a/crates/bench/src/chaos/events.rs
+++ b/crates/bench/src/chaos/events.rs
@@ -1,4 +1,5 @@
-//! From records and ledgers to the events that the history checker judges.
+//! Conversion of caller records and target ledgers to events of the history
+//! checker.
 
 use std::collections::HashMap;
 
@@ -15,11 +16,11 @@
 use crate::load::Ending;
 use crate::load::LedgerRun;
 
-/// How shortly before the end of a planned stop a run must have ended for its
-/// end to be laid at the stop's door, in microseconds.
+/// A run that was cut this shortly before the end of a planned stop, in
+/// microseconds, is attributed to the stop.
 const STOP_CUTS_US: u64 = 50_000;
 
-/// Numbers for the ids that records and ledgers share.
+/// Maps the ids that records and ledgers share to numbers.
 #[derive(Debug, Default)]
 struct Numbers<'a> {
     by_text: HashMap<&'a str, u64>,
@@ -32,17 +33,18 @@
     }
 }
 
-/// When a planned stop ended.
+/// End of a planned stop of a node.
 #[derive(Debug, Clone)]
 pub struct Stopped {
-    /// Which instance.
+    /// The index of the instance.
     pub instance: usize,
-    /// When its node was gone, in microseconds since the Unix epoch.
+    /// When the node's process had ended, in microseconds since the Unix epoch.
     pub at_us: u64,
 }
 
-/// Adds what callers and targets saw to what the run recorded. An excused
-/// silence counts as told: the caller saw the connection end.
+/// Builds the history of a run from its log, the callers' records and the
+/// targets' ledgers. A missing answer that an outage explains counts as an
+/// unknown outcome: the caller saw the connection end.
 pub fn history(
     log: &Log,
     records: &[CallRecord],
--- a/crates/bench/src/chaos/fault.rs
+++ b/crates/bench/src/chaos/fault.rs
@@ -1,12 +1,12 @@
-//! What can be done to a fleet in a run.
+//! Faults that can be injected into a fleet.
 
 use std::time::Duration;
 
-/// One fault. Those with a length end by themselves after it.
+/// One fault. A fault with a length ends after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A planned stop of a node and a start afterwards. The platform's list
-    /// calls the instance leaving, and live again.
+    /// A planned stop of a node and a later start. The platform lists the
+    /// instance as leaving, and as live again.
     Stop {
         /// Which instance.
         instance: usize,
@@ -20,124 +20,123 @@
         /// From the kill until the start.
         down: Duration,
     },
-    /// Half of each service's nodes are killed at once, and all come back at
-    /// once.
+    /// Half of each service's nodes are killed at once and restarted at once.
     KillHerd {
         /// From the kills until the starts.
         down: Duration,
     },
-    /// A node stands still and goes on later, believing what it did.
+    /// A node's process is suspended and resumed later with its old state.
     Pause {
         /// Which instance.
         instance: usize,
         /// How long.
         length: Duration,
     },
-    /// A target drops all its connections and starts again, cold.
+    /// A target drops all its connections and restarts cold.
     CrashTarget {
         /// Which instance.
         instance: usize,
         /// From the crash until the start.
         down: Duration,
     },
-    /// A whole instance dies, target and node, and starts again.
+    /// The target and the node of an instance crash and restart.
     Crash {
         /// Which instance.
         instance: usize,
         /// From the crash until the start.
         down: Duration,
     },
-    /// What other nodes send to a node, and what it answers, is held and
-    /// arrives late.
+    /// Requests of other nodes to a node and its answers are delayed.
     Isolate {
         /// Which instance.
         instance: usize,
         /// How long.
         length: Duration,
     },
-    /// A target refuses new work by itself.
+    /// A target drains on its own and refuses new requests.
     DrainTarget {
         /// Which instance.
         instance: usize,
         /// How long.
         length: Duration,
     },
-    /// A target takes longer for each request.
+    /// A target takes longer to run each request.
     SlowTarget {
         /// Which instance.
         instance: usize,
-        /// How much longer.
+        /// Added service time.
         extra: Duration,
         /// For how long.
         length: Duration,
     },
-    /// A target does the work in time and answers some requests late.
+    /// A target runs requests in the usual time, but delays some answers.
     LateAnswers {
         /// Which instance.
         instance: usize,
-        /// How late.
+        /// Delay of these answers.
         by: Duration,
         /// For how long.
         length: Duration,
     },
-    /// A target breaks off in the middle of each answer.
+    /// A target closes the connection in the middle of each answer.
     CutAnswers {
         /// Which instance.
         instance: usize,
         /// How long.
         length: Duration,
     },
-    /// A target does the work and never answers.
+    /// A target runs requests and never answers them.
     Hang {
         /// Which instance.
         instance: usize,
         /// How long.
         length: Duration,
     },
-    /// A target calls itself ill though it is well.
+    /// A target reports itself as unhealthy although it is healthy.
     LyingHealth {
         /// Which instance.
         instance: usize,
         /// How long.
         length: Duration,
     },
-    /// The platform answers no read.
+    /// The platform answers no reads.
     Outage {
         /// How long.
         length: Duration,
     },
-    /// The platform serves what it had, and publications go unseen.
+    /// The platform serves its versions of before the fault; new ones are not
+    /// visible.
     Stale {
         /// How long.
         length: Duration,
     },
-    /// The platform serves an older catalogue than it did before.
+    /// The platform serves an older catalogue than before.
     StepBack {
         /// How long.
         length: Duration,
     },
-    /// Instance lists are seen late.
+    /// New instance lists become visible late.
     ListLag {
-        /// How late.
+        /// Delay of the lists.
         lag: Duration,
         /// For how long.
         length: Duration,
     },
-    /// The platform's answers are held back and cross newer ones.
+    /// The platform's answers are delayed and may arrive after newer ones.
     SlowPlatform {
-        /// By how much.
+        /// Delay of the answers.
         delay: Duration,
         /// For how long.
         length: Duration,
     },
-    /// The operators publish a catalogue that binds.
+    /// The operators publish a valid catalogue.
     PublishGood,
-    /// The operators publish a catalogue with a route to no service.
+    /// The operators publish a catalogue with a route to a missing service.
     PublishBad,
 }
 
 impl Fault {
-    /// The instance that it hurts, if it is one.
+    /// The instance that it affects, if it is a single one.
     pub fn instance(&self) -> Option<usize> {
         match *self {
             Fault::Stop { instance, .. }
@@ -156,7 +155,8 @@
         }
     }
 
-    /// How long it lasts, as far as that is planned.
+    /// How long it lasts, as far as that is planned; the drain of a stop adds
+    /// to it.
     pub fn length(&self) -> Duration {
         match *self {
             Fault::Stop { down, .. } | Fault::Kill { down, .. } | Fault::KillHerd { down } => down,
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Whether it is a fault of what the platform serves, of which one at a
-    /// time can be switched on.
+    /// Whether it is a fault of what the platform serves. Only one of these
+    /// can be active at a time.
     pub fn is_of_platform(&self) -> bool {
         matches!(
             self,
@@ -192,8 +192,9 @@
     }
 }
 
-/// Whether an instance is hurt when a herd is. The services take turns, so
-/// that pairs of instances do.
+/// Whether [`Fault::KillHerd`] kills the node of `instance`. Every other pair
+/// of instances is killed; as the two services alternate, that is half of each
+/// service's nodes.
 pub(super) fn in_herd(instance: usize) -> bool {
     (instance / 2).is_multiple_of(2)
 }
--- a/crates/bench/src/chaos/log.rs
+++ b/crates/bench/src/chaos/log.rs
@@ -1,4 +1,4 @@
-//! What was done and seen in a run.
+//! Log of the events and outages of a run.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -12,7 +12,8 @@
 
 use crate::load::Outage;
 
-/// The record of a run, on the clock of the targets' ledgers.
+/// Events and outages of a run, timed by the clock that the targets' ledgers
+/// use.
 #[derive(Debug, Default)]
 pub struct Log {
     inner: Mutex<Inner>,
@@ -36,12 +37,12 @@
         self.inner().history.record(Tick::from_micros(at_us), event);
     }
 
-    /// Notes that processes were hurt.
+    /// Adds an outage of a process.
     pub fn add(&self, outage: Outage) {
         self.inner().outages.push(outage);
     }
 
-    /// Everything that was recorded.
+    /// The events and outages recorded so far.
     pub fn copy(&self) -> (History, Vec<Outage>) {
         let inner = self.inner();
         (inner.history.clone(), inner.outages.clone())
@@ -52,7 +53,7 @@
     }
 }
 
-/// Microseconds since the Unix epoch.
+/// The current time in microseconds since the Unix epoch.
 pub fn now_us() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(since.unwrap_or_default().as_micros()).unwrap_or(u64::MAX)
--- a/crates/bench/src/chaos/observer.rs
+++ b/crates/bench/src/chaos/observer.rs
@@ -1,4 +1,4 @@
-//! Watching what each node has in force.
+//! Observation of the snapshot in force on each node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,11 +19,11 @@
 use super::log::Log;
 use crate::load::admin;
 
-/// How often each node is asked.
+/// Interval between two reads of a node's snapshot.
 const POLL: Duration = Duration::from_millis(50);
 
-/// Records each change of what `node` has in force until `cancel`; `admin` is
-/// where it answers operators.
+/// Records each change of the snapshot in force on `node` until `cancel`;
+/// `admin` is the node's admin address.
 pub async fn observe(
     admin: SocketAddr,
     node: InstanceId,
@@ -45,7 +45,8 @@
     }
 }
 
-/// What the node has in force; `None` if it has nothing or doesn't answer.
+/// Facts of the snapshot in force on the node with this admin address; `None`
+/// if there is none or the node doesn't answer.
 pub async fn held_by(node: SocketAddr) -> Option<SnapshotFacts> {
     let value = admin::get(node, SNAPSHOT_PATH).await?;
     let info: SnapshotInfo = serde_json::from_value(value).ok()?;
@@ -62,8 +63,8 @@
     Some(Version::new(revision, Digest::parse(&info.digest).ok()?))
 }
 
-/// The digest of what the versions decide. The phases that endpoints say of
-/// themselves come another way and are left out.
+/// Digest of the content that the versions determine. The phases of endpoints
+/// are left out: they are announced by the endpoints, apart from the versions.
 fn content(info: &SnapshotInfo) -> Option<Digest> {
     let mut info = info.clone();
     for service in &mut info.services {
--- a/crates/bench/src/chaos/operators.rs
+++ b/crates/bench/src/chaos/operators.rs
@@ -1,4 +1,4 @@
-//! What operators and the platform publish in a run.
+//! Publications of the operators and the platform in a run.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -17,7 +17,7 @@
 use super::published::good_catalogue;
 use super::published::good_list;
 
-/// Publishes, and records each version before it can be seen.
+/// Publishes versions, and records each before it becomes visible.
 #[derive(Debug)]
 pub(super) struct Operators {
     published: Mutex<Published>,
@@ -32,7 +32,7 @@
 }
 
 impl Operators {
-    /// Takes over after the first catalogue and list were published.
+    /// Records the first catalogue and list, which are published already.
     ///
     /// # Errors
     ///
@@ -50,7 +50,7 @@
         })
     }
 
-    /// Publishes a change that binds.
+    /// Publishes a valid change of the catalogue.
     pub(super) fn publish_good(&self, platform: &Platform, log: &Log) -> miette::Result<()> {
         let mut published = self.published();
         published.changes += 1;
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// Publishes a change that doesn't bind.
+    /// Publishes a catalogue from which no snapshot can be built.
     pub(super) fn publish_bad(&self, platform: &Platform, log: &Log) -> miette::Result<()> {
         let mut published = self.published();
         published.catalogue += 1;
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    /// Publishes that an instance is live or leaving.
+    /// Publishes a list in which the `n`th instance is in `state`.
     pub(super) fn list_as(
         &self,
         n: usize,
@@ -91,8 +91,7 @@
         Ok(())
     }
 
-    /// The revisions that nodes should hold in the end: the last catalogue
-    /// that binds, and the last list.
+    /// The last published revision of a stream, of valid and invalid versions.
     pub(super) fn last_revision(&self, stream: Stream) -> u64 {
         let published = self.published();
         match stream {
--- a/crates/bench/src/chaos/options.rs
+++ b/crates/bench/src/chaos/options.rs
@@ -1,20 +1,20 @@
-//! What a run is asked for.
+//! Options of a run.
 
 use std::time::Duration;
 
 /// The options of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Instances, each with its node.
+    /// Number of instances, each with its node.
     pub nodes: usize,
-    /// How long calls are made.
+    /// Duration of the load.
     pub length: Duration,
-    /// What calls and faults are drawn from.
+    /// Seed of the random calls and faults.
     pub seed: u64,
-    /// Calls a second for each instance.
+    /// Calls per second and instance.
     pub rate_per_node: f64,
-    /// Whether callers use the naive version instead of nodes.
+    /// Whether callers use the naive proxy instead of nodes.
     pub naive: bool,
-    /// Whether nodes' logs are kept after a run that broke a promise.
+    /// Whether the nodes' logs are kept after a run that violated a guarantee.
     pub keep_logs: bool,
 }
--- a/crates/bench/src/chaos/published.rs
+++ b/crates/bench/src/chaos/published.rs
@@ -1,4 +1,4 @@
-//! What is recorded of a publication.
+//! History events of publications.
 
 use miette::IntoDiagnostic;
 use sassafrasspool_core::Catalogue;
@@ -9,7 +9,7 @@
 use sassafrasspool_core::catalogue::parse;
 use sassafrasspool_core::history::Event;
 
-/// The catalogue that a text is at a revision.
+/// Parses the text of a catalogue at a revision.
 ///
 /// # Errors
 ///
@@ -20,7 +20,7 @@
     Catalogue::new(revision, items).into_diagnostic()
 }
 
-/// That a catalogue which binds was published.
+/// The event that a valid catalogue was published.
 ///
 /// # Errors
 ///
@@ -31,11 +31,11 @@
     Ok(Event::PublishedGood { stream, version })
 }
 
-/// That an instance list was published.
+/// The event that an instance list was published.
 ///
 /// # Errors
 ///
-/// Fails if an instance stands twice.
+/// Fails if an instance is listed twice.
 pub fn good_list(revision: u64, list: &[Instance]) -> miette::Result<Event> {
     let revision = Revision::new(revision).into_diagnostic()?;
     let list = InstanceList::new(revision, list.to_vec()).into_diagnostic()?;
--- a/crates/bench/src/chaos/report.rs
+++ b/crates/bench/src/chaos/report.rs
@@ -1,4 +1,4 @@
-//! What a run prints.
+//! Report of a run.
 
 use std::collections::BTreeMap;
 
@@ -11,43 +11,43 @@
 /// The report of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// The verb.
+    /// Name of the verb.
     pub verb: &'static str,
-    /// Instances.
+    /// Number of instances.
     pub nodes: usize,
-    /// How long calls were made, in seconds.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
-    /// The seed.
+    /// Seed of the random calls and faults.
     pub seed: u64,
-    /// Whether callers used the naive version.
+    /// Whether callers used the naive proxy.
     pub naive: bool,
-    /// What was done, with milliseconds from the start of the calls.
+    /// The scripted faults, with milliseconds from the start of the calls.
     pub faults: Vec<String>,
-    /// What became of the calls.
+    /// Outcomes of the calls.
     #[serde(flatten)]
     pub verdict: Verdict,
-    /// Attempts that weren't answered, by what their answers gave as reason.
+    /// Number of attempts without an answer of the target, by reason.
     pub reasons: BTreeMap<String, u64>,
-    /// Violations by promise, as the history checker found them.
+    /// Number of violations by guarantee, as found by the history checker.
     pub violations: BTreeMap<&'static str, u64>,
-    /// The first violations, for a person.
+    /// The first violations as text.
     pub first_violations: Vec<String>,
-    /// The first attempts that were lost or cut, for a person.
+    /// The first attempts that were lost or cut, as text.
     pub first_faults: Vec<String>,
     /// Latency of answered attempts.
     pub latency_ms: SummaryMs,
-    /// By how much calls were released late.
+    /// Delay between the planned and the actual start of calls.
     pub release_late_ms: SummaryMs,
-    /// When the calls began, in microseconds since the Unix epoch.
+    /// When the first call was sent, in microseconds since the Unix epoch.
     pub began_us: u64,
-    /// Calls that were never made since too many were under way.
+    /// Calls that were not made because too many were in flight.
     pub dropped: u64,
-    /// Where the nodes' logs are, if they were kept.
+    /// Directory of the nodes' logs, if they were kept.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub logs: Option<String>,
 }
 
-/// Violations counted by the names of their promises.
+/// Counts violations by the names of their guarantees.
 pub fn by_promise(violations: &[Violation]) -> BTreeMap<&'static str, u64> {
     let mut counts = BTreeMap::new();
     for violation in violations {
--- a/crates/bench/src/chaos/run.rs
+++ b/crates/bench/src/chaos/run.rs
@@ -1,4 +1,4 @@
-//! One run from start to verdict.
+//! Run of the verb `chaos`.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -58,7 +58,7 @@
 /// Slots of each target.
 const SLOTS: NonZeroU32 = NonZeroU32::new(10).unwrap();
 
-/// Cold start of each target.
+/// Duration of each target's cold start, in milliseconds.
 const COLD_START_MS: u64 = 100;
 
 /// Service times by kind, in microseconds.
@@ -69,18 +69,18 @@
     ("archive", 30_000),
 ];
 
-/// How long the fleet may take to be ready before the run.
+/// Timeout for the fleet to become ready before the run.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How many violations and faults the report tells in words.
+/// Maximum number of violations, and of faults, that a report has as text.
 const TOLD: usize = 5;
 
-/// Runs the load and the script of `opts.seed` and judges them.
+/// Runs the load and the script of `opts.seed` and evaluates the outcome.
 ///
 /// # Errors
 ///
-/// Fails if the fleet can't be started, or a process can't be hurt or started
-/// as the script says; what the judges find is no error.
+/// Fails if the fleet can't be started, a fault can't be injected or a process
+/// can't be restarted. Violations are reported and are no error.
 pub async fn run(opts: Options) -> miette::Result<Report> {
     let layout = layout(opts);
     let fleet = Arc::new(Fleet::start(&layout).await?);
@@ -215,8 +215,8 @@
     }
 }
 
-/// Counts what the bodies of refusals and losses say, or else what the caller
-/// saw.
+/// Counts attempts without an answer by the reason in the response body or, if
+/// there is none, by the caller's detail.
 fn reasons(records: &[CallRecord]) -> BTreeMap<String, u64> {
     let mut counts = BTreeMap::new();
     for record in records {
--- a/crates/bench/src/chaos/script.rs
+++ b/crates/bench/src/chaos/script.rs
@@ -1,4 +1,4 @@
-//! Which faults come when, drawn from a seed before the run.
+//! Schedule of faults, drawn from a seed before the run.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,28 +10,28 @@
 use super::fault::Fault;
 use super::fault::in_herd;
 
-/// The shortest time between two faults, in milliseconds.
+/// The shortest time between two draws of a fault, in milliseconds.
 const LEAST_GAP_MS: u64 = 100;
 
-/// The longest time between two faults, in milliseconds.
+/// The longest time between two draws of a fault, in milliseconds.
 const MOST_GAP_MS: u64 = 500;
 
 /// Time before the first fault, in which every node has to become ready.
 const LEAD: Duration = Duration::from_millis(500);
 
-/// How long an instance is left alone after a fault of it, so that a node
-/// that starts anew also serves in the run.
+/// How long an instance gets no new fault after one, so that a restarted node
+/// serves calls within the run.
 const REST: Duration = Duration::from_millis(1_000);
 
-/// Kinds of faults to draw from.
+/// Number of equally likely outcomes of a draw; some faults have two.
 const FAULTS: usize = 20;
 
-/// A fault and when it comes.
+/// A fault and the time at which it is injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Step {
-    /// After the start of the run.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// What comes.
+    /// The fault.
     pub fault: Fault,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The faults of a run in order.
+/// The schedule of faults of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Script {
     /// The steps, sorted by time.
@@ -51,9 +51,10 @@
 impl Script {
     /// Draws faults for a fleet of `instances` over `length`.
     ///
-    /// An instance is hurt by one fault at a time, and fewer than half of all
-    /// are hurt at once beside a herd, so that there is always somebody who
-    /// could answer.
+    /// An instance has one fault at a time. Faults of single instances affect
+    /// at most half of all instances at once, and [`Fault::KillHerd`] is only
+    /// scheduled while no instance has a fault, so that some instances can
+    /// always answer.
     pub fn draw(instances: usize, length: Duration, seed: u64) -> Script {
         let mut drawn = Drawn {
             rng: SmallRng::seed_from_u64(seed),
--- a/crates/bench/src/chaos/tests.rs
+++ b/crates/bench/src/chaos/tests.rs
@@ -58,7 +58,7 @@
     assert!(!binds(&catalogue::bad_text(7)));
 }
 
-/// Guards against a chaos judge that passes a naive proxy.
+/// Guards against an evaluation that finds no violation of a naive proxy.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_naive_version_is_caught() {
     let report = run(Options {
