--- a/crates/bench/src/control_fleet.rs
+++ b/crates/bench/src/control_fleet.rs
@@ -1,12 +1,13 @@
-//! A fleet of nodes in this process, of which only the control side works:
-//! the real node code, a platform and one target for all on loopback.
+//! A fleet of nodes in this process for measurements of the control plane: the
+//! real node code, a platform and one shared target, all on loopback.
 //!
-//! One process holds hundreds of nodes this way. Their runtime has threads of
-//! its own, by whose name their processor time is told from the stand-ins'.
+//! One process can run hundreds of nodes this way. The nodes have a runtime
+//! with named threads of its own, so that their processor time can be measured
+//! apart from that of the stand-ins.
 //!
-//! Instances beyond the nodes are listed without a node: their control
-//! address has port 0, so that nobody takes them for peers. They make lists
-//! and snapshots as large as asked for and nothing else.
+//! The instance list may have more instances than there are nodes. Instances
+//! without a node have control port 0, so that nodes don't use them as peers.
+//! They only bring lists and snapshots to the requested size.
 
 pub use self::fleet::ControlFleet;
 pub use self::member::Member;
--- a/crates/bench/src/control_fleet/addrs.rs
+++ b/crates/bench/src/control_fleet/addrs.rs
@@ -1,4 +1,4 @@
-//! Addresses that nodes can be started on again.
+//! Listen addresses on which a node can be restarted.
 
 use std::sync::LazyLock;
 use std::sync::Mutex;
@@ -9,13 +9,13 @@
 
 use crate::load::Ports;
 
-/// All fleets of the process draw from here, so that no two of them are given
-/// one port in the moment before it is listened on.
+/// Port allocator that all fleets of the process share. Two fleets never get
+/// the same port before one of them listens on it.
 static PORTS: LazyLock<Mutex<Ports>> = LazyLock::new(Mutex::default);
 
-/// Addresses for one node. They are below the ports that the system gives to
-/// outgoing connections: such a connection could take a stopped node's port,
-/// and the node couldn't be started again.
+/// Allocates the addresses of one node. Their ports are below the ephemeral
+/// port range: an outgoing connection could otherwise take the port of a
+/// stopped node, and the node couldn't be restarted.
 pub(crate) fn draw() -> miette::Result<NodeAddrs> {
     let mut ports = PORTS.lock().unwrap_or_else(PoisonError::into_inner);
     let mut take = || ports.take().into_diagnostic();
--- a/crates/bench/src/control_fleet/fleet.rs
+++ b/crates/bench/src/control_fleet/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet itself.
+//! Start and state of the fleet.
 
 use std::sync::Arc;
 use std::thread;
@@ -28,19 +28,19 @@
 use crate::generate::Shape;
 use crate::usage::ThreadUsage;
 
-/// Threads that the nodes share.
+/// Number of threads that the nodes share.
 const NODE_THREADS: usize = 8;
 
-/// Name of those threads.
+/// Name of the threads that run the nodes.
 const NODE_THREAD_NAME: &str = "node";
 
-/// Threads of the stand-ins.
+/// Number of threads of the stand-ins.
 const STANDIN_THREADS: usize = 2;
 
-/// How often a condition is looked at.
+/// Interval between two checks of a condition.
 const LOOK: Duration = Duration::from_millis(2);
 
-/// Connections that the one target takes: every node probes it.
+/// Connection limit of the target, which every node probes.
 const TARGET_CONNECTIONS: u32 = 4_096;
 
 /// Nodes, a platform and a target in this process.
@@ -96,23 +96,23 @@
         Ok((fleet, publisher))
     }
 
-    /// The nodes.
+    /// All nodes, running or not.
     pub fn members(&self) -> &Arc<Vec<Member>> {
         &self.members
     }
 
-    /// The platform.
+    /// The platform that the nodes read.
     pub fn platform(&self) -> &Platform {
         &self.platform
     }
 
-    /// Where the nodes run.
+    /// Handle of the runtime on which the nodes run.
     pub fn handle(&self) -> &Handle {
         self.nodes.handle()
     }
 
-    /// Waits until a catalogue of at least that revision is in force on all
-    /// members that run.
+    /// Waits until a catalogue of at least the revision of `version` is in
+    /// force on all running members.
     ///
     /// # Errors
     ///
@@ -126,14 +126,15 @@
             }
             if since.elapsed() > bound {
                 return Err(miette!(
-                    "{behind} nodes don't hold {version} after {bound:?}"
+                    "{version} is not in force on {behind} nodes after {bound:?}"
                 ));
             }
             thread::sleep(LOOK);
         }
     }
 
-    /// How many running members don't hold that revision yet.
+    /// Number of running members on which the revision of `version` isn't in
+    /// force yet.
     pub fn behind(&self, version: Version) -> usize {
         let holds = |member: &&Member| match member.in_force() {
             Some(held) => held.catalogue().revision() >= version.revision(),
@@ -142,7 +143,7 @@
         self.members.len() - self.members.iter().filter(holds).count()
     }
 
-    /// Control traffic of all members that run, added up.
+    /// Sum of the control traffic of all running members.
     pub fn control_stats(&self) -> ControlStats {
         let mut sum = ControlStats::default();
         for node in self.members.iter().filter_map(Member::node) {
@@ -156,11 +157,11 @@
         sum
     }
 
-    /// Processor time of all nodes so far.
+    /// Processor time of all nodes since the start.
     ///
     /// # Errors
     ///
-    /// Fails where the system keeps no such accounts.
+    /// Fails where the operating system has no `/proc`.
     pub fn cpu(&self) -> miette::Result<Duration> {
         Ok(ThreadUsage::now()?.of(NODE_THREAD_NAME))
     }
--- a/crates/bench/src/control_fleet/member.rs
+++ b/crates/bench/src/control_fleet/member.rs
@@ -1,4 +1,4 @@
-//! One node of the fleet.
+//! A node of the fleet that can be crashed and restarted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,13 +22,13 @@
 use super::addrs;
 use super::settings::Common;
 
-/// Starts of a node that are tried again.
+/// Maximum number of retries of a node's start.
 const START_TRIES: u32 = 40;
 
-/// Time between two tries of a restart.
+/// Interval between two attempts to restart a node.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A node that can be crashed and started again under its addresses.
+/// A node that can be crashed, and restarted under the same addresses.
 #[derive(Debug)]
 pub struct Member {
     instance: Instance,
@@ -52,7 +52,7 @@
 }
 
 impl Member {
-    /// Starts a node beside `instance` on free ports.
+    /// Starts the node of `instance` on free ports.
     pub(super) fn start(
         handle: &Handle,
         common: &Common,
@@ -64,7 +64,7 @@
             let settings = common.settings(&instance, addrs, &[])?;
             match Life::start(handle, settings) {
                 Ok(life) => break (addrs, life),
-                // Another process was given the port in between.
+                // Another process took a port before the node listened on it.
                 Err(_) if tries > 0 => tries -= 1,
                 Err(err) => return Err(err),
             }
@@ -79,35 +79,36 @@
         })
     }
 
-    /// The instance as the list has it.
+    /// The instance as it is listed.
     pub fn instance(&self) -> &Instance {
         &self.instance
     }
 
-    /// The running node, if it runs.
+    /// The node, if it runs.
     pub fn node(&self) -> Option<RunningNode> {
         self.lock().as_ref().map(|life| life.node.clone())
     }
 
-    /// What the node serves by, once it takes requests.
+    /// The snapshot in force, once the node accepts requests.
     pub fn in_force(&self) -> Option<Arc<Snapshot>> {
         let life = self.lock();
         let node = &life.as_ref()?.node;
-        // A node that hasn't joined holds a snapshot that nobody is served by.
+        // Before it has joined, a node serves no request from its snapshot.
         if node.shared().phase() < Phase::Ready {
             return None;
         }
         node.snapshot()
     }
 
-    /// Begins to end the node at once, as a crash does.
+    /// Starts an abrupt stop of the node, as in a crash, without waiting for
+    /// its end.
     pub fn begin_crash(&self) {
         if let Some(life) = self.lock().as_ref() {
             life.cancel.cancel();
         }
     }
 
-    /// Ends the node at once, as a crash does, and waits until its ports are
+    /// Stops the node abruptly, as in a crash, and waits until its ports are
     /// free.
     ///
     /// # Errors
@@ -122,7 +123,7 @@
         Ok(())
     }
 
-    /// Starts the node again under its addresses.
+    /// Restarts the node under the same addresses.
     ///
     /// # Errors
     ///
@@ -136,8 +137,8 @@
                     *self.lock() = Some(life);
                     return Ok(());
                 }
-                // Another process that looks for free ports may hold one of
-                // the node's for a moment.
+                // Another process that probes for free ports may hold one of
+                // the node's ports for a moment.
                 Err(_) if tries > 0 => tries -= 1,
                 Err(err) => return Err(err),
             }
--- a/crates/bench/src/control_fleet/options.rs
+++ b/crates/bench/src/control_fleet/options.rs
@@ -1,44 +1,44 @@
-//! What a fleet is started with.
+//! Options of a fleet.
 
 use crate::generate::Shape;
 
-/// A fleet's size and how its nodes spread versions.
+/// Size of a fleet and settings of the dissemination.
 #[derive(Debug, Clone)]
 pub struct FleetOptions {
-    /// Nodes that run; the list may have more endpoints.
+    /// Number of running nodes; the list may have more endpoints.
     pub nodes: usize,
     /// Size of the catalogue and of the list.
     pub shape: Shape,
-    /// Whether every node reads the platform for itself.
+    /// Whether every node reads the platform itself.
     pub naive: bool,
-    /// Whether the platform hands out its values compressed.
+    /// Whether the platform serves its values compressed.
     pub compress: bool,
     /// Settings that differ from the defaults.
     pub tuning: Tuning,
 }
 
-/// Settings of spreading that a run may change; absent ones keep the node's
-/// defaults.
+/// Settings of the dissemination that a run may override; absent ones keep
+/// the node's defaults.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Tuning {
-    /// Peers that hear of news at once.
+    /// Number of peers to which a new version is announced at once.
     pub fanout: Option<u32>,
-    /// Milliseconds between regular comparisons.
+    /// Interval of anti-entropy, in milliseconds.
     pub interval_ms: Option<u64>,
-    /// Milliseconds that news is held back.
+    /// Delay before an announcement is forwarded, in milliseconds.
     pub linger_ms: Option<u64>,
-    /// The largest change that goes out with its announcement, in bytes.
+    /// Largest change that is sent with its announcement, in bytes.
     pub eager_bytes: Option<u64>,
     /// Readers in each failure domain.
     pub readers: Option<u32>,
-    /// Percent of peers picked outside of the failure domain.
+    /// Percentage of peers picked outside of the failure domain.
     pub cross_domain_percent: Option<u32>,
-    /// Milliseconds that the platform may hold a watching read.
+    /// Longest time that the platform holds a watch, in milliseconds.
     pub watch_ms: Option<u64>,
 }
 
 impl Tuning {
-    /// The settings as a section of YAML, each as one `key: value`.
+    /// The settings that are present, each as a YAML entry `key: value`.
     pub(super) fn entries(&self) -> Vec<String> {
         let settings = [
             ("fanout", self.fanout.map(u64::from)),
--- a/crates/bench/src/control_fleet/publisher.rs
+++ b/crates/bench/src/control_fleet/publisher.rs
@@ -1,4 +1,4 @@
-//! Publishing, with a record of what was published.
+//! Publication of versions and the snapshots expected from them.
 
 use miette::IntoDiagnostic;
 use miette::miette;
@@ -14,8 +14,8 @@
 
 use crate::generate::GeneratedCatalogue;
 
-/// An operator and the platform's list: they publish, and work out what a
-/// node that holds it must hold.
+/// Publishes catalogues and the instance list, and computes the snapshot that
+/// nodes must build from them.
 #[derive(Debug)]
 pub struct Publisher {
     generated: GeneratedCatalogue,
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the platform refuses one, for instance for its size.
+    /// Fails if the platform rejects one, for instance because of its size.
     pub fn start(
         platform: &Platform,
         generated: GeneratedCatalogue,
@@ -49,41 +49,42 @@
     ///
     /// # Errors
     ///
-    /// Fails if the platform refuses it.
+    /// Fails if the platform rejects it.
     pub fn change(&mut self, platform: &Platform) -> miette::Result<Version> {
         self.generated.change();
         self.publish(platform)
     }
 
-    /// Publishes a catalogue that parses but doesn't bind.
+    /// Publishes a catalogue that parses, but from which no snapshot can be
+    /// built.
     ///
     /// # Errors
     ///
-    /// Fails if the platform refuses it.
+    /// Fails if the platform rejects it.
     pub fn publish_bad(&mut self, platform: &Platform) -> miette::Result<Version> {
         let text = self.generated.bad_text();
         let revision = platform.publish_catalogue(&text).into_diagnostic()?;
         Ok(read(revision, &text)?.version())
     }
 
-    /// The newest good catalogue's version.
+    /// The version of the newest valid catalogue.
     pub fn catalogue(&self) -> Option<Version> {
         self.catalogue.as_ref().map(Catalogue::version)
     }
 
-    /// The list's version.
+    /// The version of the instance list.
     pub fn instances(&self) -> Version {
         self.instances.version()
     }
 
-    /// What a node that holds the newest good versions must hold.
+    /// Facts of the snapshot of the newest valid versions.
     ///
     /// # Errors
     ///
-    /// Fails if what was generated doesn't bind.
+    /// Fails if no snapshot can be built from the generated versions.
     pub fn expected(&self) -> miette::Result<SnapshotFacts> {
         let catalogue = self.catalogue.as_ref();
-        let catalogue = catalogue.ok_or_else(|| miette!("nothing was published"))?;
+        let catalogue = catalogue.ok_or_else(|| miette!("no catalogue was published"))?;
         let snapshot = Snapshot::build(catalogue, &self.instances).into_diagnostic()?;
         SnapshotFacts::of(&snapshot).into_diagnostic()
     }
--- a/crates/bench/src/control_fleet/seen.rs
+++ b/crates/bench/src/control_fleet/seen.rs
@@ -1,4 +1,4 @@
-//! What the watcher saw.
+//! Observations of the watcher.
 
 use std::sync::Arc;
 
@@ -8,18 +8,18 @@
 use sassafrasspool_core::Version;
 use sassafrasspool_core::history::SnapshotFacts;
 
-/// A snapshot that a member was seen to have put in force.
+/// The observation that a member put a snapshot in force.
 #[derive(Debug, Clone)]
 pub struct Seen {
-    /// When it was seen.
+    /// When it was observed.
     pub at: Tick,
-    /// The member's number.
+    /// The member's index.
     pub member: usize,
     /// The catalogue's version.
     pub catalogue: Version,
     /// The instance list's version.
     pub instances: Version,
-    /// The facts of the snapshot, if the watcher was told to take them.
+    /// The facts of the snapshot, if the watcher records them.
     pub held: Option<Arc<SnapshotFacts>>,
 }
 
--- a/crates/bench/src/control_fleet/settings.rs
+++ b/crates/bench/src/control_fleet/settings.rs
@@ -9,7 +9,7 @@
 
 use super::Tuning;
 
-/// What all nodes of a fleet are told alike.
+/// Settings that all nodes of a fleet share.
 #[derive(Debug, Clone)]
 pub(crate) struct Common {
     pub(crate) platform: SocketAddr,
@@ -19,7 +19,7 @@
 }
 
 impl Common {
-    /// Settings of the node beside `instance`.
+    /// Settings of the node of `instance`.
     pub(super) fn settings(
         &self,
         instance: &Instance,
@@ -27,10 +27,10 @@
         seeds: &[SocketAddr],
     ) -> miette::Result<Settings> {
         let text = self.text(instance, addrs, seeds);
-        Settings::parse(&text).map_err(|faults| miette!("settings of a node: {faults}"))
+        Settings::parse(&text).map_err(|faults| miette!("invalid node settings: {faults}"))
     }
 
-    /// The text of these settings.
+    /// The settings of the node of `instance` as YAML.
     pub(crate) fn text(
         &self,
         instance: &Instance,
--- a/crates/bench/src/control_fleet/watcher.rs
+++ b/crates/bench/src/control_fleet/watcher.rs
@@ -1,4 +1,4 @@
-//! Watching when each member puts a snapshot in force.
+//! Observation of when each member puts a snapshot in force.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -17,11 +17,11 @@
 use super::Member;
 use super::Seen;
 
-/// How often all members are looked at. It bounds the error of a convergence
-/// time, and is far below the times that are measured.
+/// Polling interval of all members. It bounds the error of a convergence time
+/// and is far below the measured times.
 const LOOK: Duration = Duration::from_millis(1);
 
-/// A thread that looks at all members, on the run's clock.
+/// A thread that polls all members, with a clock that starts with it.
 #[derive(Debug)]
 pub struct Watcher {
     shared: Arc<Shared>,
@@ -38,7 +38,8 @@
 }
 
 impl Watcher {
-    /// Begins to watch; with `facts`, every snapshot is followed through.
+    /// Starts the thread; with `facts`, the facts of every snapshot are
+    /// recorded.
     pub fn start(members: Arc<Vec<Member>>, facts: bool) -> Watcher {
         let shared = Arc::new(Shared {
             origin: Instant::now(),
@@ -54,17 +55,17 @@
         }
     }
 
-    /// The present tick of the run's clock.
+    /// The current tick of the watcher's clock.
     pub fn now(&self) -> Tick {
         self.shared.now()
     }
 
-    /// All that was seen so far, in the order of seeing.
+    /// All observations so far, in their order.
     pub fn seen(&self) -> Vec<Seen> {
         self.shared.lock().clone()
     }
 
-    /// Takes what was seen so far.
+    /// Removes and returns all observations so far.
     pub fn take(&self) -> Vec<Seen> {
         std::mem::take(&mut *self.shared.lock())
     }
@@ -104,7 +105,8 @@
             *last = None;
             return;
         };
-        // The last snapshot is kept, so that its address can't be reused.
+        // `last` keeps the snapshot alive, so that a new one can't get its
+        // address and be mistaken for it.
         if last
             .as_ref()
             .is_some_and(|last| Arc::ptr_eq(last, &snapshot))
--- a/crates/bench/src/core_cost.rs
+++ b/crates/bench/src/core_cost.rs
@@ -1,8 +1,10 @@
-//! What the decisions themselves cost at any fleet size, without I/O.
+//! The verb `core-cost`: the cost of the dissemination's state machine at any
+//! fleet size, without I/O.
 //!
-//! Two machines are driven by hand: one reads the platform, the other hears
-//! from it as from every other peer. The list has as many members as asked
-//! for, so that what depends on the fleet's size shows on one machine.
+//! Two state machines run without a network: one reads the platform, the other
+//! receives versions from it as from any peer. The list has as many members as
+//! requested, so that costs which depend on the fleet's size show with one
+//! machine.
 
 pub use self::report::CoreCost;
 pub use self::run::run;
--- a/crates/bench/src/core_cost/driven.rs
+++ b/crates/bench/src/core_cost/driven.rs
@@ -1,4 +1,4 @@
-//! One machine, driven by hand.
+//! A state machine that is driven without I/O.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,25 +24,25 @@
 
 use super::source::Source;
 
-/// Steps of time that joining may take.
+/// Maximum number of time steps until the machine has joined.
 const MAX_STEPS: usize = 20_000;
 
-/// Length of a step while joining.
+/// Length of a time step while joining.
 const STEP: Duration = Duration::from_millis(5);
 
-/// A machine with what it asked for.
+/// A state machine with its pending calls and reads.
 #[derive(Debug)]
 pub(super) struct Driven {
     pub(super) id: InstanceId,
     machine: SpreadMachine,
     joined: bool,
-    /// What it put in force last.
+    /// The snapshot in force.
     pub(super) snapshot: Option<Arc<Snapshot>>,
-    /// Calls that nobody has answered yet.
+    /// Calls without an answer yet.
     pub(super) calls: Vec<Call>,
-    /// Streams whose reads the platform holds.
+    /// Streams with a pending read of the platform.
     pub(super) watches: Vec<Stream>,
-    /// Time that the machine has used since this was last taken.
+    /// Time spent in the machine since the last [`Driven::take_used`].
     used: Duration,
 }
 
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Lets the machine join, alone with the platform: its peers fail.
+    /// Runs the machine until it has joined. Its reads are answered; its calls
+    /// to peers fail.
     pub(super) fn join(&mut self, now: &mut Tick, source: &Source) -> miette::Result<()> {
         for _ in 0..MAX_STEPS {
             *now = *now + STEP;
@@ -85,7 +86,7 @@
         Err(miette!("the machine didn't join"))
     }
 
-    /// Tells the time, if that is due.
+    /// Wakes the machine up, if that is due.
     pub(super) fn wake(&mut self, now: Tick) {
         if self.machine.next_wakeup() <= now {
             self.handle(now, Event::Wakeup);
@@ -114,7 +115,7 @@
         reply
     }
 
-    /// Ends the watches: the platform has nothing newer.
+    /// Answers the pending reads: the platform has no newer version.
     pub(super) fn end_watches(&mut self, now: Tick) {
         for stream in std::mem::take(&mut self.watches) {
             let result = SourceResult::Unchanged { newest: None };
@@ -128,17 +129,17 @@
         Some([snapshot.catalogue(), snapshot.instances()])
     }
 
-    /// Whether it reads the platform.
+    /// Whether the machine reads the platform.
     pub(super) fn reads(&self, now: Tick) -> bool {
         self.machine.status(now).reading
     }
 
-    /// The time used since the last call of this.
+    /// The time spent in the machine since the last call of this method.
     pub(super) fn take_used(&mut self) -> Duration {
         std::mem::take(&mut self.used)
     }
 
-    /// Takes the calls of one kind; the others fail.
+    /// Removes and returns the pending calls of one kind; the others fail.
     pub(super) fn take_calls(&mut self, now: Tick, kind: &str) -> Vec<Call> {
         let calls = std::mem::take(&mut self.calls);
         let (wanted, rest): (Vec<Call>, Vec<Call>) = calls
--- a/crates/bench/src/core_cost/report.rs
+++ b/crates/bench/src/core_cost/report.rs
@@ -1,35 +1,38 @@
-//! What is reported.
+//! Report of a run.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Costs of one node's decisions; times are medians in microseconds of one
+/// Costs of one node's state machine. Times are medians in microseconds of one
 /// core.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct CoreCost {
-    /// Members of the list, each with a node.
+    /// Members of the instance list, each with a node.
     pub members: usize,
     /// Services in the catalogue.
     pub services: usize,
-    /// To read and judge the platform's text of a change, and announce it.
+    /// Time to parse and validate a change read from the platform, and to
+    /// announce it.
     pub reader_us_per_change: f64,
-    /// To take a change in from an announcement or a pull, and announce it.
+    /// Time to apply a change from an announcement or a pull, and to announce
+    /// it.
     pub member_us_per_change: f64,
-    /// To give a change to a peer that asks.
+    /// Time to serve a change to a peer that pulls it.
     pub serve_us_per_change: f64,
-    /// To take in one instance's change of the list.
+    /// Time to apply a change of one instance in the list.
     pub list_us_per_change: f64,
-    /// To begin a regular comparison and take in its answer.
+    /// Time to start an anti-entropy exchange and to process its answer.
     pub sync_us: f64,
-    /// To answer a regular comparison.
+    /// Time to answer an anti-entropy exchange.
     pub sync_answer_us: f64,
-    /// To take in a change of one endpoint's phase, and tell it.
+    /// Time to apply a change of one endpoint's phase, and to announce it.
     pub state_us: f64,
-    /// To bind another snapshot for choosing endpoints.
+    /// Time to build the endpoint picker of a new snapshot.
     pub bind_us: f64,
-    /// Bytes of an announcement with one change.
+    /// Bytes of an announcement of one change.
     pub announce_bytes: usize,
-    /// Bytes of a comparison and of its answer, if nothing differs.
+    /// Bytes of an anti-entropy exchange without differences, in both
+    /// directions.
     pub sync_bytes: usize,
     /// Bytes of the whole catalogue as peers send it, compressed.
     pub catalogue_bytes: usize,
@@ -39,6 +42,6 @@
     pub published_list_bytes: usize,
     /// Bytes of the catalogue as the platform publishes it.
     pub published_catalogue_bytes: usize,
-    /// Resident bytes of one node's decisions with all that they hold.
+    /// Resident memory of one state machine with its versions, in bytes.
     pub state_bytes: f64,
 }
--- a/crates/bench/src/core_cost/run.rs
+++ b/crates/bench/src/core_cost/run.rs
@@ -1,4 +1,4 @@
-//! The measurement.
+//! Run of the verb `core-cost`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,25 +32,25 @@
 use crate::generate::Shape;
 use crate::usage::ProcessUsage;
 
-/// Repetitions of each measurement; the median is told.
+/// Repetitions of each measurement, of which the median is reported.
 const REPEATS: usize = 15;
 
-/// Machines by which the memory of one is measured.
+/// Number of machines over which memory is averaged.
 const COPIES: usize = 8;
 
-/// Steps of time that something may take.
+/// Maximum number of time steps until a machine reads the platform.
 const MAX_STEPS: usize = 20_000;
 
-/// Steps of time that a change may take from one machine to the other.
+/// Maximum number of time steps until the member holds the reader's versions.
 const MAX_PASSES: usize = 100;
 
-/// Endpoint states that one message brings.
+/// Number of endpoint states in one message.
 const STATES_AT_ONCE: usize = 256;
 
-/// Time that passes between two steps.
+/// Length of a time step.
 const STEP: Duration = Duration::from_millis(200);
 
-/// Two machines and the platform.
+/// A machine that reads the platform, and one that receives from it.
 struct Pair {
     now: Tick,
     source: Source,
@@ -58,11 +58,12 @@
     member: Driven,
 }
 
-/// Measures the decisions of one node in a fleet of that shape.
+/// Measures the state machine of one node in a fleet of this shape.
 ///
 /// # Errors
 ///
-/// Fails if a machine doesn't join, which would be a fault of the driver.
+/// Fails if a machine doesn't join, read or converge, which would be a fault
+/// of this driver.
 pub fn run(shape: Shape) -> miette::Result<CoreCost> {
     let source = Source::new(shape)?;
     let state_bytes = state_bytes(&source)?;
@@ -98,7 +99,7 @@
     })
 }
 
-/// Measured times.
+/// Measured times, and the size of an anti-entropy exchange.
 #[derive(Debug, Default)]
 struct Times {
     reader: Vec<Duration>,
@@ -130,8 +131,8 @@
         Ok(pair)
     }
 
-    /// Lets time pass until the first machine has stepped in as a reader,
-    /// since none of the others answers.
+    /// Advances time until the first machine has taken over as a reader,
+    /// because no other peer answers.
     fn until_reading(&mut self) -> miette::Result<()> {
         for _ in 0..MAX_STEPS {
             if self.reader.reads(self.now) {
@@ -142,8 +143,8 @@
         Err(miette!("the machine doesn't read"))
     }
 
-    /// One change of the catalogue, from the platform to the member; gives
-    /// the size of its announcement.
+    /// Measures one change of the catalogue, from the platform to the member,
+    /// and returns the size of its announcement.
     fn change(&mut self, taken: &mut Times) -> miette::Result<usize> {
         self.source.change_catalogue();
         self.settle();
@@ -156,7 +157,7 @@
         Ok(bytes)
     }
 
-    /// One change of the list, from the platform to the member.
+    /// Measures one change of the list, from the platform to the member.
     fn relist(&mut self, i: usize, taken: &mut Times) -> miette::Result<()> {
         self.source.change_instance(i);
         self.settle();
@@ -167,7 +168,7 @@
         Ok(())
     }
 
-    /// One regular comparison.
+    /// Measures one anti-entropy exchange.
     fn compare(&mut self, taken: &mut Times) -> miette::Result<()> {
         self.settle();
         let mut syncs = Vec::new();
@@ -190,7 +191,8 @@
         Ok(())
     }
 
-    /// Both machines hear of all endpoints, as after some time in a fleet.
+    /// Announces the states of all endpoints to both machines, as they receive
+    /// them in a fleet after some time.
     fn announce_all_states(&mut self) {
         let instances = self.source.instances.clone();
         for some in instances.chunks(STATES_AT_ONCE) {
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Binds what the member put in force last.
+    /// Measures building a picker for the snapshot in force on the member.
     fn bind(&mut self, taken: &mut Times) {
         let Some(snapshot) = &self.member.snapshot else {
             return;
@@ -223,7 +225,7 @@
         drop(picker);
     }
 
-    /// One endpoint's change of phase, as an announcement brings it.
+    /// Measures one endpoint's change of phase that arrives in an announcement.
     fn announce_state(&mut self, i: usize, taken: &mut Times) {
         self.settle();
         let instance = &self.source.instances[i % self.source.instances.len()];
@@ -238,7 +240,8 @@
         self.settle();
     }
 
-    /// Lets what is under way end: calls fail, and time passes.
+    /// Advances time and ends what is in flight: calls fail, and reads return
+    /// no newer version.
     fn settle(&mut self) {
         for _ in 0..3 {
             self.now = self.now + STEP;
@@ -252,7 +255,7 @@
         self.member.take_used();
     }
 
-    /// The platform answers the reader's watch.
+    /// Answers the reader's pending read of `stream`.
     fn read(&mut self, stream: Stream) -> miette::Result<()> {
         for _ in 0..MAX_STEPS {
             if let Some(at) = self.reader.watches.iter().position(|it| *it == stream) {
@@ -271,8 +274,8 @@
         Err(miette!("the reader doesn't read {stream}"))
     }
 
-    /// What the reader announces reaches the member, which pulls what didn't
-    /// come with it and announces in turn. Gives the size of the first
+    /// Delivers the reader's announcements to the member, which pulls what they
+    /// don't contain and announces in turn. Returns the size of the first
     /// announcement.
     fn pass_on(&mut self) -> miette::Result<usize> {
         let mut bytes = None;
@@ -317,7 +320,7 @@
     })
 }
 
-/// Sizes of whole bodies.
+/// Sizes of whole versions in bytes.
 #[derive(Debug)]
 struct Sizes {
     catalogue: usize,
@@ -342,7 +345,7 @@
     }
 }
 
-/// Resident memory of one machine that has joined.
+/// Resident memory of one machine that has joined, in bytes.
 fn state_bytes(source: &Source) -> miette::Result<f64> {
     let before = ProcessUsage::of_self()?.own_bytes;
     let mut machines = Vec::new();
@@ -355,7 +358,7 @@
     Ok(after.saturating_sub(before) as f64 / machines.len() as f64)
 }
 
-/// Bytes of a message as it goes over the wire, without its envelope.
+/// Bytes of a message on the wire, without its envelope.
 fn size(message: &impl serde::Serialize) -> miette::Result<usize> {
     match Packed::pack(message).into_diagnostic()? {
         Packed::Plain(bytes) | Packed::Zstd(bytes) => Ok(bytes.len()),
--- a/crates/bench/src/core_cost/source.rs
+++ b/crates/bench/src/core_cost/source.rs
@@ -1,4 +1,4 @@
-//! A platform as the decisions see it.
+//! A simulated platform without I/O.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 use crate::generate::GeneratedFleet;
 use crate::generate::Shape;
 
-/// What is published.
+/// The published catalogue and instance list.
 #[derive(Debug)]
 pub(super) struct Source {
     pub(super) catalogue: GeneratedCatalogue,
--- a/crates/bench/src/core_cost/tests.rs
+++ b/crates/bench/src/core_cost/tests.rs
@@ -1,8 +1,8 @@
 use super::run;
 use crate::generate::Shape;
 
-// The driver must bring each change from the platform to the member; else the
-// figures would be those of doing nothing.
+// Guards against a driver that doesn't deliver each change from the platform
+// to the member, so that the figures are those of an idle machine.
 #[test]
 fn each_change_reaches_the_member() {
     let cost = run(Shape {
--- a/crates/bench/src/fault.rs
+++ b/crates/bench/src/fault.rs
@@ -1,5 +1,5 @@
-//! The verb `fault`: what the fleet's configuration does while nodes, network
-//! and source fail, judged by the history checker.
+//! The verb `fault`: the versions in force on a fleet while nodes, network and
+//! source fail, checked by the history checker.
 
 pub use self::case::Case;
 pub use self::options::Options;
--- a/crates/bench/src/fault/case.rs
+++ b/crates/bench/src/fault/case.rs
@@ -1,21 +1,22 @@
-//! The cases by name.
+//! Fault cases and their names.
 
-/// What fails in a run.
+/// A scripted sequence of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Case {
-    /// All nodes crash at once and come back at once.
+    /// All nodes crash at once and restart at once.
     HerdRestart,
-    /// The source is out, twice, while changes are published.
+    /// The source has two outages while changes are published.
     Outage,
-    /// The source goes back to an old revision, and nodes restart meanwhile.
+    /// The source serves an old revision while nodes restart.
     Stale,
-    /// Nodes stop for long and wake believing old things.
+    /// Nodes are paused for long and resume with stale state.
     Pause,
-    /// Regions and failure domains are parted, and heal.
+    /// Regions and failure domains are partitioned, and the partitions end.
     Partition,
-    /// Readers die as a change is published.
+    /// Readers crash when a change is published.
     ReaderLoss,
-    /// A bad version stands between two good ones while a node restarts.
+    /// An invalid version is published between two valid ones while nodes
+    /// restart.
     BadVersion,
     /// Several of these at once, drawn from the seed.
     Mixed,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The cases that a name stands for: one, or all of them for `all`.
+    /// The case of this name, or all cases for `all`.
     pub fn named(name: &str) -> Option<Vec<Case>> {
         if name == "all" {
             return Some(Case::ALL.to_vec());
--- a/crates/bench/src/fault/disturbance.rs
+++ b/crates/bench/src/fault/disturbance.rs
@@ -1,4 +1,4 @@
-//! What can be done to a fleet, begun and ended.
+//! Faults of a fleet that can be started and ended.
 
 use rand::RngExt;
 use sassafrasspool_core::Version;
@@ -8,23 +8,23 @@
 /// Failure domains of a generated fleet.
 const DOMAINS: usize = 4;
 
-/// Something that is wrong for a while.
+/// A temporary fault.
 #[derive(Debug, Clone)]
 pub(super) enum Disturbance {
     /// These nodes are down.
     Crash(Vec<usize>),
-    /// These nodes' processes stand still.
+    /// The control sides of these nodes are paused.
     Pause(Vec<usize>),
-    /// These nodes are parted from the others and from the platform.
+    /// These nodes are partitioned from the others and from the platform.
     Part(Vec<usize>),
-    /// The source is out.
+    /// The source has an outage.
     Outage,
     /// The source serves this old version.
     Stale(Version),
 }
 
 impl Disturbance {
-    /// One of each kind, of which those that are drawn are used.
+    /// Draws two or three faults of different kinds.
     pub(super) fn draw(stage: &mut Stage, old: Version) -> Vec<Disturbance> {
         let quarter = (stage.len() / 4).max(1);
         let domain = stage.rng.random_range(0..DOMAINS);
--- a/crates/bench/src/fault/options.rs
+++ b/crates/bench/src/fault/options.rs
@@ -3,11 +3,11 @@
 use super::Case;
 use crate::control_fleet::FleetOptions;
 
-/// Which cases to run, on what fleet.
+/// The cases to run, and the fleet.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The cases, one after the other, each on a fleet of its own.
+    /// The cases, run one after the other, each on its own fleet.
     pub cases: Vec<Case>,
-    /// The fleet.
+    /// Options of each fleet.
     pub fleet: FleetOptions,
 }
--- a/crates/bench/src/fault/report.rs
+++ b/crates/bench/src/fault/report.rs
@@ -1,4 +1,4 @@
-//! What a run reports.
+//! Report of a run.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
 /// Figures of all cases of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Nodes that ran in each case.
+    /// Number of running nodes in each case.
     pub nodes: usize,
-    /// What random choices came from.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Violations over all cases.
+    /// Number of violations over all cases.
     pub violations: usize,
-    /// The cases.
+    /// Figures by case.
     pub cases: Vec<CaseReport>,
 }
 
@@ -24,21 +24,22 @@
 pub struct CaseReport {
     /// The case's name.
     pub case: &'static str,
-    /// Violations that the history checker found.
+    /// Number of violations that the history checker found.
     pub violations: usize,
-    /// How many of each promise, if any.
+    /// Number of violations by guarantee.
     pub broken: BTreeMap<String, usize>,
-    /// Some of them in words.
+    /// The first violations as text.
     pub examples: Vec<String>,
-    /// From when a version was published, or the node or the source came
-    /// back, until it was in force; over nodes and versions.
+    /// Time until a version was in force, over nodes and versions. It is
+    /// measured from the publication or, if that was later, from the return of
+    /// the node or of the source.
     pub convergence_ms: SummaryMs,
-    /// The most reads of the platform within one second.
+    /// Largest number of platform reads within one second.
     pub source_reads_peak_per_s: u64,
-    /// All reads of the platform.
+    /// Number of platform reads.
     pub source_reads: u64,
-    /// Snapshots that were seen to come into force.
+    /// Number of observed changes of the snapshot in force.
     pub applied: usize,
-    /// How long the case took in seconds.
+    /// Duration of the case, in seconds.
     pub seconds: f64,
 }
--- a/crates/bench/src/fault/run.rs
+++ b/crates/bench/src/fault/run.rs
@@ -1,4 +1,4 @@
-//! Running cases.
+//! Run of the verb `fault`.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -13,14 +13,14 @@
 use super::script;
 use super::stage::Stage;
 
-/// Violations that are told in words.
+/// Maximum number of violations that a case's report has as text.
 const EXAMPLES: usize = 5;
 
 /// Runs the cases one after the other.
 ///
 /// # Errors
 ///
-/// Fails if a fleet can't be started or a node not restarted.
+/// Fails if a fleet can't be started or a node can't be restarted.
 pub fn run(opts: &Options) -> miette::Result<Report> {
     let mut cases = Vec::new();
     for &case in &opts.cases {
--- a/crates/bench/src/fault/script.rs
+++ b/crates/bench/src/fault/script.rs
@@ -1,4 +1,4 @@
-//! What happens in each case, in which order.
+//! The sequence of faults in each case.
 
 use rand::RngExt;
 
@@ -6,14 +6,14 @@
 use super::disturbance::Disturbance;
 use super::stage::Stage;
 
-/// Milliseconds for which a paused process stands still: above the gap from
-/// which a node takes itself for paused.
+/// Duration of a long pause, in milliseconds. It is longer than the gap from
+/// which a node detects that it was paused.
 const LONG_PAUSE_MS: u64 = 9_000;
 
-/// Rounds of the mixed case.
+/// Number of rounds of the mixed case.
 const ROUNDS: usize = 3;
 
-/// Runs a case up to the point where everything is healed.
+/// Runs a case until all faults have ended and the last version is in force.
 pub(super) fn play(case: Case, stage: &mut Stage) -> miette::Result<()> {
     match case {
         Case::HerdRestart => herd_restart(stage),
@@ -27,8 +27,8 @@
     }
 }
 
-/// Power comes back everywhere in one moment: every node believes itself
-/// alone, and a change was published that none of them has seen.
+/// Power returns everywhere at once: no node has a running peer at its start,
+/// and a change was published that no node has received.
 fn herd_restart(stage: &mut Stage) -> miette::Result<()> {
     let all: Vec<usize> = (0..stage.len()).collect();
     stage.change()?;
@@ -40,8 +40,8 @@
     Ok(())
 }
 
-/// The source fails while operators publish; what is in force stays. It comes
-/// back, and fails again as the readers have only just returned.
+/// The source fails while operators publish; the versions in force stay. It
+/// recovers, and fails again shortly after the readers have reconnected.
 fn outage(stage: &mut Stage) -> miette::Result<()> {
     for wait_ms in [4_000, 2_000] {
         stage.begin_outage();
@@ -55,8 +55,8 @@
     Ok(())
 }
 
-/// The source goes back two versions. Nodes that restart read it, and must
-/// still not serve what the others have left behind.
+/// The source goes back two versions. Nodes that restart read the old version
+/// and must not put it in force, as their peers have newer ones.
 fn stale(stage: &mut Stage) -> miette::Result<()> {
     let old = stage.change()?;
     stage.settle();
@@ -76,8 +76,8 @@
     Ok(())
 }
 
-/// Processes stand still through three changes and wake with their timers
-/// long due and old answers in their queues.
+/// Nodes are paused during three changes and resume with expired timers and
+/// old answers in their queues.
 fn pause(stage: &mut Stage) -> miette::Result<()> {
     let quarter = stage.len() / 4;
     let some = stage.some(quarter.max(1));
@@ -91,8 +91,9 @@
     Ok(())
 }
 
-/// The regions lose each other, each with its way to the platform: changes go
-/// on. Then a failure domain loses everybody and the platform, and heals.
+/// The regions are partitioned from each other, each with access to the
+/// platform, while changes are published. Then a failure domain is partitioned
+/// from all others and from the platform, and the partition ends.
 fn partition(stage: &mut Stage) -> miette::Result<()> {
     let region = [stage.domain(0), stage.domain(1)].concat();
     stage.part(&region, false);
@@ -113,7 +114,7 @@
     Ok(())
 }
 
-/// All readers but those of one failure domain die as a change is published.
+/// All readers outside of one failure domain crash when a change is published.
 fn reader_loss(stage: &mut Stage) -> miette::Result<()> {
     let number = stage.rng.random_range(0..4);
     let spared = stage.domain(number);
@@ -130,8 +131,8 @@
     Ok(())
 }
 
-/// The newest version is bad. It is passed over everywhere, also by a node
-/// that restarts and finds the last good one at its peers only.
+/// The newest version is invalid. All nodes skip it, including a restarted one
+/// that can get the last valid version only from its peers.
 fn bad_version(stage: &mut Stage) -> miette::Result<()> {
     stage.change()?;
     stage.settle();
@@ -147,8 +148,8 @@
     Ok(())
 }
 
-/// Two or three things are wrong at once, begin together and end in an order
-/// of their own, while changes go on; three times.
+/// In each of three rounds, two or three faults start together and end in
+/// random order while changes are published.
 fn mixed(stage: &mut Stage) -> miette::Result<()> {
     for _ in 0..ROUNDS {
         let old = stage.change()?;
--- a/crates/bench/src/fault/stage.rs
+++ b/crates/bench/src/fault/stage.rs
@@ -1,4 +1,4 @@
-//! The fleet of one case, with its history.
+//! The fleet of one case with the history of its faults.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -25,17 +25,18 @@
 use crate::control_fleet::Seen;
 use crate::control_fleet::Watcher;
 
-/// How long the fleet may take to start.
+/// Timeout for the start of the fleet.
 const START_BOUND: Duration = Duration::from_secs(60);
 
-/// How long a healed fleet may take at most, so that a run ends. It is above
-/// what the checker allows, so that lateness is found and not waited for.
+/// Limit of the wait for a version, so that a run ends. It is above the bound
+/// of the checker, so that a version that comes too late is found as a
+/// violation.
 const HEAL_BOUND: Duration = Duration::from_secs(25);
 
-/// Control addresses that a restarted node is told.
+/// Number of seeds in the settings of a restarted node.
 const SEEDS: usize = 3;
 
-/// A running fleet that records what is done to it.
+/// A running fleet that records the faults injected into it.
 #[derive(Debug)]
 pub(super) struct Stage {
     pub(super) rng: SmallRng,
@@ -44,20 +45,20 @@
     watcher: Watcher,
     history: History,
     timing: Timing,
-    /// How many disturbances take each node away at the moment.
+    /// Number of active faults by node that make it stopped or unreachable.
     lost: Vec<u32>,
     source_lost: u32,
     parted: Option<Parted>,
 }
 
-/// A partition: some nodes on one side, the rest on the other.
+/// A partition between the nodes of one side and all others.
 #[derive(Debug, Clone)]
 struct Parted {
     side: HashSet<usize>,
     from_platform: bool,
 }
 
-/// What is left of a stage.
+/// Records of a finished case.
 #[derive(Debug)]
 pub(super) struct Finished {
     pub(super) history: History,
@@ -95,7 +96,7 @@
         Ok(stage)
     }
 
-    /// How many nodes there are.
+    /// Number of nodes.
     pub(super) fn len(&self) -> usize {
         self.lost.len()
     }
@@ -111,7 +112,7 @@
         (0..members.len()).filter(of).collect()
     }
 
-    /// Publishes a good change.
+    /// Publishes a valid change of the catalogue.
     pub(super) fn change(&mut self) -> miette::Result<Version> {
         let at = self.watcher.now();
         let version = self.publisher.change(self.fleet.platform())?;
@@ -123,7 +124,7 @@
         Ok(version)
     }
 
-    /// Publishes a version that doesn't bind.
+    /// Publishes a version from which no snapshot can be built.
     pub(super) fn publish_bad(&mut self) -> miette::Result<()> {
         let at = self.watcher.now();
         let version = self.publisher.publish_bad(self.fleet.platform())?;
@@ -133,16 +134,16 @@
         Ok(())
     }
 
-    /// Waits until the newest good version is in force on all that run, or
-    /// long enough for the checker to find the lateness.
+    /// Waits until the newest valid version is in force on all running nodes, or
+    /// until [`HEAL_BOUND`].
     pub(super) fn settle(&self) {
         if let Some(newest) = self.publisher.catalogue() {
-            // A version that comes too late is the checker's to tell.
+            // The checker reports a version that comes too late.
             let _ = self.fleet.until_in_force(newest, HEAL_BOUND);
         }
     }
 
-    /// Lets time pass.
+    /// Sleeps for `ms` milliseconds.
     pub(super) fn wait(&self, ms: u64) {
         thread::sleep(Duration::from_millis(ms));
     }
@@ -162,7 +163,7 @@
         Ok(())
     }
 
-    /// Starts crashed nodes again.
+    /// Restarts crashed nodes.
     pub(super) fn restart(&mut self, nodes: &[usize]) -> miette::Result<()> {
         let members = Arc::clone(self.fleet.members());
         for &i in nodes {
@@ -175,7 +176,7 @@
         Ok(())
     }
 
-    /// Stops nodes' control sides.
+    /// Pauses the control sides of nodes.
     pub(super) fn pause(&mut self, nodes: &[usize]) {
         for &i in nodes {
             self.lose(i);
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Lets stopped control sides go on.
+    /// Resumes paused control sides.
     pub(super) fn resume(&mut self, nodes: &[usize]) {
         for &i in nodes {
             self.find(i);
@@ -195,8 +196,9 @@
         }
     }
 
-    /// Parts some nodes from the others. If also from the platform, they can
-    /// get nothing new; else each side has its own readers.
+    /// Partitions some nodes from the others. If they are also partitioned from
+    /// the platform, they can't get new versions; else each side has its own
+    /// readers.
     pub(super) fn part(&mut self, side: &[usize], from_platform: bool) {
         self.parted = Some(Parted {
             side: side.iter().copied().collect(),
@@ -235,7 +237,7 @@
         self.fleet.platform().set_outage(false);
     }
 
-    /// Makes the source go back to an old version.
+    /// Makes the source serve an old version.
     pub(super) fn begin_stale(&mut self, at: Version) -> miette::Result<()> {
         self.lose_source();
         let platform = self.fleet.platform();
@@ -250,13 +252,13 @@
         self.fleet.platform().set_stale(false);
     }
 
-    /// Some nodes, drawn at random.
+    /// Draws `count` nodes at random.
     pub(super) fn some(&mut self, count: usize) -> Vec<usize> {
         let all: Vec<usize> = (0..self.len()).collect();
         all.sample(&mut self.rng, count).copied().collect()
     }
 
-    /// The nodes that read the platform at the moment.
+    /// The nodes that currently read the platform.
     pub(super) fn readers(&self) -> Vec<usize> {
         let reads = |i: &usize| {
             let Some(node) = self.member(*i).node() else {
@@ -268,7 +270,7 @@
         (0..self.len()).filter(reads).collect()
     }
 
-    /// Ends the run and gives out what was recorded.
+    /// Ends the case and returns its records.
     pub(super) fn finish(mut self) -> Finished {
         let seen = self.watcher.take();
         for seen in &seen {
@@ -278,7 +280,7 @@
                 self.history.record(seen.at, Event::InForce { node, held });
             }
         }
-        // The last event tells the checker how late it is.
+        // The checker takes the time of the last event as the end of the run.
         self.record(Event::SourceBack);
         Finished {
             stats: self.fleet.platform().stats(),
@@ -310,8 +312,9 @@
         self.record_reference_at(sassafrasspool_core::Tick::ZERO)
     }
 
-    /// Records what a node that holds the newest versions must hold, before
-    /// any node can: content that differs from it is held in part.
+    /// Records the expected snapshot of the newest versions as that of a
+    /// reference node, before any node can have it. The checker reports other
+    /// content of the same versions as applied in part.
     fn record_reference_at(&mut self, at: sassafrasspool_core::Tick) -> miette::Result<()> {
         let node = InstanceId::new("reference").into_diagnostic()?;
         let held = Arc::new(self.publisher.expected()?);
@@ -327,8 +330,8 @@
         }
     }
 
-    /// Notes that a node is about to come back. What it does may be seen at
-    /// once, so that the note must not come after it.
+    /// Records that a node is about to come back. This has to precede the
+    /// return, because the node's effects may be observed at once.
     fn find(&mut self, i: usize) {
         self.lost[i] = self.lost[i].saturating_sub(1);
         if self.lost[i] == 0 {
--- a/crates/bench/src/fault/timing.rs
+++ b/crates/bench/src/fault/timing.rs
@@ -1,4 +1,4 @@
-//! How long versions took, counted from when they could first be had.
+//! Convergence times of versions, measured from when nodes could get them.
 
 use sassafrasspool_core::Revision;
 use sassafrasspool_core::Tick;
@@ -7,7 +7,7 @@
 use crate::spread::Published;
 use crate::summary::Samples;
 
-/// When versions were published, and nodes and the source came back.
+/// Times of publications, and of the returns of nodes and of the source.
 #[derive(Debug, Default)]
 pub(super) struct Timing {
     published: Vec<Published>,
@@ -39,7 +39,8 @@
         self.restarted.push(Back { at, member });
     }
 
-    /// One sample for each node and version, and one for each restart.
+    /// Convergence times: one for each node and version, and one for each
+    /// restart.
     pub(super) fn samples(&self, seen: &[Seen], members: usize) -> Samples {
         let mut samples = Samples::new();
         for member in 0..members {
@@ -62,8 +63,8 @@
         samples
     }
 
-    /// The latest moment before `until` at which something that stood in the
-    /// way of a version ended.
+    /// When `member` could first get a version: its publication or the last
+    /// return of the node or of the source before `until`, whichever is later.
     fn could_be_had(&self, published: Tick, member: usize, until: Tick) -> Tick {
         let own = self.found.iter().filter(|back| back.member == member);
         let ends = own.map(|back| back.at).chain(self.source_found.clone());
