--- a/crates/bench/src/cli.rs
+++ b/crates/bench/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: one verb per measurement.
+//! Command line with one verb per measurement.
 
 use std::future::Future;
 use std::time::Duration;
@@ -25,11 +25,11 @@
 
 mod flags;
 
-/// Reads the command line and runs the verb that it names.
+/// Parses the command line and runs its verb.
 ///
 /// # Errors
 ///
-/// Fails if the run itself fails; what it measured is never an error.
+/// Fails if the run itself fails. Its results are never an error.
 pub fn run() -> miette::Result<()> {
     match SassafrasspoolBench::from_env_or_exit().subcommand {
         SassafrasspoolBenchCmd::Generate(opts) => generate(&opts),
@@ -86,7 +86,7 @@
 
 fn fault(opts: &flags::Fault) -> miette::Result<()> {
     let name = opts.case.as_deref().unwrap_or("all");
-    let cases = Case::named(name).ok_or_else(|| miette!("there is no case {name}"))?;
+    let cases = Case::named(name).ok_or_else(|| miette!("unknown case {name}"))?;
     let fleet = FleetOptions {
         nodes: opts.nodes.unwrap_or(24),
         shape: Shape {
@@ -113,7 +113,7 @@
 
 fn slopes(opts: &flags::Slopes) -> miette::Result<()> {
     let name = opts.axis.as_deref().unwrap_or("all");
-    let axes = Axis::named(name).ok_or_else(|| miette!("there is no axis {name}"))?;
+    let axes = Axis::named(name).ok_or_else(|| miette!("unknown axis {name}"))?;
     let report = slopes::run(&axes, opts.seed.unwrap_or(1))?;
     if opts.markdown {
         eprint!("{}", report.markdown());
@@ -154,7 +154,7 @@
     output::print(&block_on(chaos::run(opts))??)
 }
 
-/// Runs a measurement on all cores.
+/// Runs a measurement on a runtime with one thread per core.
 fn block_on<F: Future>(run: F) -> miette::Result<F::Output> {
     let runtime = tokio::runtime::Runtime::new().into_diagnostic()?;
     Ok(runtime.block_on(run))
--- a/crates/bench/src/cli/flags.rs
+++ b/crates/bench/src/cli/flags.rs
@@ -1,121 +1,121 @@
-//! The flags of each verb.
+//! Flags of each verb.
 
 xflags::xflags! {
-    /// Measurements on the real node code over loopback.
+    /// Measure the node code over loopback.
     cmd sassafrasspool-bench {
         /// Print a generated catalogue.
         cmd generate {
             /// Services in the catalogue (690).
             optional --services services: usize
-            /// What all random choices come from (1).
+            /// Seed of all random choices (1).
             optional --seed seed: u64
         }
-        /// Publish changes and measure how fast and at what cost they spread.
+        /// Publish changes and measure the time and cost of their dissemination.
         cmd spread {
-            /// Nodes that run, all in this process (50).
+            /// Number of running nodes, all in this process (50).
             optional --nodes nodes: usize
             /// Changes to publish (10).
             optional --changes changes: usize
-            /// What all random choices come from (1).
+            /// Seed of all random choices (1).
             optional --seed seed: u64
-            /// Let every node read the platform for itself.
+            /// Make every node read the platform itself.
             optional --naive
             /// Services in the catalogue (690).
             optional --services services: usize
-            /// Endpoints in the list, those beyond the nodes without one (4100).
+            /// Endpoints in the list; those beyond `--nodes` have no node (4100).
             optional --endpoints endpoints: usize
-            /// Milliseconds from one change to the next (1000).
+            /// Interval between two changes, in milliseconds (1000).
             optional --pace-ms pace_ms: u64
-            /// Seconds that the idle fleet is measured (6).
+            /// How long the idle fleet is measured, in seconds (6).
             optional --idle-s idle_s: f64
-            /// Peers that hear of news at once.
+            /// Number of peers to which a new version is announced at once.
             optional --fanout fanout: u32
-            /// Milliseconds between regular comparisons.
+            /// Interval of anti-entropy, in milliseconds.
             optional --interval-ms interval_ms: u64
-            /// Milliseconds that news is held back.
+            /// Delay before an announcement is forwarded, in milliseconds.
             optional --linger-ms linger_ms: u64
-            /// The largest change that goes with its announcement, in bytes.
+            /// Largest change that is sent with its announcement, in bytes.
             optional --eager-bytes eager_bytes: u64
             /// Readers in each failure domain.
             optional --readers readers: u32
-            /// Percent of peers outside of the failure domain.
+            /// Percentage of peers picked outside of the failure domain.
             optional --cross-percent cross_percent: u32
-            /// Milliseconds that the platform may hold a watching read.
+            /// Longest time that the platform holds a watch, in milliseconds.
             optional --watch-ms watch_ms: u64
-            /// Let the platform hand out its values compressed.
+            /// Make the platform serve its values compressed.
             optional --compress
         }
-        /// Let nodes, network and source fail, and judge what was in force.
+        /// Inject faults of nodes, network and source, and check the versions in force.
         cmd fault {
-            /// The case, or `all` (all).
+            /// Name of the case, or `all` (all).
             optional --case case: String
-            /// Nodes that run, all in this process (24).
+            /// Number of running nodes, all in this process (24).
             optional --nodes nodes: usize
-            /// What all random choices come from (1).
+            /// Seed of all random choices (1).
             optional --seed seed: u64
             /// Services in the catalogue (40).
             optional --services services: usize
-            /// Endpoints in the list, those beyond the nodes without one (60).
+            /// Endpoints in the list; those beyond `--nodes` have no node (60).
             optional --endpoints endpoints: usize
-            /// Let every node read the platform for itself.
+            /// Make every node read the platform itself.
             optional --naive
         }
-        /// Measure one node's decisions without I/O at any fleet size.
+        /// Measure the cost of one node's state machine without I/O.
         cmd core-cost {
-            /// Members of the list, each with a node (4100).
+            /// Members of the instance list, each with a node (4100).
             optional --members members: usize
             /// Services in the catalogue (690).
             optional --services services: usize
-            /// What all random choices come from (1).
+            /// Seed of all random choices (1).
             optional --seed seed: u64
         }
-        /// Measure how costs grow with sizes, and fit lines.
+        /// Measure how costs grow with the size of the system, and fit lines.
         cmd slopes {
             /// The size to vary, or `all` (all): nodes, processes, services,
             /// endpoints, change-rate, call-rate or members.
             optional --axis axis: String
-            /// What all random choices come from (1).
+            /// Seed of all random choices (1).
             optional --seed seed: u64
-            /// Print the table of the capacity page on standard error too.
+            /// Also print the table of the capacity page on standard error.
             optional --markdown
         }
-        /// Offer more calls than the slots can do, with and without admission.
+        /// Offer more calls than the capacity of the slots, with and without admission.
         cmd overload {
-            /// Instances, each with its node (4).
+            /// Number of instances, each with its node (4).
             optional --nodes nodes: usize
-            /// Calls offered over what the slots can do (2).
+            /// Offered load as a multiple of the capacity of the slots (2).
             optional --factor factor: f64
-            /// How long each of the two runs is (8).
+            /// Duration of each of the two runs, in seconds (8).
             optional --seconds seconds: f64
-            /// What the calls are drawn from (1).
+            /// Seed of the random calls (1).
             optional --seed seed: u64
         }
         /// Compare calls through two nodes with direct ones to the same target.
         cmd calls {
-            /// Instances, each with its node (4).
+            /// Number of instances, each with its node (4).
             optional --nodes nodes: usize
-            /// Calls a second that enter at each node (210).
+            /// Calls per second that are sent to each node (210).
             optional --rate rate: f64
-            /// How long calls are measured (10).
+            /// Duration of the measured load, in seconds (10).
             optional --seconds seconds: f64
-            /// What the calls are drawn from (1).
+            /// Seed of the random calls (1).
             optional --seed seed: u64
-            /// The longest answer in bytes (1000).
+            /// Size of the longest answer, in bytes (1000).
             optional --answer-bytes answer_bytes: usize
         }
-        /// Make calls while everything fails, and judge what became of them.
+        /// Make calls while faults are injected, and check their outcomes.
         cmd chaos {
-            /// Instances, each with its node (8).
+            /// Number of instances, each with its node (8).
             optional --nodes nodes: usize
-            /// How long calls are made (10).
+            /// Duration of the load, in seconds (10).
             optional --seconds seconds: f64
-            /// What calls and faults are drawn from (1).
+            /// Seed of the random calls and faults (1).
             optional --seed seed: u64
-            /// Calls a second for each instance (50).
+            /// Calls per second and instance (50).
             optional --rate rate: f64
-            /// Use the naive version instead of nodes.
+            /// Use the naive proxy instead of nodes.
             optional --naive
-            /// Keep the nodes' logs if a promise was broken.
+            /// Keep the nodes' logs if a guarantee was violated.
             optional --keep-logs
         }
     }
--- a/crates/bench/src/fit.rs
+++ b/crates/bench/src/fit.rs
@@ -1,40 +1,40 @@
-//! Straight lines through measured points.
+//! Linear regression of measured points.
 
 use serde::Serialize;
 
 #[cfg(test)]
 mod tests;
 
-/// A measured point: what was set and what came of it.
+/// A measured point.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Point {
-    /// What was set, such as the number of nodes.
+    /// The independent variable, such as the number of nodes.
     pub x: f64,
-    /// What was measured.
+    /// The measured value.
     pub y: f64,
 }
 
-/// The line of least squares through some points.
+/// The least squares line through some points.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Fit {
-    /// What one more of `x` adds.
+    /// Increase of `y` per unit of `x`.
     pub slope: f64,
-    /// The line's value where `x` is zero.
+    /// The line's value at `x` = 0.
     pub intercept: f64,
     /// The standard error of the slope; zero for fewer than three points.
     pub slope_error: f64,
     /// The standard error of the line at the points' mean; zero for fewer than
     /// three points.
     pub level_error: f64,
-    /// The mean of the points' `x`.
+    /// Mean of the points' `x`.
     pub mean_x: f64,
-    /// The share of the variation that the line explains, 0 to 1.
+    /// Coefficient of determination, from 0 to 1.
     pub r2: f64,
-    /// The largest distance of a point from the line, in units of `y`.
+    /// Largest absolute residual, in units of `y`.
     pub worst: f64,
 }
 
-/// Sums over points, taken from their means.
+/// Means of points, and sums of squares and products about the means.
 #[derive(Debug)]
 struct Moments {
     mean_x: f64,
@@ -45,7 +45,7 @@
 }
 
 impl Fit {
-    /// Fits a line; absent if the points don't differ in `x`.
+    /// Fits a line; `None` if the points don't differ in `x`.
     ///
     /// # Example
     ///
@@ -82,8 +82,8 @@
         self.intercept + self.slope * x
     }
 
-    /// Twice the line's standard error at `x`: how far it may be off there by
-    /// the spread of the points alone.
+    /// Twice the line's standard error at `x`, from the scatter of the points
+    /// alone.
     pub fn spread_at(&self, x: f64) -> f64 {
         2.0 * self.level_error.hypot(self.slope_error * (x - self.mean_x))
     }
@@ -107,7 +107,7 @@
     }
 }
 
-/// The standard deviation of points from their line.
+/// Standard deviation of the residuals; zero for fewer than three points.
 fn deviation(squares: f64, points: usize) -> f64 {
     if points < 3 {
         return 0.0;
--- a/crates/bench/src/fit/tests.rs
+++ b/crates/bench/src/fit/tests.rs
@@ -24,7 +24,7 @@
     assert!((fit.r2 - case.r2).abs() < 1e-9, "{fit:?}");
 }
 
-// A line through points that lie around it is least certain far away.
+// Guards against an error estimate that ignores the distance from the points.
 #[test]
 fn a_line_is_least_certain_far_from_its_points() {
     let ys = [1.0, 2.5, 2.5, 4.0];
--- a/crates/bench/src/generate.rs
+++ b/crates/bench/src/generate.rs
@@ -1,4 +1,4 @@
-//! Seeded catalogues and instance lists of any size, the target's included.
+//! Generated catalogues and instance lists of any size, reproducible by seed.
 
 pub use self::catalogue::GeneratedCatalogue;
 pub use self::fleet::GeneratedFleet;
--- a/crates/bench/src/generate/catalogue.rs
+++ b/crates/bench/src/generate/catalogue.rs
@@ -1,4 +1,4 @@
-//! Catalogues.
+//! Generated catalogues.
 
 use std::time::Duration;
 
@@ -29,13 +29,13 @@
     ("archive", 1),
 ];
 
-/// Teams that own entries.
+/// Number of teams that own entries.
 const OWNERS: usize = 24;
 
-/// The most routes that one entry brings.
+/// Maximum number of routes of an entry.
 const MAX_ROUTES: usize = 4;
 
-/// A catalogue that grows by seeded changes.
+/// A generated catalogue that is changed entry by entry, reproducible by seed.
 #[derive(Debug, Clone)]
 pub struct GeneratedCatalogue {
     kinds: Vec<Kind>,
@@ -44,11 +44,11 @@
 }
 
 impl GeneratedCatalogue {
-    /// Generates a catalogue of the shape's services.
+    /// Generates a catalogue with the shape's number of services.
     ///
     /// # Errors
     ///
-    /// Fails if a generated name is refused, which would be a fault of the
+    /// Fails if a generated name is invalid, which would be a fault of the
     /// generator.
     pub fn new(shape: Shape) -> Result<GeneratedCatalogue> {
         let mut rng = SmallRng::seed_from_u64(shape.seed);
@@ -66,24 +66,26 @@
         })
     }
 
-    /// The services as they stand now.
+    /// The current services.
     pub fn services(&self) -> &[ServiceEntry] {
         &self.services
     }
 
-    /// Changes the limits of one entry, as an operator's ordinary change does.
+    /// Changes the rate limit of one entry at random, as a typical change of an
+    /// operator does.
     pub fn change(&mut self) {
         let i = self.rng.random_range(0..self.services.len());
         let limits = &mut self.services[i].limits;
         limits.rate_per_s = limits.rate_per_s % 900 + 100 + self.rng.random_range(1..100);
     }
 
-    /// The text that an operator would publish.
+    /// The text of the catalogue, as an operator publishes it.
     pub fn text(&self) -> String {
         text::render(&self.kinds, &self.services)
     }
 
-    /// A text of the same size that has a route to a service that isn't there.
+    /// A text of about the same size with a route to a service that doesn't
+    /// exist.
     pub fn bad_text(&self) -> String {
         let mut services = self.services.clone();
         let gone = services.len() - 1;
--- a/crates/bench/src/generate/fleet.rs
+++ b/crates/bench/src/generate/fleet.rs
@@ -1,4 +1,4 @@
-//! Instance lists.
+//! Generated instance lists.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 use super::Shape;
 
-/// Failure domains with their regions: two regions with two domains each.
+/// Regions and failure domains: two regions with two domains each.
 const DOMAINS: [(&str, &str); 4] = [
     ("north", "north-a"),
     ("north", "north-b"),
@@ -25,21 +25,21 @@
 /// Slots of every generated target.
 const SLOTS: u32 = 10;
 
-/// Connections that every generated target holds.
+/// Connection limit of every generated target.
 const CONNECTIONS: u32 = 120;
 
-/// Instances spread evenly over domains and services.
+/// Generated instances, distributed evenly over domains and services.
 #[derive(Debug, Clone)]
 pub struct GeneratedFleet {
     instances: Vec<Instance>,
 }
 
 impl GeneratedFleet {
-    /// Generates the shape's endpoints, without addresses yet.
+    /// Generates the shape's endpoints; their addresses have port 0.
     ///
     /// # Errors
     ///
-    /// Fails if a generated name is refused, which would be a fault of the
+    /// Fails if a generated name is invalid, which would be a fault of the
     /// generator.
     pub fn new(shape: Shape) -> Result<GeneratedFleet> {
         let services = shape.services.max(1);
@@ -49,12 +49,12 @@
         })
     }
 
-    /// The instances, in the order of their numbers.
+    /// The instances, in the order of the numbers in their ids.
     pub fn instances(&self) -> &[Instance] {
         &self.instances
     }
 
-    /// Takes the instances out.
+    /// Returns the instances, in the order of the numbers in their ids.
     pub fn into_instances(self) -> Vec<Instance> {
         self.instances
     }
--- a/crates/bench/src/generate/shape.rs
+++ b/crates/bench/src/generate/shape.rs
@@ -1,24 +1,24 @@
-//! Sizes of what is generated.
+//! Sizes of generated catalogues and instance lists.
 
-/// Services of the size that the system is designed for.
+/// Number of services for which the system is designed.
 const TARGET_SERVICES: usize = 690;
 
-/// Endpoints of the size that the system is designed for.
+/// Number of endpoints for which the system is designed.
 const TARGET_ENDPOINTS: usize = 4_100;
 
-/// How many services and endpoints to generate, and from which seed.
+/// Number of services and endpoints to generate, and the seed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Shape {
     /// Services in the catalogue; at least one.
     pub services: usize,
     /// Endpoints in the instance list.
     pub endpoints: usize,
-    /// What all random choices come from.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
 impl Shape {
-    /// The size that the system is designed for.
+    /// The size for which the system is designed.
     pub const fn target(seed: u64) -> Shape {
         Shape {
             services: TARGET_SERVICES,
--- a/crates/bench/src/generate/text.rs
+++ b/crates/bench/src/generate/text.rs
@@ -1,4 +1,4 @@
-//! The YAML text of generated entries.
+//! YAML text of generated catalogues.
 
 use std::fmt::Write;
 
@@ -6,7 +6,7 @@
 use sassafrasspool_core::Route;
 use sassafrasspool_core::ServiceEntry;
 
-/// Writes a catalogue in the form that operators publish.
+/// Renders a catalogue as YAML, in the form that operators publish.
 pub fn render(kinds: &[Kind], services: &[ServiceEntry]) -> String {
     let mut text = String::from("kinds:\n");
     for kind in kinds {
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,9 +1,9 @@
-//! Measurements on the real node code over loopback.
+//! Benchmarks and fault injection for the node code over loopback.
 //!
-//! Each verb is a module with its options and one `run`; each run prints one
-//! JSON object on standard output, so that runs can be compared by a script.
-//! What the verbs share stands beside them: generated catalogues, summaries
-//! of samples and the output.
+//! Each verb of the command line is a module with its options and a `run`
+//! function. Each run prints one JSON object on standard output, so that a
+//! script can compare runs. The other modules are shared by the verbs, such as
+//! generated catalogues, load generation, summaries of samples and the output.
 
 pub mod calls;
 pub mod chaos;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! The benchmark's command line.
+//! Entry point of the benchmark's command line.
 
 use sassafrasspool_bench::cli;
 
--- a/crates/bench/src/output.rs
+++ b/crates/bench/src/output.rs
@@ -1,4 +1,4 @@
-//! What a run prints: one JSON object on one line.
+//! Output of a run: one JSON object on one line.
 
 use std::io;
 use std::io::Write;
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -1,5 +1,5 @@
-//! Nodes as processes of their own, for what only a whole process shows:
-//! its memory, and its processor time with everything that belongs to it.
+//! Measurements of nodes that run as processes of their own: memory and total
+//! processor time of the process.
 
 pub use self::cost::ProcessCost;
 pub use self::run::run;
--- a/crates/bench/src/processes/cost.rs
+++ b/crates/bench/src/processes/cost.rs
@@ -1,28 +1,28 @@
-//! What is reported.
+//! Report of a run.
 
 use serde::Serialize;
 
-/// Costs of one node's process: means over all processes.
+/// Costs of one node's process, as means over all processes.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct ProcessCost {
-    /// Processes.
+    /// Number of node processes.
     pub nodes: usize,
     /// Services in the catalogue.
     pub services: usize,
     /// Endpoints in the list.
     pub endpoints: usize,
-    /// Resident memory in bytes, the program's file included.
+    /// Resident memory in bytes, with the mapped program file.
     pub rss_bytes: f64,
-    /// Resident memory in bytes that is no file's.
+    /// Anonymous resident memory in bytes.
     pub own_bytes: f64,
-    /// The largest resident memory of a process.
+    /// Largest resident memory of a process, in bytes.
     pub rss_bytes_max: u64,
-    /// Processor time of an idle process in microseconds a second.
+    /// Processor time of an idle process, in microseconds per second.
     pub idle_cpu_us_per_s: f64,
-    /// Processor time for one change beyond that.
+    /// Additional processor time per change, in microseconds.
     pub cpu_us_per_change: f64,
-    /// Control bytes of an idle process a second.
+    /// Control traffic of an idle process, in bytes per second.
     pub idle_control_bytes_per_s: f64,
-    /// Control bytes for one change beyond that.
+    /// Additional control traffic per change, in bytes.
     pub control_bytes_per_change: f64,
 }
--- a/crates/bench/src/processes/fleet.rs
+++ b/crates/bench/src/processes/fleet.rs
@@ -1,4 +1,4 @@
-//! Processes with a platform and a target in this one.
+//! Node processes, with a platform and a target in this process.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -27,10 +27,10 @@
 use crate::load::admin;
 use crate::usage::ProcessUsage;
 
-/// How often the nodes are asked what they hold.
+/// Interval between two reads of a node's status.
 const LOOK: Duration = Duration::from_millis(200);
 
-/// Node processes; killed when dropped.
+/// Node processes, which are killed when dropped.
 #[derive(Debug)]
 pub(super) struct Processes {
     nodes: Vec<Running>,
@@ -46,7 +46,7 @@
     process: NodeProcess,
 }
 
-/// What all processes have used so far.
+/// Resources that all processes have used so far.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Used {
     pub(super) at: Instant,
@@ -88,18 +88,19 @@
         })
     }
 
-    /// How many processes there are.
+    /// Number of processes.
     pub(super) fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Waits until all hold that catalogue.
+    /// Waits until all nodes hold a catalogue of at least the revision of
+    /// `version`.
     pub(super) async fn until_held(&self, version: Version, bound: Duration) -> miette::Result<()> {
         let since = Instant::now();
         for node in &self.nodes {
             while !holds(node, version).await {
                 if since.elapsed() > bound {
-                    return Err(miette!("not all hold {version} after {bound:?}"));
+                    return Err(miette!("not all nodes hold {version} after {bound:?}"));
                 }
                 tokio::time::sleep(LOOK).await;
             }
--- a/crates/bench/src/processes/run.rs
+++ b/crates/bench/src/processes/run.rs
@@ -1,4 +1,4 @@
-//! The measurement.
+//! Measurement of node processes.
 
 use std::time::Duration;
 
@@ -7,27 +7,28 @@
 use super::fleet::Used;
 use crate::generate::Shape;
 
-/// How long processes may take to start, and a change to be held.
+/// Timeout for the start of the processes, and for a change to be held by all.
 const BOUND: Duration = Duration::from_secs(60);
 
-/// How long the processes settle before they count as idle.
+/// Wait after the start before the processes count as idle.
 const SETTLE: Duration = Duration::from_secs(4);
 
 /// How long the idle processes are measured.
 const IDLE: Duration = Duration::from_secs(6);
 
-/// Time that each change is given.
+/// Time after each change before its version is waited for.
 const PACE: Duration = Duration::from_millis(1_000);
 
-/// Changes that are published.
+/// Number of published changes.
 const CHANGES: u32 = 6;
 
-/// Starts processes, measures them idle and with changes, and ends them.
+/// Starts node processes, measures them while idle and during changes, and
+/// ends them.
 ///
 /// # Errors
 ///
-/// Fails if a process can't be started or ends by itself, or a change isn't
-/// held in time.
+/// Fails if a process can't be started or exits, or if a change isn't held by
+/// all nodes in time.
 pub async fn run(nodes: usize, shape: Shape) -> miette::Result<ProcessCost> {
     let mut processes = Processes::start(nodes, shape).await?;
     let first = processes.publisher.expected()?.catalogue;
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,5 +1,5 @@
-//! The verb `slopes`: how each cost grows with each size, with the fit and
-//! what it comes to at the size that the system is designed for.
+//! The verb `slopes`: growth of each cost with each size, a line fitted to it,
+//! and the line's value at the size for which the system is designed.
 
 pub use self::axis::Axis;
 pub use self::report::Report;
--- a/crates/bench/src/slopes/axis.rs
+++ b/crates/bench/src/slopes/axis.rs
@@ -1,21 +1,21 @@
-//! What is varied.
+//! Sizes that are varied.
 
-/// One size that is varied while the others stay.
+/// A size that is varied while the others stay constant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Axis {
-    /// Nodes, all in this process.
+    /// Number of nodes, all in this process.
     Nodes,
-    /// Nodes, each as a process.
+    /// Number of nodes, each a process of its own.
     Processes,
     /// Services in the catalogue.
     Services,
     /// Endpoints in the list.
     Endpoints,
-    /// Changes a second.
+    /// Changes per second.
     ChangeRate,
-    /// Calls a second at each node.
+    /// Calls per second at each node.
     CallRate,
-    /// Members of the list, by the decisions alone.
+    /// Members of the instance list, measured without I/O.
     Members,
 }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The axes that a name stands for: one, or all of them for `all`.
+    /// The axis of this name, or all axes for `all`.
     pub fn named(name: &str) -> Option<Vec<Axis>> {
         if name == "all" {
             return Some(Axis::ALL.to_vec());
@@ -53,7 +53,7 @@
         Some(vec![axis])
     }
 
-    /// Where it is measured.
+    /// The sizes at which it is measured.
     pub(super) const fn places(self) -> &'static [f64] {
         match self {
             Axis::Nodes => &[25.0, 50.0, 100.0, 200.0],
@@ -66,14 +66,14 @@
         }
     }
 
-    /// The size that the system is designed for.
+    /// The size for which the system is designed.
     pub(super) const fn target(self) -> f64 {
         match self {
             Axis::Nodes | Axis::Processes | Axis::Endpoints | Axis::Members => 4_100.0,
             Axis::Services => 690.0,
-            // 9,000 a day.
+            // 9,000 changes a day.
             Axis::ChangeRate => 9_000.0 / 86_400.0,
-            // 850,000 a second over 4,100 nodes.
+            // 850,000 calls a second over 4,100 nodes.
             Axis::CallRate => 850_000.0 / 4_100.0,
         }
     }
--- a/crates/bench/src/slopes/measure.rs
+++ b/crates/bench/src/slopes/measure.rs
@@ -1,4 +1,4 @@
-//! One measurement at one place of an axis.
+//! Measurement of all figures at one size of an axis.
 
 use std::process::Command;
 use std::time::Duration;
@@ -17,13 +17,13 @@
 use crate::processes;
 use crate::spread;
 
-/// Nodes where another size is varied.
+/// Number of nodes while another size is varied.
 const FEW_NODES: usize = 25;
 
-/// Nodes of the calls.
+/// Number of nodes in measurements of calls.
 const CALL_NODES: usize = 4;
 
-/// Figures of which a fixed part is shared by all nodes.
+/// Figures with a fixed part that is divided by the number of nodes.
 const SHARED: [&str; 2] = ["control bytes/node/change", "CPU us/node/change"];
 
 /// Measures all figures of `axis` at `x`.
@@ -98,7 +98,7 @@
     ])
 }
 
-/// The readers' part of a change is shared by all nodes.
+/// The readers' part of a change's cost is divided by the number of nodes.
 fn nodes_at(nodes: usize, shape: Shape) -> miette::Result<Vec<Figure>> {
     let mut figures = spread_at(nodes, shape, 1.0)?;
     for figure in &mut figures {
@@ -157,8 +157,8 @@
     ])
 }
 
-/// The decisions' cost in a process of its own: what an earlier measurement
-/// freed would hide the memory of this one.
+/// Runs the verb `core-cost` in a process of its own: memory that an earlier
+/// measurement freed would be reused and hide the memory of this one.
 fn core_cost_apart(shape: Shape) -> miette::Result<CoreCost> {
     let program = std::env::current_exe().into_diagnostic()?;
     let output = Command::new(program)
@@ -182,7 +182,7 @@
     }
 }
 
-/// A figure of which a fixed part is shared by all.
+/// A figure with a fixed part that is divided by the number of nodes.
 fn shared(name: &'static str, value: f64) -> Figure {
     Figure {
         form: Form::Inverse,
--- a/crates/bench/src/slopes/report.rs
+++ b/crates/bench/src/slopes/report.rs
@@ -1,4 +1,4 @@
-//! What a run reports.
+//! Report of a run.
 
 use serde::Serialize;
 
@@ -8,16 +8,16 @@
 /// All series of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Processors of the machine.
+    /// Number of processors of the machine.
     pub processors: usize,
-    /// The machine's load average before and after.
+    /// Load average of the machine before and after the run.
     pub load_average: [String; 2],
-    /// The series.
+    /// One series for each figure and axis.
     pub series: Vec<Series>,
 }
 
 impl Report {
-    /// The series as a table in Markdown.
+    /// Renders the series as a table in Markdown.
     pub fn markdown(&self) -> String {
         table::render(&self.series)
     }
--- a/crates/bench/src/slopes/run.rs
+++ b/crates/bench/src/slopes/run.rs
@@ -1,4 +1,4 @@
-//! A whole run.
+//! Run of the verb `slopes`.
 
 use std::fs;
 use std::thread;
--- a/crates/bench/src/slopes/series.rs
+++ b/crates/bench/src/slopes/series.rs
@@ -1,4 +1,4 @@
-//! One figure along one axis.
+//! Series of a figure along an axis.
 
 use serde::Serialize;
 
@@ -9,13 +9,13 @@
 #[cfg(test)]
 mod tests;
 
-/// In what a figure is linear.
+/// The variable in which a figure is linear.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Form {
-    /// In the size that is varied.
+    /// The size that is varied.
     Linear,
-    /// In its inverse: a fixed amount that all share.
+    /// The inverse of the size, for a fixed amount that is divided by it.
     Inverse,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A figure that was measured at one place.
+/// A figure that was measured at one size.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Figure {
     pub(super) name: &'static str,
@@ -36,24 +36,24 @@
     pub(super) value: f64,
 }
 
-/// A figure along an axis, with the line through its points.
+/// A figure along an axis, with the line fitted to its points.
 #[derive(Debug, Clone, Serialize)]
 pub struct Series {
-    /// What was varied.
+    /// Name of the axis.
     pub axis: &'static str,
-    /// What was measured, with its unit.
+    /// Name of the figure, with its unit.
     pub figure: &'static str,
-    /// In what the line is drawn.
+    /// The variable in which the line is fitted.
     pub form: Form,
-    /// The points.
+    /// The measured points.
     pub points: Vec<Point>,
-    /// The line, if the points differ.
+    /// The line, if the points differ in size.
     pub fit: Option<Fit>,
-    /// The size that the system is designed for.
+    /// The size for which the system is designed.
     pub target: f64,
-    /// The line's value there.
+    /// The line's value at `target`.
     pub at_target: Option<f64>,
-    /// By how much that may be off, from the spread of the points.
+    /// Twice the standard error of `at_target`, from the scatter of the points.
     pub at_target_spread: Option<f64>,
 }
 
--- a/crates/bench/src/slopes/series/tests.rs
+++ b/crates/bench/src/slopes/series/tests.rs
@@ -4,7 +4,7 @@
 use crate::fit::Point;
 use crate::slopes::Axis;
 
-/// Guards against a slope that leads below zero at the target's size.
+/// Guards against a line in the size that falls below zero at the design size.
 #[test]
 fn a_shared_cost_is_drawn_over_the_inverse() {
     let nodes = [25.0, 50.0, 100.0, 200.0];
--- a/crates/bench/src/slopes/table.rs
+++ b/crates/bench/src/slopes/table.rs
@@ -1,14 +1,14 @@
-//! Series as a table for the capacity page.
+//! Markdown table of series for the capacity page.
 
 use std::fmt::Write;
 
 use super::series::Form;
 use super::series::Series;
 
-/// Digits that a figure is told with.
+/// Significant digits of a figure.
 const DIGITS: i32 = 3;
 
-/// Writes one row for each series.
+/// Renders a table with one row for each series.
 pub(super) fn render(all: &[Series]) -> String {
     let mut text = String::from(
         "| along | figure | measured | slope | r² | at the target |\n|---|---|---|---|---|---|\n",
@@ -47,7 +47,7 @@
     )
 }
 
-/// A figure with three significant digits.
+/// Formats a figure with [`DIGITS`] significant digits.
 fn short(value: f64) -> String {
     if value == 0.0 {
         return "0".to_owned();
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -1,5 +1,5 @@
-//! The verb `spread`: how fast and at what cost a change is in force
-//! everywhere, by the system's way or the naive one.
+//! The verb `spread`: time and cost until a change is in force on all nodes,
+//! by the system's dissemination or the naive strategy.
 
 pub(crate) use self::convergence::Published;
 pub use self::options::Options;
--- a/crates/bench/src/spread/baseline.rs
+++ b/crates/bench/src/spread/baseline.rs
@@ -1,4 +1,4 @@
-//! Costs over a stretch of time.
+//! Costs of a fleet over a period of time.
 
 use std::ops::AddAssign;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use crate::control_fleet::ControlFleet;
 
-/// Counters of a fleet at one moment.
+/// Counters of a fleet at one time.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Mark {
     at: Instant,
@@ -17,10 +17,10 @@
     source_reads: u64,
 }
 
-/// What was spent between two marks.
+/// Costs between two marks.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Spent {
-    /// How long it took, in seconds.
+    /// Length of the period, in seconds.
     pub(super) seconds: f64,
     /// Control bytes of all nodes, read and written.
     pub(super) bytes: f64,
@@ -28,7 +28,7 @@
     pub(super) messages: f64,
     /// Processor time of all nodes in microseconds.
     pub(super) cpu_us: f64,
-    /// Reads of the platform as the platform counts them.
+    /// Platform reads, as counted by the platform.
     pub(super) source_reads: u64,
 }
 
@@ -42,7 +42,7 @@
         })
     }
 
-    /// What was spent from this mark to a later one.
+    /// Costs from this mark to a later one.
     pub(super) fn to(&self, later: &Mark) -> Spent {
         let bytes = |stats: &ControlStats| stats.bytes_in + stats.bytes_out;
         let cpu = later.cpu.saturating_sub(self.cpu);
@@ -57,7 +57,7 @@
 }
 
 impl Spent {
-    /// What of `figure` is left after an idle fleet's part over the same time.
+    /// The part of `figure` beyond that of an idle fleet over the same time.
     pub(super) fn beyond(&self, idle: &Spent, figure: impl Fn(&Spent) -> f64) -> f64 {
         let idle_part = figure(idle) / idle.seconds * self.seconds;
         (figure(self) - idle_part).max(0.0)
--- a/crates/bench/src/spread/convergence.rs
+++ b/crates/bench/src/spread/convergence.rs
@@ -1,4 +1,4 @@
-//! From what was seen to convergence times.
+//! Convergence times from observations.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,27 +10,27 @@
 use crate::control_fleet::Seen;
 use crate::summary::Samples;
 
-/// A published revision and when it was accepted.
+/// A published revision and the time of its publication.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Published {
-    /// Just before the platform took it.
+    /// Taken just before it was sent to the platform.
     pub(crate) at: Tick,
     /// The catalogue's revision.
     pub(crate) revision: Revision,
 }
 
-/// Times until published revisions were in force.
+/// Times from publication until revisions were in force.
 #[derive(Debug, Default)]
 pub(crate) struct Convergence {
     /// One sample for each node and change.
     pub(crate) nodes: Samples,
-    /// One sample for each change: its last node.
+    /// One sample for each change, of the last node.
     pub(crate) everywhere: Samples,
 }
 
 impl Convergence {
-    /// Works out the times; a revision that a newer one overtook on a node
-    /// counts from when the newer one was in force there.
+    /// Computes the times. A revision that a node skipped counts as in force
+    /// from when a newer one was in force on the node.
     pub(crate) fn of(published: &[Published], seen: &[Seen]) -> Convergence {
         let mut by_member: HashMap<usize, Vec<&Seen>> = HashMap::new();
         for seen in seen {
@@ -58,8 +58,8 @@
     Some(first.at.since(published.at))
 }
 
-/// How often a member put a version in force that isn't newer than the one
-/// before, in either stream.
+/// Number of times that a member put an older version in force than the one
+/// before, over both streams.
 pub(crate) fn steps_back(seen: &[Seen]) -> usize {
     let mut last: HashMap<(usize, Stream), Revision> = HashMap::new();
     let mut steps = 0;
--- a/crates/bench/src/spread/options.rs
+++ b/crates/bench/src/spread/options.rs
@@ -4,15 +4,15 @@
 
 use crate::control_fleet::FleetOptions;
 
-/// What to measure.
+/// The fleet and the changes to measure.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The fleet.
+    /// Options of the fleet.
     pub fleet: FleetOptions,
-    /// Changes that are published, one after the other.
+    /// Number of changes, published one after the other.
     pub changes: usize,
-    /// Time from one change to the next.
+    /// Interval between two changes.
     pub pace: Duration,
-    /// How long the idle fleet is measured first.
+    /// How long the idle fleet is measured before the changes.
     pub idle: Duration,
 }
--- a/crates/bench/src/spread/report.rs
+++ b/crates/bench/src/spread/report.rs
@@ -1,4 +1,4 @@
-//! What a run reports.
+//! Report of a run.
 
 use serde::Serialize;
 
@@ -7,49 +7,53 @@
 /// Figures of one run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Nodes that ran.
+    /// Number of running nodes.
     pub nodes: usize,
     /// Services in the catalogue.
     pub services: usize,
     /// Endpoints in the list.
     pub endpoints: usize,
-    /// Changes published.
+    /// Number of published changes.
     pub changes: usize,
-    /// What random choices came from.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Whether every node read the platform for itself.
+    /// Whether every node read the platform itself.
     pub naive: bool,
-    /// From publication until in force, over all nodes and changes.
+    /// Time from publication until in force, over all nodes and changes.
     pub convergence_ms: SummaryMs,
-    /// From publication until in force on the last node, over changes.
+    /// Time from publication until in force on the last node, over changes.
     pub everywhere_ms: SummaryMs,
-    /// Bytes that a node's control sockets read and wrote for one change,
-    /// beyond those of an idle fleet.
+    /// Bytes that a node's control sockets read and wrote per change, beyond
+    /// those of an idle fleet.
     pub control_bytes_per_node_per_change: f64,
-    /// The same in messages.
+    /// Messages that a node sent and received per change, beyond those of an
+    /// idle fleet.
     pub messages_per_node_per_change: f64,
-    /// Bytes that an idle node's control sockets read and write a second.
+    /// Bytes that an idle node's control sockets read and write per second.
     pub idle_control_bytes_per_node_per_s: f64,
-    /// The same in messages.
+    /// Messages that an idle node sends and receives per second.
     pub idle_messages_per_node_per_s: f64,
-    /// Reads of the platform while changes were published.
+    /// Platform reads while changes were published.
     pub source_reads: u64,
-    /// Reads of the platform by the idle fleet, a second.
+    /// Platform reads per second of the whole idle fleet.
     pub idle_source_reads_per_s: f64,
-    /// Reads for one change beyond those of an idle fleet.
+    /// Platform reads per change, beyond those of an idle fleet.
     pub source_reads_per_change: f64,
-    /// The most reads within one second, the start not counted.
+    /// Largest number of platform reads within one second while changes were
+    /// published.
     pub source_reads_peak_per_s: u64,
-    /// The most reads within one second while the fleet started.
+    /// Largest number of platform reads within one second during the start.
     pub start_reads_peak_per_s: u64,
-    /// Times that a node put an older version in force.
+    /// Number of times that a node put an older version in force.
     pub steps_back: usize,
-    /// Snapshots that weren't the whole version or had dangling references.
+    /// Number of snapshots that weren't the whole version or had dangling
+    /// references.
     pub partial: usize,
-    /// Processor time of a node for one change beyond that of an idle one.
+    /// Processor time of a node per change beyond that of an idle node, in
+    /// microseconds.
     pub cpu_us_per_node_per_change: f64,
-    /// Processor time of an idle node in microseconds a second.
+    /// Processor time of an idle node, in microseconds per second.
     pub idle_cpu_us_per_node_per_s: f64,
-    /// Resident memory that one more node took.
+    /// Growth of this process's resident memory per node, in bytes.
     pub rss_bytes_per_node: f64,
 }
--- a/crates/bench/src/spread/run.rs
+++ b/crates/bench/src/spread/run.rs
@@ -1,4 +1,4 @@
-//! One run.
+//! Run of the verb `spread`.
 
 use std::thread;
 use std::time::Duration;
@@ -21,23 +21,24 @@
 use crate::control_fleet::Watcher;
 use crate::usage::ProcessUsage;
 
-/// How long the fleet may take to start.
+/// Timeout for the start of the fleet.
 const START_BOUND: Duration = Duration::from_secs(60);
 
-/// How long a change may take, so that a run ends whatever happens.
+/// Timeout for a change to be in force everywhere, so that every run ends.
 const CHANGE_BOUND: Duration = Duration::from_secs(30);
 
-/// How long the fleet settles after its start before it counts as idle.
+/// Wait after the start before the fleet counts as idle.
 const SETTLE: Duration = Duration::from_secs(3);
 
-/// How long what a change set off goes on to be counted after the change is
-/// in force everywhere.
+/// How long the cost of a change is still counted after the change is in force
+/// everywhere, to include its remaining traffic.
 const TAIL: Duration = Duration::from_millis(500);
 
-/// Threads that follow snapshots through.
+/// Number of threads that check snapshots.
 const JUDGES: usize = 4;
 
-/// Starts a fleet, lets it idle, publishes changes and reports the cost.
+/// Starts a fleet, measures it while idle and during changes, and reports the
+/// cost.
 ///
 /// # Errors
 ///
@@ -95,7 +96,7 @@
     Ok(from.to(&Mark::now(fleet)?))
 }
 
-/// What came of all changes.
+/// Results over all changes.
 #[derive(Debug, Default)]
 struct Changes {
     published: Vec<Published>,
@@ -103,9 +104,9 @@
     partial: usize,
 }
 
-/// Publishes one change after the other. Only the time from a publication
-/// until it is in force everywhere, and a tail, counts as spent on it; then
-/// every snapshot is followed through, and the pace is kept.
+/// Publishes one change after the other. The cost of a change is measured from
+/// its publication until it is in force everywhere, and for [`TAIL`] after.
+/// Then every snapshot is checked, and the rest of the interval is waited for.
 fn publish_all(
     fleet: &ControlFleet,
     publisher: &mut Publisher,
@@ -129,7 +130,7 @@
     Ok(changes)
 }
 
-/// How many members hold something else than `expected`.
+/// Number of members whose snapshot differs from `expected`.
 fn partial(fleet: &ControlFleet, expected: &SnapshotFacts) -> miette::Result<usize> {
     let members = fleet.members();
     let share = members.len().div_ceil(JUDGES).max(1);
@@ -137,7 +138,9 @@
         let judge = |members| scope.spawn(move || partial_among(members, expected));
         let judges: Vec<_> = members.chunks(share).map(judge).collect();
         let judged = judges.into_iter().map(|judge| judge.join());
-        let counts = judged.map(|judged| judged.unwrap_or_else(|_| Err(miette!("a judge failed"))));
+        let counts = judged.map(|judged| {
+            judged.unwrap_or_else(|_| Err(miette!("a thread that checks snapshots panicked")))
+        });
         counts.sum()
     })
 }
--- a/crates/bench/src/summary/samples.rs
+++ b/crates/bench/src/summary/samples.rs
@@ -1,4 +1,4 @@
-//! A set of measured durations.
+//! Histogram of measured durations.
 
 use std::time::Duration;
 
@@ -6,28 +6,29 @@
 
 use super::SummaryMs;
 
-/// Significant digits that a percentile keeps.
+/// Significant digits of a percentile.
 const DIGITS: u8 = 3;
 
-/// The longest duration that is told apart, in microseconds: an hour.
+/// The longest duration that is distinguished, in microseconds: one hour.
 const MAX_US: u64 = 3_600_000_000;
 
 /// Microseconds in a millisecond.
 const US_PER_MS: f64 = 1000.0;
 
-/// Durations, counted in microseconds; above an hour they count as an hour.
+/// A histogram of durations in microseconds. Durations above an hour count as
+/// an hour.
 #[derive(Debug, Clone)]
 pub struct Samples(Histogram<u64>);
 
 impl Samples {
-    /// An empty set.
+    /// An empty histogram.
     ///
     /// # Panics
     ///
-    /// Never: the bounds are ones that the histogram takes.
+    /// Never: the bounds are valid for the histogram.
     pub fn new() -> Samples {
         let histogram = Histogram::new_with_max(MAX_US, DIGITS);
-        Samples(histogram.expect("these bounds are taken"))
+        Samples(histogram.expect("the constant bounds are valid"))
     }
 
     /// Adds one duration.
@@ -40,17 +41,19 @@
     ///
     /// # Panics
     ///
-    /// Never: all sets have the same bounds.
+    /// Never: all histograms have the same bounds.
     pub fn merge(&mut self, other: &Samples) {
-        self.0.add(&other.0).expect("both have the same bounds");
+        self.0
+            .add(&other.0)
+            .expect("all histograms have the same bounds");
     }
 
-    /// How many samples there are.
+    /// Number of samples.
     pub fn len(&self) -> u64 {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no samples.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/bench/src/summary/summary_ms.rs
+++ b/crates/bench/src/summary/summary_ms.rs
@@ -1,14 +1,14 @@
-//! A summary in milliseconds.
+//! Summary of durations in milliseconds.
 
 use serde::Serialize;
 
 /// Percentiles of a set of durations, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct SummaryMs {
-    /// The median.
+    /// Median.
     pub p50: f64,
-    /// What 99 of 100 samples don't exceed.
+    /// 99th percentile.
     pub p99: f64,
-    /// The largest sample.
+    /// Largest sample.
     pub max: f64,
 }
--- a/crates/bench/src/usage.rs
+++ b/crates/bench/src/usage.rs
@@ -1,5 +1,4 @@
-//! Processor time and memory of processes and threads, as the system's own
-//! accounting has them.
+//! Processor time and memory of processes and threads, from `/proc`.
 
 pub use self::process::ProcessUsage;
 pub use self::threads::ThreadUsage;
--- a/crates/bench/src/usage/process.rs
+++ b/crates/bench/src/usage/process.rs
@@ -1,4 +1,4 @@
-//! What one process uses.
+//! Processor time and memory of a process.
 
 use std::fs;
 use std::path::PathBuf;
@@ -9,36 +9,36 @@
 
 use super::stat::Stat;
 
-/// Bytes of a kilobyte as the system counts memory.
+/// Bytes of the unit in which `/proc` reports memory.
 const KIB: u64 = 1024;
 
 /// Processor time and resident memory of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProcessUsage {
-    /// Time on a processor since the process started.
+    /// Processor time since the process started.
     pub cpu: Duration,
     /// Resident memory in bytes.
     pub rss_bytes: u64,
-    /// Resident memory in bytes that is no file's, and therefore not shared
-    /// with other processes of the same program.
+    /// Anonymous resident memory in bytes, which is not backed by a file and
+    /// therefore not shared with other processes of the same program.
     pub own_bytes: u64,
 }
 
 impl ProcessUsage {
-    /// What this process uses.
+    /// Usage of this process.
     ///
     /// # Errors
     ///
-    /// Fails where the system keeps no such accounts.
+    /// Fails where the operating system has no `/proc`.
     pub fn of_self() -> miette::Result<ProcessUsage> {
         ProcessUsage::read(PathBuf::from("/proc/self"))
     }
 
-    /// What the process `pid` uses.
+    /// Usage of the process `pid`.
     ///
     /// # Errors
     ///
-    /// Fails if it has ended.
+    /// Fails if the process has ended.
     pub fn of(pid: u32) -> miette::Result<ProcessUsage> {
         ProcessUsage::read(PathBuf::from(format!("/proc/{pid}")))
     }
@@ -57,5 +57,5 @@
     let line = status.lines().find_map(|line| line.strip_prefix(field));
     let number = line.and_then(|rest| rest.split_whitespace().next());
     let parsed = number.and_then(|number| number.parse().ok());
-    parsed.ok_or_else(|| miette!("the process's status has no {field}"))
+    parsed.ok_or_else(|| miette!("the process status file has no field {field}"))
 }
--- a/crates/bench/src/usage/stat.rs
+++ b/crates/bench/src/usage/stat.rs
@@ -1,4 +1,4 @@
-//! The line that the system keeps for each process and thread.
+//! Parser of the `stat` file of a process or thread in `/proc`.
 
 use std::fs;
 use std::path::Path;
@@ -7,35 +7,35 @@
 use miette::IntoDiagnostic;
 use miette::miette;
 
-/// Length of one tick of the system's accounting: a hundredth of a second on
-/// every Linux.
+/// Length of a clock tick, the unit of processor time in `stat`: a hundredth of
+/// a second on every Linux.
 const ACCOUNTING_TICK: Duration = Duration::from_millis(10);
 
-/// Position of user time among the fields that follow the name.
+/// Index of the user time among the fields after the name.
 const USER_TICKS: usize = 11;
 
-/// What is used of a line.
+/// The fields of a `stat` file that are used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Stat {
     /// Name of the process or thread, at most 15 bytes.
     pub(super) name: String,
-    /// Time on a processor, in user space and in the system.
+    /// Processor time, in user space and in the kernel.
     pub(super) cpu: Duration,
 }
 
 impl Stat {
-    /// Reads the line of one process or thread.
+    /// Reads the `stat` file of a process or thread.
     ///
     /// # Errors
     ///
-    /// Fails if there is no such process, or its line has another form.
+    /// Fails if there is no such process or the file can't be parsed.
     pub(super) fn read(path: &Path) -> miette::Result<Stat> {
         let line = fs::read_to_string(path).into_diagnostic()?;
-        Stat::parse(&line).ok_or_else(|| miette!("{} has another form", path.display()))
+        Stat::parse(&line).ok_or_else(|| miette!("{} can't be parsed", path.display()))
     }
 
     pub(super) fn parse(line: &str) -> Option<Stat> {
-        // The name may itself contain spaces and brackets, so that fields are
+        // The name may itself contain spaces and brackets, so that the fields are
         // counted from the last closing bracket.
         let open = line.find('(')?;
         let close = line.rfind(')')?;
--- a/crates/bench/src/usage/threads.rs
+++ b/crates/bench/src/usage/threads.rs
@@ -1,4 +1,4 @@
-//! What the threads of this process use, by their names.
+//! Processor time of the threads of this process by name.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -8,25 +8,24 @@
 
 use super::stat::Stat;
 
-/// Processor time by thread name; threads of one name are added up.
+/// Processor time by thread name, summed over threads of the same name.
 ///
-/// A run in one process can so tell the nodes' control threads from the
-/// stand-ins and from itself.
+/// A run with all nodes in this process uses it to measure the nodes' threads
+/// apart from those of the stand-ins and of the benchmark itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ThreadUsage(BTreeMap<String, Duration>);
 
 impl ThreadUsage {
-    /// What the threads that live now have used since they started.
+    /// Processor time of all running threads since their start.
     ///
     /// # Errors
     ///
-    /// Fails where the system keeps no such accounts.
+    /// Fails where the operating system has no `/proc`.
     pub fn now() -> miette::Result<ThreadUsage> {
         let mut by_name = BTreeMap::new();
         for entry in fs::read_dir("/proc/self/task").into_diagnostic()? {
             let path = entry.into_diagnostic()?.path().join("stat");
-            // A thread may end between listing and reading; it has then no
-            // time to account for.
+            // A thread that ends between listing and reading is left out.
             let Ok(stat) = Stat::read(&path) else {
                 continue;
             };
@@ -35,7 +34,7 @@
         Ok(ThreadUsage(by_name))
     }
 
-    /// Time of the threads whose name begins with `prefix`.
+    /// Processor time of the threads whose name begins with `prefix`.
     pub fn of(&self, prefix: &str) -> Duration {
         let named = self.0.iter().filter(|(name, _)| name.starts_with(prefix));
         named.map(|(_, cpu)| *cpu).sum()
