--- a/crates/bench/src/calls/pairs.rs
+++ b/crates/bench/src/calls/pairs.rs
@@ -17,11 +17,11 @@
 use crate::summary::Samples;
 
 /// Timeout of a call.
-const PATIENCE: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Where the calls to one instance are sent.
 #[derive(Debug, Clone)]
-pub(super) struct Way {
+pub(super) struct Destination {
     /// Address of the instance's target, for direct calls.
     pub(super) target: SocketAddr,
     /// Ingress of another instance's node, for calls through two nodes.
@@ -32,11 +32,11 @@
 
 /// Latencies of all pairs.
 #[derive(Debug, Default)]
-pub(super) struct Measured {
+pub(super) struct Measurements {
     pub(super) direct: Samples,
     pub(super) via: Samples,
     pub(super) added: Samples,
-    pub(super) late: Samples,
+    pub(super) lateness: Samples,
     pub(super) unanswered: u64,
 }
 
@@ -46,7 +46,7 @@
     via: Option<Duration>,
 }
 
-impl Measured {
+impl Measurements {
     fn add(&mut self, pair: Pair) {
         let (Some(direct), Some(via)) = (pair.direct, pair.via) else {
             self.unanswered += 1;
@@ -58,19 +58,23 @@
     }
 }
 
-/// Makes all pairs of `plan`, distributed at random over `ways`.
-pub(super) async fn measure(run: &'static str, plan: Plan, ways: &[Way]) -> Measured {
+/// Makes all pairs of `plan`, distributed at random over `destinations`.
+pub(super) async fn measure(
+    run: &'static str,
+    plan: Plan,
+    destinations: &[Destination],
+) -> Measurements {
     let client = Arc::new(Client::default());
-    let mut measured = Measured::default();
+    let mut measured = Measurements::default();
     let mut pairs = JoinSet::new();
     let mut pacer = Pacer::start(plan);
     while let Some(due) = pacer.next().await {
-        measured.late.add(due.late);
-        let len = u64::try_from(ways.len()).unwrap_or(1);
-        let at = usize::try_from(due.call.draw / 2 % len).unwrap_or(0);
-        let way = ways[at].clone();
+        measured.lateness.add(due.late);
+        let len = u64::try_from(destinations.len()).unwrap_or(1);
+        let index = usize::try_from(due.call.draw / 2 % len).unwrap_or(0);
+        let destination = destinations[index].clone();
         let client = Arc::clone(&client);
-        pairs.spawn(async move { pair(run, &client, &way, due).await });
+        pairs.spawn(async move { call_pair(run, &client, &destination, due).await });
         while let Some(Ok(pair)) = pairs.try_join_next() {
             measured.add(pair);
         }
@@ -81,10 +85,22 @@
     measured
 }
 
-async fn pair(run: &str, client: &Client, way: &Way, due: Due) -> Pair {
+async fn call_pair(run: &str, client: &Client, destination: &Destination, due: Due) -> Pair {
     let direct_first = due.call.draw.is_multiple_of(2);
-    let direct = || call(client, way.target, attempt(run, way, &due.call, "direct"));
-    let via = || call(client, way.entry, attempt(run, way, &due.call, "via"));
+    let direct = || {
+        timed_call(
+            client,
+            destination.target,
+            attempt(run, destination, &due.call, "direct"),
+        )
+    };
+    let via = || {
+        timed_call(
+            client,
+            destination.entry,
+            attempt(run, destination, &due.call, "via"),
+        )
+    };
     match direct_first {
         true => Pair {
             direct: direct().await,
@@ -100,23 +116,23 @@
     }
 }
 
-fn attempt(run: &str, way: &Way, call: &Call, which: &str) -> Attempt {
+fn attempt(run: &str, destination: &Destination, call: &Call, which: &str) -> Attempt {
     Attempt {
         id: format!("{run}-{}-{which}", call.n),
         key: None,
         number: 1,
-        path: way.path,
+        path: destination.path,
         kind: "lookup",
         answer_bytes: call.answer_bytes,
         request_bytes: 0,
-        timeout: PATIENCE,
+        timeout: CALL_TIMEOUT,
     }
 }
 
 /// Latency of a call; `None` if it wasn't answered.
-async fn call(client: &Client, addr: SocketAddr, attempt: Attempt) -> Option<Duration> {
+async fn timed_call(client: &Client, addr: SocketAddr, attempt: Attempt) -> Option<Duration> {
     let start = Instant::now();
-    let exchange = client.exchange(&[addr], &attempt, PATIENCE).await;
+    let exchange = client.exchange(&[addr], &attempt, CALL_TIMEOUT).await;
     let took = start.elapsed();
     (exchange.ending == Ending::Answered).then_some(took)
 }
--- a/crates/bench/src/calls/process.rs
+++ b/crates/bench/src/calls/process.rs
@@ -3,7 +3,7 @@
 use std::fs;
 
 /// Number of established IPv4 TCP connections of the process `pid`.
-pub(super) fn connections(pid: u32) -> Option<usize> {
+pub(super) fn count_connections(pid: u32) -> Option<usize> {
     let established = established_inodes(pid)?;
     let mut open = 0;
     for fd in fs::read_dir(format!("/proc/{pid}/fd")).ok()? {
--- a/crates/bench/src/calls/run.rs
+++ b/crates/bench/src/calls/run.rs
@@ -7,8 +7,8 @@
 
 use super::Options;
 use super::Report;
-use super::pairs::Measured;
-use super::pairs::Way;
+use super::pairs::Destination;
+use super::pairs::Measurements;
 use super::pairs::measure;
 use super::process;
 use crate::load::CallKind;
@@ -22,7 +22,7 @@
 
 /// Duration of the warm-up, which opens connections and fills caches before
 /// the measured load.
-const WARM_UP: Duration = Duration::from_secs(1);
+const WARM_UP_TIME: Duration = Duration::from_secs(1);
 
 /// Timeout for the fleet to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
@@ -35,13 +35,15 @@
 pub async fn run(opts: Options) -> miette::Result<Report> {
     let load_average = process::load_average();
     let fleet = Fleet::start(&layout(opts)).await?;
-    let ways = ways(&fleet);
-    measure("warm", plan(opts, WARM_UP), &ways).await;
-    let pids = pids(&fleet).await;
-    let cpu_before = cpu(&pids);
-    let measured = measure("calls", plan(opts, opts.length), &ways).await;
-    let cpu_us = (cpu(&pids) - cpu_before).as_micros();
-    let connections = pids.iter().filter_map(|pid| process::connections(*pid));
+    let destinations = destinations(&fleet);
+    measure("warm", plan(opts, WARM_UP_TIME), &destinations).await;
+    let pids = node_pids(&fleet).await;
+    let cpu_before = cpu_time(&pids);
+    let measured = measure("calls", plan(opts, opts.length), &destinations).await;
+    let cpu_us = (cpu_time(&pids) - cpu_before).as_micros();
+    let connections = pids
+        .iter()
+        .filter_map(|pid| process::count_connections(*pid));
     let connections = connections.max().unwrap_or(0);
     Ok(report(opts, &measured, cpu_us, connections, load_average))
 }
@@ -98,17 +100,17 @@
 
 /// Calls to each instance enter at the node of the next one, so that every
 /// call takes both hops. The paths are leaked: there are as many as instances.
-fn ways(fleet: &Fleet) -> Vec<Way> {
+fn destinations(fleet: &Fleet) -> Vec<Destination> {
     let members = &fleet.members;
-    let way = |n: usize| Way {
+    let destination = |n: usize| Destination {
         target: members[n].target.addr(),
         entry: members[(n + 1) % members.len()].ingress,
         path: path(n).leak(),
     };
-    (0..members.len()).map(way).collect()
+    (0..members.len()).map(destination).collect()
 }
 
-async fn pids(fleet: &Fleet) -> Vec<u32> {
+async fn node_pids(fleet: &Fleet) -> Vec<u32> {
     let mut pids = Vec::new();
     for member in &fleet.members {
         let node = member.node.lock().await;
@@ -117,14 +119,14 @@
     pids
 }
 
-fn cpu(pids: &[u32]) -> Duration {
+fn cpu_time(pids: &[u32]) -> Duration {
     let usage = pids.iter().filter_map(|pid| ProcessUsage::of(*pid).ok());
     usage.map(|usage| usage.cpu).sum()
 }
 
 fn report(
     opts: Options,
-    measured: &Measured,
+    measured: &Measurements,
     cpu_us: u128,
     connections: usize,
     load_average: String,
@@ -151,7 +153,7 @@
         calls_per_s: pairs as f64 / seconds,
         cpu_us_per_call: cpu_us as f64 / pairs.max(1) as f64,
         connections_per_node: connections,
-        release_late_ms: measured.late.summary(),
+        release_late_ms: measured.lateness.summary(),
         load_average,
     }
 }
--- a/crates/bench/src/chaos/driver.rs
+++ b/crates/bench/src/chaos/driver.rs
@@ -16,7 +16,7 @@
 
 use super::events::Stopped;
 use super::fault::Fault;
-use super::fault::in_herd;
+use super::fault::is_in_herd;
 use super::log::Log;
 use super::log::now_us;
 use super::operators::Operators;
@@ -27,7 +27,7 @@
 use crate::load::OutageKind;
 
 /// During a fault of late answers, one answer of this many is late.
-const LATE_EVERY: u64 = 3;
+const LATE_ANSWER_EVERY: u64 = 3;
 
 /// Injects faults into a fleet.
 #[derive(Debug)]
@@ -37,10 +37,10 @@
     pub(super) log: Arc<Log>,
     /// Whether the fleet has nodes. Without nodes, faults of nodes are injected
     /// into the targets.
-    pub(super) nodes: bool,
+    pub(super) with_nodes: bool,
     pub(super) stops: Mutex<Vec<Stopped>>,
     /// By instance: locked while a fault of the instance lasts.
-    pub(super) busy: Vec<tokio::sync::Mutex<()>>,
+    pub(super) fault_locks: Vec<tokio::sync::Mutex<()>>,
 }
 
 impl Driver {
@@ -49,16 +49,16 @@
     /// # Errors
     ///
     /// Fails if a fault can't be injected or a process can't be restarted.
-    pub(super) async fn play(self: &Arc<Driver>, script: &Script) -> miette::Result<()> {
+    pub(super) async fn run_script(self: &Arc<Driver>, script: &Script) -> miette::Result<()> {
         let start = Instant::now();
-        let mut under_way = JoinSet::new();
+        let mut injections = JoinSet::new();
         for step in &script.steps {
             tokio::time::sleep_until(start + step.at).await;
             let driver = Arc::clone(self);
             let fault = step.fault;
-            under_way.spawn(async move { driver.perform(fault).await });
+            injections.spawn(async move { driver.inject_if_idle(fault).await });
         }
-        while let Some(done) = under_way.join_next().await {
+        while let Some(done) = injections.join_next().await {
             done.into_diagnostic()??;
         }
         Ok(())
@@ -67,21 +67,21 @@
     /// Injects a fault, unless an earlier one of the same instance still lasts.
     /// A drain takes as long as the requests in flight, so that the script can't
     /// plan its end.
-    async fn perform(&self, fault: Fault) -> miette::Result<()> {
+    async fn inject_if_idle(&self, fault: Fault) -> miette::Result<()> {
         let Some(instance) = fault.instance() else {
-            return self.perform_alone(fault).await;
+            return self.inject(fault).await;
         };
-        match self.busy[instance].try_lock() {
-            Ok(_busy) => self.perform_alone(fault).await,
+        match self.fault_locks[instance].try_lock() {
+            Ok(_guard) => self.inject(fault).await,
             Err(_) => Ok(()),
         }
     }
 
-    async fn perform_alone(&self, fault: Fault) -> miette::Result<()> {
+    async fn inject(&self, fault: Fault) -> miette::Result<()> {
         match fault {
             Fault::Stop { instance, down } => self.stop(instance, down).await,
             Fault::Kill { instance, down } => self.kill(instance, down).await,
-            Fault::KillHerd { down } => self.kill_herd(down).await,
+            Fault::KillHerd { down } => self.kill_many(down).await,
             Fault::Pause { instance, length } => self.pause(instance, length).await,
             Fault::CrashTarget { instance, down } => self.crash_target(instance, down).await,
             Fault::Crash { instance, down } => {
@@ -95,9 +95,9 @@
             }
             Fault::PublishGood => self.operators.publish_good(&self.fleet.platform, &self.log),
             Fault::PublishBad => self.operators.publish_bad(&self.fleet.platform, &self.log),
-            fault if fault.is_of_platform() => self.mislead(fault).await,
+            fault if fault.is_platform_fault() => self.inject_platform_fault(fault).await,
             fault => {
-                self.hinder(fault).await;
+                self.inject_target_fault(fault).await;
                 Ok(())
             }
         }
@@ -115,8 +115,8 @@
             target: target.clone(),
         });
         self.operators
-            .list_as(instance, InstanceState::Leaving, platform, &self.log)?;
-        if !self.nodes {
+            .publish_state(instance, InstanceState::Leaving, platform, &self.log)?;
+        if !self.with_nodes {
             member.target.set_drain(true).await;
             member.target.crash().await;
         }
@@ -131,35 +131,35 @@
             .unwrap_or_else(PoisonError::into_inner)
             .push(stopped);
         self.log.record(Event::DrainEnded { target, cut });
-        self.lost(instance);
+        self.record_node_lost(instance);
         tokio::time::sleep(down).await;
-        if !self.nodes {
+        if !self.with_nodes {
             member.target.set_drain(false).await;
             member.target.restart().await.into_diagnostic()?;
         }
         self.start(instance).await?;
         self.operators
-            .list_as(instance, InstanceState::Live, platform, &self.log)
+            .publish_state(instance, InstanceState::Live, platform, &self.log)
     }
 
     async fn kill(&self, instance: usize, down: Duration) -> miette::Result<()> {
         let from_us = now_us();
-        if !self.nodes {
+        if !self.with_nodes {
             return self.crash_target(instance, down).await;
         }
-        self.lost(instance);
+        self.record_node_lost(instance);
         self.member(instance).kill_node().await.into_diagnostic()?;
         tokio::time::sleep(down).await;
         self.start(instance).await?;
-        self.note(instance, OutageKind::NodeKilled, from_us);
+        self.record_outage(instance, OutageKind::NodeKilled, from_us);
         Ok(())
     }
 
-    async fn kill_herd(&self, down: Duration) -> miette::Result<()> {
-        let herd = (0..self.fleet.members.len()).filter(|instance| in_herd(*instance));
-        let kills = herd.map(|instance| async move {
-            match self.busy[instance].try_lock() {
-                Ok(_busy) => self.kill(instance, down).await,
+    async fn kill_many(&self, down: Duration) -> miette::Result<()> {
+        let killed = (0..self.fleet.members.len()).filter(|instance| is_in_herd(*instance));
+        let kills = killed.map(|instance| async move {
+            match self.fault_locks[instance].try_lock() {
+                Ok(_guard) => self.kill(instance, down).await,
                 Err(_) => Ok(()),
             }
         });
@@ -169,22 +169,22 @@
 
     async fn pause(&self, instance: usize, length: Duration) -> miette::Result<()> {
         let member = self.member(instance);
-        if !self.nodes {
+        if !self.with_nodes {
             member.target.set_slow(length).await;
             tokio::time::sleep(length).await;
             member.target.set_slow(Duration::ZERO).await;
             return Ok(());
         }
         let from_us = now_us();
-        self.lost(instance);
+        self.record_node_lost(instance);
         let node = member.node.lock().await;
         if let Some(node) = &*node {
             node.pause().into_diagnostic()?;
             tokio::time::sleep(length).await;
             node.resume().into_diagnostic()?;
         }
-        self.back(instance);
-        self.note(instance, OutageKind::NodePaused, from_us);
+        self.record_node_back(instance);
+        self.record_outage(instance, OutageKind::NodePaused, from_us);
         Ok(())
     }
 
@@ -193,11 +193,11 @@
     /// that the outcome is unknown.
     async fn isolate(&self, instance: usize, length: Duration) {
         let links = &self.member(instance).links;
-        self.lost(instance);
+        self.record_node_lost(instance);
         links.iter().for_each(|link| link.hold(true, true));
         tokio::time::sleep(length).await;
         links.iter().for_each(|link| link.hold(false, false));
-        self.back(instance);
+        self.record_node_back(instance);
     }
 
     async fn crash_target(&self, instance: usize, down: Duration) -> miette::Result<()> {
@@ -209,12 +209,12 @@
         });
         tokio::time::sleep(down).await;
         member.target.restart().await.into_diagnostic()?;
-        self.note(instance, OutageKind::TargetCrashed, from_us);
+        self.record_outage(instance, OutageKind::TargetCrashed, from_us);
         Ok(())
     }
 
     /// Injects a fault of a target for its duration.
-    async fn hinder(&self, fault: Fault) {
+    async fn inject_target_fault(&self, fault: Fault) {
         let Some(instance) = fault.instance() else {
             return;
         };
@@ -225,14 +225,14 @@
             Fault::Hang { .. } => target.set_hang_after_run(true).await,
             Fault::DrainTarget { .. } => target.set_drain(true).await,
             Fault::SlowTarget { extra, .. } => target.set_slow(extra).await,
-            Fault::LateAnswers { by, .. } => target.late_answers(LATE_EVERY, by).await,
+            Fault::LateAnswers { by, .. } => target.late_answers(LATE_ANSWER_EVERY, by).await,
             _ => target.lie_about_health(HealthReport::Ill).await,
         }
         tokio::time::sleep(fault.length()).await;
         match fault {
             Fault::CutAnswers { .. } => {
                 target.set_cut_body(false).await;
-                self.note(instance, OutageKind::AnswersCut, from_us);
+                self.record_outage(instance, OutageKind::AnswersCut, from_us);
             }
             Fault::Hang { .. } => target.set_hang_after_run(false).await,
             Fault::DrainTarget { .. } => target.set_drain(false).await,
@@ -243,13 +243,13 @@
     }
 
     /// Injects a fault of the platform for its duration.
-    async fn mislead(&self, fault: Fault) -> miette::Result<()> {
+    async fn inject_platform_fault(&self, fault: Fault) -> miette::Result<()> {
         let platform = &self.fleet.platform;
         self.log.record(Event::SourceLost);
         match fault {
             Fault::Outage { .. } => platform.set_outage(true),
             Fault::Stale { .. } => platform.set_stale(true),
-            Fault::StepBack { .. } => self.step_back()?,
+            Fault::StepBack { .. } => self.serve_older_catalogue()?,
             Fault::ListLag { lag, .. } => platform.set_list_lag(lag),
             Fault::SlowPlatform { delay, .. } => platform.set_answer_delay(delay),
             _ => {}
@@ -269,7 +269,7 @@
         Ok(())
     }
 
-    fn step_back(&self) -> miette::Result<()> {
+    fn serve_older_catalogue(&self) -> miette::Result<()> {
         let last = self.operators.last_revision(Stream::Catalogue);
         let older = Revision::new(last.saturating_sub(1).max(1)).into_diagnostic()?;
         let platform = &self.fleet.platform;
@@ -279,24 +279,24 @@
     }
 
     async fn start(&self, instance: usize) -> miette::Result<()> {
-        if self.nodes {
+        if self.with_nodes {
             self.member(instance).start_node().await.into_diagnostic()?;
         }
-        self.back(instance);
+        self.record_node_back(instance);
         Ok(())
     }
 
-    fn lost(&self, instance: usize) {
+    fn record_node_lost(&self, instance: usize) {
         let node = self.member(instance).instance.id.clone();
         self.log.record(Event::NodeLost { node });
     }
 
-    fn back(&self, instance: usize) {
+    fn record_node_back(&self, instance: usize) {
         let node = self.member(instance).instance.id.clone();
         self.log.record(Event::NodeBack { node });
     }
 
-    fn note(&self, instance: usize, kind: OutageKind, from_us: u64) {
+    fn record_outage(&self, instance: usize, kind: OutageKind, from_us: u64) {
         self.log.add(Outage {
             instance,
             entry: self.member(instance).ingress,
--- a/crates/bench/src/chaos/events.rs
+++ b/crates/bench/src/chaos/events.rs
@@ -18,16 +18,16 @@
 
 /// A run that was cut this shortly before the end of a planned stop, in
 /// microseconds, is attributed to the stop.
-const STOP_CUTS_US: u64 = 50_000;
+const MAX_CUT_BEFORE_STOP_US: u64 = 50_000;
 
 /// Maps the ids that records and ledgers share to numbers.
 #[derive(Debug, Default)]
-struct Numbers<'a> {
+struct IdNumbers<'a> {
     by_text: HashMap<&'a str, u64>,
 }
 
-impl<'a> Numbers<'a> {
-    fn of(&mut self, text: &'a str) -> u64 {
+impl<'a> IdNumbers<'a> {
+    fn number_of(&mut self, text: &'a str) -> u64 {
         let next = u64::try_from(self.by_text.len()).unwrap_or(u64::MAX);
         *self.by_text.entry(text).or_insert(next)
     }
@@ -51,14 +51,14 @@
     runs: &[LedgerRun],
     names: &[InstanceId],
     stops: &[Stopped],
-    is_excused: impl Fn(&CallRecord) -> bool,
+    is_explained: impl Fn(&CallRecord) -> bool,
 ) -> History {
     let (mut history, _) = log.copy();
-    let mut ids = Numbers::default();
-    let mut calls = Numbers::default();
+    let mut ids = IdNumbers::default();
+    let mut calls = IdNumbers::default();
     for record in records {
-        let request = RequestId(ids.of(&record.id));
-        let operation = OperationId(calls.of(record.key.as_deref().unwrap_or(&record.id)));
+        let request = RequestId(ids.number_of(&record.id));
+        let operation = OperationId(calls.number_of(record.key.as_deref().unwrap_or(&record.id)));
         let repeatable = record.idempotent;
         let sent = Event::Sent {
             request,
@@ -66,12 +66,12 @@
             repeatable,
         };
         history.record(Tick::from_micros(record.sent_us), sent);
-        if let Some(end) = end_of(record, request, is_excused(record)) {
+        if let Some(end) = ending_event(record, request, is_explained(record)) {
             history.record(Tick::from_micros(record.ended_us), end);
         }
     }
     for run in runs.iter().filter(|run| run.run.began()) {
-        let request = RequestId(ids.of(&run.run.id));
+        let request = RequestId(ids.number_of(&run.run.id));
         let target = names[run.instance].clone();
         let started = Event::RunStarted {
             request,
@@ -80,7 +80,7 @@
         history.record(Tick::from_micros(run.run.started_us), started);
         if let Some(ended_us) = run.run.ended_us {
             let at = match is_cut_by_stop(run, ended_us, stops) {
-                true => ended_us + STOP_CUTS_US,
+                true => ended_us + MAX_CUT_BEFORE_STOP_US,
                 false => ended_us,
             };
             history.record(
@@ -92,7 +92,7 @@
     history
 }
 
-fn end_of(record: &CallRecord, request: RequestId, is_excused: bool) -> Option<Event> {
+fn ending_event(record: &CallRecord, request: RequestId, is_explained: bool) -> Option<Event> {
     let answered = |whole| Event::Answered {
         request,
         answers: request,
@@ -103,7 +103,7 @@
         Ending::Wrong => Some(answered(false)),
         Ending::NotRun | Ending::NotSent => Some(Event::RefusedNotRun { request }),
         Ending::Unknown | Ending::Failed => Some(Event::Unknown { request }),
-        Ending::Broken | Ending::Silence if is_excused => Some(Event::Unknown { request }),
+        Ending::Broken | Ending::Silence if is_explained => Some(Event::Unknown { request }),
         Ending::Broken | Ending::Silence => None,
     }
 }
@@ -114,6 +114,6 @@
         && stops.iter().any(|stop| {
             stop.instance == run.instance
                 && ended_us <= stop.at_us
-                && stop.at_us - ended_us < STOP_CUTS_US
+                && stop.at_us - ended_us < MAX_CUT_BEFORE_STOP_US
         })
 }
--- a/crates/bench/src/chaos/fault.rs
+++ b/crates/bench/src/chaos/fault.rs
@@ -180,7 +180,7 @@
 
     /// Whether it is a fault of what the platform serves. Only one of these
     /// can be active at a time.
-    pub fn is_of_platform(&self) -> bool {
+    pub fn is_platform_fault(&self) -> bool {
         matches!(
             self,
             Fault::Outage { .. }
@@ -195,6 +195,6 @@
 /// Whether [`Fault::KillHerd`] kills the node of `instance`. Every other pair
 /// of instances is killed; as the two services alternate, that is half of each
 /// service's nodes.
-pub(super) fn in_herd(instance: usize) -> bool {
+pub(super) fn is_in_herd(instance: usize) -> bool {
     (instance / 2).is_multiple_of(2)
 }
--- a/crates/bench/src/chaos/observer.rs
+++ b/crates/bench/src/chaos/observer.rs
@@ -20,7 +20,7 @@
 use crate::load::admin;
 
 /// Interval between two reads of a node's snapshot.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Records each change of the snapshot in force on `node` until `cancel`;
 /// `admin` is the node's admin address.
@@ -41,7 +41,7 @@
             });
             last = Some(held);
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -77,10 +77,10 @@
 }
 
 fn dangling(info: &SnapshotInfo) -> Vec<Dangling> {
-    let is_held = |name| info.services.iter().any(|service| service.name == name);
+    let exists = |name| info.services.iter().any(|service| service.name == name);
     let routes = info.routes.iter();
-    let loose = routes.filter(|route| !is_held(route.service.clone()));
-    loose
+    let dangling = routes.filter(|route| !exists(route.service.clone()));
+    dangling
         .map(|route| Dangling::Route {
             path: route.path.clone(),
             service: route.service.clone(),
--- a/crates/bench/src/chaos/operators.rs
+++ b/crates/bench/src/chaos/operators.rs
@@ -52,7 +52,7 @@
 
     /// Publishes a valid change of the catalogue.
     pub(super) fn publish_good(&self, platform: &Platform, log: &Log) -> miette::Result<()> {
-        let mut published = self.published();
+        let mut published = self.lock();
         published.changes += 1;
         published.catalogue += 1;
         let text = catalogue::text(published.changes);
@@ -63,7 +63,7 @@
 
     /// Publishes a catalogue from which no snapshot can be built.
     pub(super) fn publish_bad(&self, platform: &Platform, log: &Log) -> miette::Result<()> {
-        let mut published = self.published();
+        let mut published = self.lock();
         published.catalogue += 1;
         let text = catalogue::bad_text(published.changes);
         let version = catalogue_of(published.catalogue, &text)?.version();
@@ -74,14 +74,14 @@
     }
 
     /// Publishes a list in which the `n`th instance is in `state`.
-    pub(super) fn list_as(
+    pub(super) fn publish_state(
         &self,
         n: usize,
         state: InstanceState,
         platform: &Platform,
         log: &Log,
     ) -> miette::Result<()> {
-        let mut published = self.published();
+        let mut published = self.lock();
         published.instances += 1;
         published.list[n].state = state;
         log.record(good_list(published.instances, &published.list)?);
@@ -93,14 +93,14 @@
 
     /// The last published revision of a stream, of valid and invalid versions.
     pub(super) fn last_revision(&self, stream: Stream) -> u64 {
-        let published = self.published();
+        let published = self.lock();
         match stream {
             Stream::Catalogue => published.catalogue,
             Stream::Instances => published.instances,
         }
     }
 
-    fn published(&self) -> MutexGuard<'_, Published> {
+    fn lock(&self) -> MutexGuard<'_, Published> {
         self.published
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/bench/src/chaos/run.rs
+++ b/crates/bench/src/chaos/run.rs
@@ -73,7 +73,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Maximum number of violations, and of faults, that a report has as text.
-const TOLD: usize = 5;
+const MAX_EXAMPLES: usize = 5;
 
 /// Runs the load and the script of `opts.seed` and evaluates the outcome.
 ///
@@ -93,9 +93,9 @@
         fleet: Arc::clone(&fleet),
         operators: Operators::new(list, &log)?,
         log: Arc::clone(&log),
-        nodes: !opts.naive,
+        with_nodes: !opts.naive,
         stops: Mutex::default(),
-        busy: fleet.members.iter().map(|_| Default::default()).collect(),
+        fault_locks: fleet.members.iter().map(|_| Default::default()).collect(),
     });
     for member in &fleet.members {
         let node = member.instance.id.clone();
@@ -114,14 +114,14 @@
     let rate = opts.rate_per_node * opts.nodes as f64;
     let plan = Plan::new(&KINDS, rate, opts.length, opts.seed);
     let load = OpenLoop::run(plan, Arc::new(caller(opts, &fleet)));
-    let (load, played) = tokio::join!(load, driver.play(&script));
-    played?;
+    let (load, script_result) = tokio::join!(load, driver.run_script(&script));
+    script_result?;
     tokio::time::sleep(SETTLE).await;
     cancel.cancel();
     while observers.join_next().await.is_some() {}
-    let report = judged(opts, &script, &load, &driver);
+    let report = build_report(opts, &script, &load, &driver);
     drop(driver);
-    with_logs(opts, report, fleet, &load.records)
+    keep_logs_if_faulty(opts, report, fleet, &load.records)
 }
 
 fn layout(opts: Options) -> Layout {
@@ -178,15 +178,22 @@
     }
 }
 
-fn judged(opts: Options, script: &Script, load: &OpenLoop, driver: &Driver) -> Report {
+fn build_report(opts: Options, script: &Script, load: &OpenLoop, driver: &Driver) -> Report {
     let runs = driver.fleet.runs();
     let (_, outages) = driver.log.copy();
     let evidence = Evidence::new(&load.records, &runs, &outages);
     let members = driver.fleet.members.iter();
     let names: Vec<InstanceId> = members.map(|m| m.instance.id.clone()).collect();
     let stops = driver.stops.lock().unwrap_or_else(PoisonError::into_inner);
-    let excused = |record: &CallRecord| evidence.is_excused(record);
-    let history = events::history(&driver.log, &load.records, &runs, &names, &stops, excused);
+    let is_explained = |record: &CallRecord| evidence.is_excused(record);
+    let history = events::history(
+        &driver.log,
+        &load.records,
+        &runs,
+        &names,
+        &stops,
+        is_explained,
+    );
     let bounds = Bounds {
         in_force: IN_FORCE,
         ..Bounds::default()
@@ -205,8 +212,8 @@
         verdict: evidence.verdict(),
         reasons: reasons(&load.records),
         violations: by_promise(&violations),
-        first_violations: first(violations.iter().map(ToString::to_string)),
-        first_faults: first(evidence.faults().map(|record| format!("{record:?}"))),
+        first_violations: first_examples(violations.iter().map(ToString::to_string)),
+        first_faults: first_examples(evidence.faults().map(|record| format!("{record:?}"))),
         latency_ms: latency.summary(),
         release_late_ms: load.late.summary(),
         began_us: load.records.iter().map(|r| r.sent_us).min().unwrap_or(0),
@@ -223,8 +230,8 @@
         if record.ending == Ending::Answered {
             continue;
         }
-        let told: Option<Value> = serde_json::from_str(&record.detail).ok();
-        let reason = told.as_ref().and_then(|told| told["reason"].as_str());
+        let body: Option<Value> = serde_json::from_str(&record.detail).ok();
+        let reason = body.as_ref().and_then(|body| body["reason"].as_str());
         let reason = reason.unwrap_or(&record.detail);
         let ending = record.ending;
         *counts.entry(format!("{ending:?}: {reason}")).or_default() += 1;
@@ -232,18 +239,18 @@
     counts
 }
 
-fn first(told: impl Iterator<Item = String>) -> Vec<String> {
-    told.take(TOLD).collect()
+fn first_examples(examples: impl Iterator<Item = String>) -> Vec<String> {
+    examples.take(MAX_EXAMPLES).collect()
 }
 
-fn with_logs(
+fn keep_logs_if_faulty(
     opts: Options,
     mut report: Report,
     fleet: Arc<Fleet>,
     records: &[CallRecord],
 ) -> miette::Result<Report> {
-    let is_odd = report.verdict.has_fault() || report.verdict.refused_after_run > 0;
-    if opts.keep_logs && (is_odd || !report.violations.is_empty()) {
+    let is_faulty = report.verdict.has_fault() || report.verdict.refused_after_run > 0;
+    if opts.keep_logs && (is_faulty || !report.violations.is_empty()) {
         fleet.write("records.json", records).into_diagnostic()?;
         let fleet = Arc::into_inner(fleet).ok_or_else(|| miette!("the fleet is still in use"))?;
         report.logs = Some(fleet.keep_logs().display().to_string());
--- a/crates/bench/src/chaos/script.rs
+++ b/crates/bench/src/chaos/script.rs
@@ -8,23 +8,23 @@
 use rand::rngs::SmallRng;
 
 use super::fault::Fault;
-use super::fault::in_herd;
+use super::fault::is_in_herd;
 
 /// The shortest time between two draws of a fault, in milliseconds.
-const LEAST_GAP_MS: u64 = 100;
+const MIN_GAP_MS: u64 = 100;
 
 /// The longest time between two draws of a fault, in milliseconds.
-const MOST_GAP_MS: u64 = 500;
+const MAX_GAP_MS: u64 = 500;
 
 /// Time before the first fault, in which every node has to become ready.
-const LEAD: Duration = Duration::from_millis(500);
+const LEAD_TIME: Duration = Duration::from_millis(500);
 
 /// How long an instance gets no new fault after one, so that a restarted node
 /// serves calls within the run.
-const REST: Duration = Duration::from_millis(1_000);
+const RECOVERY_TIME: Duration = Duration::from_millis(1_000);
 
 /// Number of equally likely outcomes of a draw; some faults have two.
-const FAULTS: usize = 20;
+const DRAW_OUTCOMES: usize = 20;
 
 /// A fault and the time at which it is injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,61 +56,67 @@
     /// scheduled while no instance has a fault, so that some instances can
     /// always answer.
     pub fn draw(instances: usize, length: Duration, seed: u64) -> Script {
-        let mut drawn = Drawn {
+        let mut builder = ScriptBuilder {
             rng: SmallRng::seed_from_u64(seed),
-            hurt_until: vec![Duration::ZERO; instances],
-            platform_until: Duration::ZERO,
+            faulty_until: vec![Duration::ZERO; instances],
+            platform_faulty_until: Duration::ZERO,
             steps: Vec::new(),
         };
-        let mut at = LEAD;
+        let mut at = LEAD_TIME;
         while at < length {
-            drawn.step(at);
-            at += drawn.millis(LEAST_GAP_MS, MOST_GAP_MS);
+            builder.draw_step(at);
+            at += builder.millis(MIN_GAP_MS, MAX_GAP_MS);
+        }
+        Script {
+            steps: builder.steps,
         }
-        Script { steps: drawn.steps }
     }
 }
 
 #[derive(Debug)]
-struct Drawn {
+struct ScriptBuilder {
     rng: SmallRng,
-    hurt_until: Vec<Duration>,
-    platform_until: Duration,
+    faulty_until: Vec<Duration>,
+    platform_faulty_until: Duration,
     steps: Vec<Step>,
 }
 
-impl Drawn {
-    fn step(&mut self, at: Duration) {
-        let fault = self.draw();
-        let until = at + fault.length() + REST;
-        if fault.is_of_platform() {
-            if at < self.platform_until {
+impl ScriptBuilder {
+    fn draw_step(&mut self, at: Duration) {
+        let fault = self.draw_fault();
+        let until = at + fault.length() + RECOVERY_TIME;
+        if fault.is_platform_fault() {
+            if at < self.platform_faulty_until {
                 return;
             }
-            self.platform_until = at + fault.length();
+            self.platform_faulty_until = at + fault.length();
         }
         if let Some(instance) = fault.instance() {
-            let hurt = self.hurt_until.iter().filter(|until| at < **until).count();
-            if at < self.hurt_until[instance] || (hurt + 1) * 2 > self.hurt_until.len() {
+            let faulty = self
+                .faulty_until
+                .iter()
+                .filter(|until| at < **until)
+                .count();
+            if at < self.faulty_until[instance] || (faulty + 1) * 2 > self.faulty_until.len() {
                 return;
             }
-            self.hurt_until[instance] = until;
+            self.faulty_until[instance] = until;
         }
         if matches!(fault, Fault::KillHerd { .. }) {
-            if self.hurt_until.iter().any(|until| at < *until) {
+            if self.faulty_until.iter().any(|until| at < *until) {
                 return;
             }
-            let herd = self.hurt_until.iter_mut().enumerate();
-            for (_, until_of) in herd.filter(|(instance, _)| in_herd(*instance)) {
-                *until_of = until;
+            let killed = self.faulty_until.iter_mut().enumerate();
+            for (_, faulty_until) in killed.filter(|(instance, _)| is_in_herd(*instance)) {
+                *faulty_until = until;
             }
         }
         self.steps.push(Step { at, fault });
     }
 
-    fn draw(&mut self) -> Fault {
-        let instance = self.rng.random_range(0..self.hurt_until.len());
-        match self.rng.random_range(0..FAULTS) {
+    fn draw_fault(&mut self) -> Fault {
+        let instance = self.rng.random_range(0..self.faulty_until.len());
+        match self.rng.random_range(0..DRAW_OUTCOMES) {
             0 | 1 => Fault::Stop {
                 instance,
                 down: self.millis(200, 1_500),
@@ -148,7 +154,7 @@
                 instance,
                 length: self.millis(500, 3_000),
             },
-            12 | 13 => self.draw_of_platform(),
+            12 | 13 => self.draw_platform_fault(),
             14 => Fault::PublishBad,
             15 => Fault::Isolate {
                 instance,
@@ -170,7 +176,7 @@
         }
     }
 
-    fn draw_of_platform(&mut self) -> Fault {
+    fn draw_platform_fault(&mut self) -> Fault {
         let length = self.millis(300, 3_000);
         match self.rng.random_range(0..5) {
             0 => Fault::Outage { length },
@@ -187,7 +193,7 @@
         }
     }
 
-    fn millis(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(self.rng.random_range(least..=most))
+    fn millis(&mut self, min: u64, max: u64) -> Duration {
+        Duration::from_millis(self.rng.random_range(min..=max))
     }
 }
--- a/crates/bench/src/chaos/tests.rs
+++ b/crates/bench/src/chaos/tests.rs
@@ -15,21 +15,21 @@
 const LENGTH: Duration = Duration::from_secs(60);
 
 #[test]
-fn a_script_repeats_from_its_seed_and_leaves_somebody_whole() {
+fn a_script_is_reproducible_and_affects_at_most_half_of_the_instances() {
     let script = Script::draw(8, LENGTH, 3);
     assert_eq!(script, Script::draw(8, LENGTH, 3));
     assert_ne!(script, Script::draw(8, LENGTH, 4));
     for step in &script.steps {
-        let hurt = script.steps.iter().filter(|other| {
+        let faulty = script.steps.iter().filter(|other| {
             let until = other.at + other.fault.length();
             other.fault.instance().is_some() && other.at <= step.at && step.at < until
         });
-        assert!(hurt.count() <= 4, "{step:?}");
+        assert!(faulty.count() <= 4, "{step:?}");
     }
 }
 
 #[test]
-fn scripts_bring_every_fault() {
+fn scripts_contain_every_fault() {
     let drawn: Vec<Fault> = (0..20)
         .flat_map(|seed| Script::draw(8, LENGTH, seed).steps)
         .map(|step| step.fault)
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_good_texts_bind_and_the_bad_ones_do_not() {
+fn valid_texts_bind_and_invalid_ones_do_not() {
     assert!(binds(&catalogue::text(0)));
     assert!(binds(&catalogue::text(7)));
     assert!(!binds(&catalogue::bad_text(7)));
@@ -60,7 +60,7 @@
 
 /// Guards against an evaluation that finds no violation of a naive proxy.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_naive_version_is_caught() {
+async fn violations_of_the_naive_proxy_are_found() {
     let report = run(Options {
         nodes: 4,
         length: Duration::from_secs(2),
--- a/crates/bench/src/overload/run.rs
+++ b/crates/bench/src/overload/run.rs
@@ -35,16 +35,16 @@
 const SERVICE_US: u64 = 40_000;
 
 /// Request timeout that callers send to the node.
-const TIMEOUT: Duration = Duration::from_millis(500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long callers wait beyond [`TIMEOUT`] for the answer that it has expired.
-const GRACE: Duration = Duration::from_millis(500);
+/// How long callers wait beyond [`CALL_TIMEOUT`] for the answer that it has expired.
+const TIMEOUT_GRACE: Duration = Duration::from_millis(500);
 
 /// Timeout for the fleet to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Maximum number of attempts of the naive proxy.
-const NAIVE_TRIES: u32 = 3;
+const NAIVE_MAX_ATTEMPTS: u32 = 3;
 
 /// One kind for each class. At a load of twice the capacity, the critical
 /// calls alone need six tenths of the slots.
@@ -75,8 +75,8 @@
 /// Fails if a fleet can't be started.
 pub async fn run(opts: Options) -> miette::Result<Report> {
     let load_average = calls::load_average();
-    let with = goodput(opts, true).await?;
-    let without = goodput(opts, false).await?;
+    let with = measure_goodput(opts, true).await?;
+    let without = measure_goodput(opts, false).await?;
     Ok(Report {
         verb: "overload",
         nodes: opts.nodes,
@@ -88,13 +88,13 @@
     })
 }
 
-async fn goodput(opts: Options, nodes: bool) -> miette::Result<Goodput> {
-    let fleet = Fleet::start(&layout(opts, nodes)).await?;
+async fn measure_goodput(opts: Options, with_nodes: bool) -> miette::Result<Goodput> {
+    let fleet = Fleet::start(&layout(opts, with_nodes)).await?;
     let slots = SLOTS.get() * u32::try_from(opts.nodes).unwrap_or(u32::MAX);
     let service = Duration::from_micros(SERVICE_US);
     let rate = opts.factor * f64::from(slots) / service.as_secs_f64();
     let plan = Plan::new(&KINDS, rate, opts.length, opts.seed);
-    let load = OpenLoop::run(plan, Arc::new(caller(&fleet, nodes))).await;
+    let load = OpenLoop::run(plan, Arc::new(caller(&fleet, with_nodes))).await;
     let runs = fleet.runs();
     let run_time = mean_run_time(&runs).unwrap_or(service);
     Ok(Goodput::new(
@@ -106,7 +106,7 @@
     ))
 }
 
-fn layout(opts: Options, nodes: bool) -> Layout {
+fn layout(opts: Options, with_nodes: bool) -> Layout {
     let target = TargetSettings {
         slots: SLOTS,
         service: ServiceTimes {
@@ -119,7 +119,7 @@
     Layout {
         places: (0..opts.nodes).map(place).collect(),
         catalogue: catalogue(),
-        nodes,
+        nodes: with_nodes,
         settings: "",
         links: false,
         patience: READY_TIMEOUT,
@@ -144,8 +144,8 @@
     text
 }
 
-fn caller(fleet: &Fleet, nodes: bool) -> Caller {
-    let way = match nodes {
+fn caller(fleet: &Fleet, with_nodes: bool) -> Caller {
+    let way = match with_nodes {
         true => Way::Nodes(Entries::new(fleet.entries())),
         false => Way::Naive(naive(fleet)),
     };
@@ -155,8 +155,8 @@
         kinds: KINDS.to_vec(),
         run: "o".to_owned(),
         repeats: Repeats::NONE,
-        timeout: TIMEOUT,
-        grace: GRACE,
+        timeout: CALL_TIMEOUT,
+        grace: TIMEOUT_GRACE,
     }
 }
 
@@ -165,8 +165,8 @@
     let of_path = KINDS.iter().map(|kind| (kind.path, targets.clone()));
     Naive {
         targets: HashMap::from_iter(of_path),
-        tries: NAIVE_TRIES,
-        try_timeout: TIMEOUT,
+        tries: NAIVE_MAX_ATTEMPTS,
+        try_timeout: CALL_TIMEOUT,
     }
 }
 
