--- a/crates/bench/src/cli.rs
+++ b/crates/bench/src/cli.rs
@@ -44,10 +44,10 @@
 }
 
 fn generate(opts: &flags::Generate) -> miette::Result<()> {
-    let target = Shape::target(opts.seed.unwrap_or(1));
+    let design_size = Shape::design_size(opts.seed.unwrap_or(1));
     let shape = Shape {
-        services: opts.services.unwrap_or(target.services),
-        ..target
+        services: opts.services.unwrap_or(design_size.services),
+        ..design_size
     };
     let catalogue = GeneratedCatalogue::new(shape).into_diagnostic()?;
     print!("{}", catalogue.text());
@@ -55,13 +55,13 @@
 }
 
 fn spread(opts: &flags::Spread) -> miette::Result<()> {
-    let target = Shape::target(opts.seed.unwrap_or(1));
+    let design_size = Shape::design_size(opts.seed.unwrap_or(1));
     let fleet = FleetOptions {
         nodes: opts.nodes.unwrap_or(50),
         shape: Shape {
-            services: opts.services.unwrap_or(target.services),
-            endpoints: opts.endpoints.unwrap_or(target.endpoints),
-            ..target
+            services: opts.services.unwrap_or(design_size.services),
+            endpoints: opts.endpoints.unwrap_or(design_size.endpoints),
+            ..design_size
         },
         naive: opts.naive,
         compress: opts.compress,
@@ -78,15 +78,15 @@
     let opts = spread::Options {
         fleet,
         changes: opts.changes.unwrap_or(10),
-        pace: Duration::from_millis(opts.pace_ms.unwrap_or(1_000)),
-        idle: Duration::from_secs_f64(opts.idle_s.unwrap_or(6.0)),
+        change_interval: Duration::from_millis(opts.pace_ms.unwrap_or(1_000)),
+        idle_time: Duration::from_secs_f64(opts.idle_s.unwrap_or(6.0)),
     };
     output::print(&spread::run(&opts)?)
 }
 
 fn fault(opts: &flags::Fault) -> miette::Result<()> {
     let name = opts.case.as_deref().unwrap_or("all");
-    let cases = Case::named(name).ok_or_else(|| miette!("unknown case {name}"))?;
+    let cases = Case::select(name).ok_or_else(|| miette!("unknown case {name}"))?;
     let fleet = FleetOptions {
         nodes: opts.nodes.unwrap_or(24),
         shape: Shape {
@@ -102,18 +102,18 @@
 }
 
 fn core_cost(opts: &flags::CoreCost) -> miette::Result<()> {
-    let target = Shape::target(opts.seed.unwrap_or(1));
+    let design_size = Shape::design_size(opts.seed.unwrap_or(1));
     let shape = Shape {
-        services: opts.services.unwrap_or(target.services),
-        endpoints: opts.members.unwrap_or(target.endpoints),
-        ..target
+        services: opts.services.unwrap_or(design_size.services),
+        endpoints: opts.members.unwrap_or(design_size.endpoints),
+        ..design_size
     };
     output::print(&core_cost::run(shape)?)
 }
 
 fn slopes(opts: &flags::Slopes) -> miette::Result<()> {
     let name = opts.axis.as_deref().unwrap_or("all");
-    let axes = Axis::named(name).ok_or_else(|| miette!("unknown axis {name}"))?;
+    let axes = Axis::select(name).ok_or_else(|| miette!("unknown axis {name}"))?;
     let report = slopes::run(&axes, opts.seed.unwrap_or(1))?;
     if opts.markdown {
         eprint!("{}", report.markdown());
--- a/crates/bench/src/control_fleet.rs
+++ b/crates/bench/src/control_fleet.rs
@@ -11,18 +11,18 @@
 
 pub use self::fleet::ControlFleet;
 pub use self::member::Member;
+pub use self::observation::Observation;
 pub use self::options::FleetOptions;
 pub use self::options::Tuning;
 pub use self::publisher::Publisher;
-pub use self::seen::Seen;
-pub(crate) use self::settings::Common;
+pub(crate) use self::settings::CommonSettings;
 pub use self::watcher::Watcher;
 
 pub(crate) mod addrs;
 mod fleet;
 mod member;
+mod observation;
 mod options;
 mod publisher;
-mod seen;
 mod settings;
 mod watcher;
--- a/crates/bench/src/control_fleet/addrs.rs
+++ b/crates/bench/src/control_fleet/addrs.rs
@@ -16,7 +16,7 @@
 /// Allocates the addresses of one node. Their ports are below the ephemeral
 /// port range: an outgoing connection could otherwise take the port of a
 /// stopped node, and the node couldn't be restarted.
-pub(crate) fn draw() -> miette::Result<NodeAddrs> {
+pub(crate) fn allocate() -> miette::Result<NodeAddrs> {
     let mut ports = PORTS.lock().unwrap_or_else(PoisonError::into_inner);
     let mut take = || ports.take().into_diagnostic();
     Ok(NodeAddrs {
--- a/crates/bench/src/control_fleet/fleet.rs
+++ b/crates/bench/src/control_fleet/fleet.rs
@@ -22,7 +22,7 @@
 use super::FleetOptions;
 use super::Member;
 use super::Publisher;
-use super::settings::Common;
+use super::settings::CommonSettings;
 use crate::generate::GeneratedCatalogue;
 use crate::generate::GeneratedFleet;
 use crate::generate::Shape;
@@ -38,10 +38,10 @@
 const STANDIN_THREADS: usize = 2;
 
 /// Interval between two checks of a condition.
-const LOOK: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Connection limit of the target, which every node probes.
-const TARGET_CONNECTIONS: u32 = 4_096;
+const MAX_TARGET_CONNECTIONS: u32 = 4_096;
 
 /// Nodes, a platform and a target in this process.
 #[derive(Debug)]
@@ -70,7 +70,7 @@
         let platform = standins.block_on(platform).into_diagnostic()?;
         let target = Target::start(target_settings()?, CancellationToken::new());
         let target = standins.block_on(target).into_diagnostic()?;
-        let common = Common {
+        let common = CommonSettings {
             platform: platform.addr(),
             target: target.addr(),
             naive: opts.naive,
@@ -80,12 +80,12 @@
             endpoints: opts.shape.endpoints.max(opts.nodes),
             ..opts.shape
         };
-        let mut listed = GeneratedFleet::new(shape)
+        let mut instances = GeneratedFleet::new(shape)
             .into_diagnostic()?
             .into_instances();
-        let members = start_members(nodes.handle(), &common, &mut listed[..opts.nodes])?;
+        let members = start_members(nodes.handle(), &common, &mut instances[..opts.nodes])?;
         let generated = GeneratedCatalogue::new(shape).into_diagnostic()?;
-        let publisher = Publisher::start(&platform, generated, &listed)?;
+        let publisher = Publisher::start(&platform, generated, &instances)?;
         let fleet = ControlFleet {
             members: Arc::new(members),
             platform,
@@ -117,26 +117,26 @@
     /// # Errors
     ///
     /// Fails if that takes longer than `bound`.
-    pub fn until_in_force(&self, version: Version, bound: Duration) -> miette::Result<()> {
+    pub fn wait_until_in_force(&self, version: Version, timeout: Duration) -> miette::Result<()> {
         let since = Instant::now();
         loop {
-            let behind = self.behind(version);
-            if behind == 0 {
+            let lagging = self.lagging_members(version);
+            if lagging == 0 {
                 return Ok(());
             }
-            if since.elapsed() > bound {
+            if since.elapsed() > timeout {
                 return Err(miette!(
-                    "{version} is not in force on {behind} nodes after {bound:?}"
+                    "{version} is not in force on {lagging} nodes after {timeout:?}"
                 ));
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
     /// Number of running members on which the revision of `version` isn't in
     /// force yet.
-    pub fn behind(&self, version: Version) -> usize {
-        let holds = |member: &&Member| match member.in_force() {
+    pub fn lagging_members(&self, version: Version) -> usize {
+        let holds = |member: &&Member| match member.snapshot_in_force() {
             Some(held) => held.catalogue().revision() >= version.revision(),
             None => member.node().is_none(),
         };
@@ -162,18 +162,18 @@
     /// # Errors
     ///
     /// Fails where the operating system has no `/proc`.
-    pub fn cpu(&self) -> miette::Result<Duration> {
-        Ok(ThreadUsage::now()?.of(NODE_THREAD_NAME))
+    pub fn cpu_time(&self) -> miette::Result<Duration> {
+        Ok(ThreadUsage::now()?.cpu_of(NODE_THREAD_NAME))
     }
 }
 
 fn start_members(
     handle: &Handle,
-    common: &Common,
-    listed: &mut [Instance],
+    common: &CommonSettings,
+    instances: &mut [Instance],
 ) -> miette::Result<Vec<Member>> {
     let mut members = Vec::new();
-    for instance in listed {
+    for instance in instances {
         let member = Member::start(handle, common, instance.clone())?;
         *instance = member.instance().clone();
         members.push(member);
@@ -191,7 +191,7 @@
 }
 
 fn target_settings() -> miette::Result<TargetSettings> {
-    let connections = TARGET_CONNECTIONS.try_into().into_diagnostic()?;
+    let connections = MAX_TARGET_CONNECTIONS.try_into().into_diagnostic()?;
     Ok(TargetSettings {
         connections,
         ..TargetSettings::default()
--- a/crates/bench/src/control_fleet/member.rs
+++ b/crates/bench/src/control_fleet/member.rs
@@ -20,10 +20,10 @@
 use tokio_util::sync::CancellationToken;
 
 use super::addrs;
-use super::settings::Common;
+use super::settings::CommonSettings;
 
 /// Maximum number of retries of a node's start.
-const START_TRIES: u32 = 40;
+const MAX_START_RETRIES: u32 = 40;
 
 /// Interval between two attempts to restart a node.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
@@ -33,21 +33,21 @@
 pub struct Member {
     instance: Instance,
     addrs: NodeAddrs,
-    common: Common,
-    life: Mutex<Option<Life>>,
+    common: CommonSettings,
+    running: Mutex<Option<RunningMember>>,
 }
 
 #[derive(Debug)]
-struct Life {
+struct RunningMember {
     node: RunningNode,
     cancel: CancellationToken,
 }
 
-impl Life {
-    fn start(handle: &Handle, settings: Settings) -> miette::Result<Life> {
+impl RunningMember {
+    fn start(handle: &Handle, settings: Settings) -> miette::Result<RunningMember> {
         let cancel = CancellationToken::new();
         let node = Node::start_on(handle, settings, cancel.clone()).into_diagnostic()?;
-        Ok(Life { node, cancel })
+        Ok(RunningMember { node, cancel })
     }
 }
 
@@ -55,17 +55,17 @@
     /// Starts the node of `instance` on free ports.
     pub(super) fn start(
         handle: &Handle,
-        common: &Common,
+        common: &CommonSettings,
         mut instance: Instance,
     ) -> miette::Result<Member> {
-        let mut tries = START_TRIES;
-        let (addrs, life) = loop {
-            let addrs = addrs::draw()?;
+        let mut retries = MAX_START_RETRIES;
+        let (addrs, running) = loop {
+            let addrs = addrs::allocate()?;
             let settings = common.settings(&instance, addrs, &[])?;
-            match Life::start(handle, settings) {
-                Ok(life) => break (addrs, life),
+            match RunningMember::start(handle, settings) {
+                Ok(running) => break (addrs, running),
                 // Another process took a port before the node listened on it.
-                Err(_) if tries > 0 => tries -= 1,
+                Err(_) if retries > 0 => retries -= 1,
                 Err(err) => return Err(err),
             }
         };
@@ -75,7 +75,7 @@
             instance,
             addrs,
             common: common.clone(),
-            life: Mutex::new(Some(life)),
+            running: Mutex::new(Some(running)),
         })
     }
 
@@ -86,13 +86,13 @@
 
     /// The node, if it runs.
     pub fn node(&self) -> Option<RunningNode> {
-        self.lock().as_ref().map(|life| life.node.clone())
+        self.lock().as_ref().map(|running| running.node.clone())
     }
 
     /// The snapshot in force, once the node accepts requests.
-    pub fn in_force(&self) -> Option<Arc<Snapshot>> {
-        let life = self.lock();
-        let node = &life.as_ref()?.node;
+    pub fn snapshot_in_force(&self) -> Option<Arc<Snapshot>> {
+        let running = self.lock();
+        let node = &running.as_ref()?.node;
         // Before it has joined, a node serves no request from its snapshot.
         if node.shared().phase() < Phase::Ready {
             return None;
@@ -103,8 +103,8 @@
     /// Starts an abrupt stop of the node, as in a crash, without waiting for
     /// its end.
     pub fn begin_crash(&self) {
-        if let Some(life) = self.lock().as_ref() {
-            life.cancel.cancel();
+        if let Some(running) = self.lock().as_ref() {
+            running.cancel.cancel();
         }
     }
 
@@ -115,11 +115,11 @@
     ///
     /// Fails if the node's task ended without a report.
     pub fn crash(&self, handle: &Handle) -> miette::Result<()> {
-        let Some(life) = self.lock().take() else {
+        let Some(running) = self.lock().take() else {
             return Ok(());
         };
-        life.cancel.cancel();
-        handle.block_on(life.node.ended()).into_diagnostic()?;
+        running.cancel.cancel();
+        handle.block_on(running.node.ended()).into_diagnostic()?;
         Ok(())
     }
 
@@ -129,24 +129,24 @@
     ///
     /// Fails if one of its addresses can't be listened on.
     pub fn restart(&self, handle: &Handle, seeds: &[SocketAddr]) -> miette::Result<()> {
-        let mut tries = START_TRIES;
+        let mut retries = MAX_START_RETRIES;
         loop {
             let settings = self.common.settings(&self.instance, self.addrs, seeds)?;
-            match Life::start(handle, settings) {
-                Ok(life) => {
-                    *self.lock() = Some(life);
+            match RunningMember::start(handle, settings) {
+                Ok(running) => {
+                    *self.lock() = Some(running);
                     return Ok(());
                 }
                 // Another process that probes for free ports may hold one of
                 // the node's ports for a moment.
-                Err(_) if tries > 0 => tries -= 1,
+                Err(_) if retries > 0 => retries -= 1,
                 Err(err) => return Err(err),
             }
             thread::sleep(RETRY_INTERVAL);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<Life>> {
-        self.life.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Option<RunningMember>> {
+        self.running.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/bench/src/control_fleet/observation.rs
+++ b/crates/bench/src/control_fleet/observation.rs
@@ -10,7 +10,7 @@
 
 /// The observation that a member put a snapshot in force.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct Observation {
     /// When it was observed.
     pub at: Tick,
     /// The member's index.
@@ -20,21 +20,26 @@
     /// The instance list's version.
     pub instances: Version,
     /// The facts of the snapshot, if the watcher records them.
-    pub held: Option<Arc<SnapshotFacts>>,
+    pub facts: Option<Arc<SnapshotFacts>>,
 }
 
-impl Seen {
-    pub(super) fn of(at: Tick, member: usize, snapshot: &Snapshot, facts: bool) -> Seen {
-        let held = match facts {
+impl Observation {
+    pub(super) fn new(
+        at: Tick,
+        member: usize,
+        snapshot: &Snapshot,
+        with_facts: bool,
+    ) -> Observation {
+        let facts = match with_facts {
             true => SnapshotFacts::of(snapshot).ok().map(Arc::new),
             false => None,
         };
-        Seen {
+        Observation {
             at,
             member,
             catalogue: snapshot.catalogue(),
             instances: snapshot.instances(),
-            held,
+            facts,
         }
     }
 
--- a/crates/bench/src/control_fleet/publisher.rs
+++ b/crates/bench/src/control_fleet/publisher.rs
@@ -50,8 +50,8 @@
     /// # Errors
     ///
     /// Fails if the platform rejects it.
-    pub fn change(&mut self, platform: &Platform) -> miette::Result<Version> {
-        self.generated.change();
+    pub fn publish_change(&mut self, platform: &Platform) -> miette::Result<Version> {
+        self.generated.change_entry();
         self.publish(platform)
     }
 
@@ -64,16 +64,16 @@
     pub fn publish_bad(&mut self, platform: &Platform) -> miette::Result<Version> {
         let text = self.generated.bad_text();
         let revision = platform.publish_catalogue(&text).into_diagnostic()?;
-        Ok(read(revision, &text)?.version())
+        Ok(parse_catalogue(revision, &text)?.version())
     }
 
     /// The version of the newest valid catalogue.
-    pub fn catalogue(&self) -> Option<Version> {
+    pub fn catalogue_version(&self) -> Option<Version> {
         self.catalogue.as_ref().map(Catalogue::version)
     }
 
     /// The version of the instance list.
-    pub fn instances(&self) -> Version {
+    pub fn instances_version(&self) -> Version {
         self.instances.version()
     }
 
@@ -82,7 +82,7 @@
     /// # Errors
     ///
     /// Fails if no snapshot can be built from the generated versions.
-    pub fn expected(&self) -> miette::Result<SnapshotFacts> {
+    pub fn expected_facts(&self) -> miette::Result<SnapshotFacts> {
         let catalogue = self.catalogue.as_ref();
         let catalogue = catalogue.ok_or_else(|| miette!("no catalogue was published"))?;
         let snapshot = Snapshot::build(catalogue, &self.instances).into_diagnostic()?;
@@ -92,14 +92,14 @@
     fn publish(&mut self, platform: &Platform) -> miette::Result<Version> {
         let text = self.generated.text();
         let revision = platform.publish_catalogue(&text).into_diagnostic()?;
-        let catalogue = read(revision, &text)?;
+        let catalogue = parse_catalogue(revision, &text)?;
         let version = catalogue.version();
         self.catalogue = Some(catalogue);
         Ok(version)
     }
 }
 
-fn read(revision: Revision, text: &str) -> miette::Result<Catalogue> {
+fn parse_catalogue(revision: Revision, text: &str) -> miette::Result<Catalogue> {
     let items = catalogue::parse(text).into_diagnostic()?;
     Catalogue::new(revision, items).into_diagnostic()
 }
--- a/crates/bench/src/control_fleet/settings.rs
+++ b/crates/bench/src/control_fleet/settings.rs
@@ -11,14 +11,14 @@
 
 /// Settings that all nodes of a fleet share.
 #[derive(Debug, Clone)]
-pub(crate) struct Common {
+pub(crate) struct CommonSettings {
     pub(crate) platform: SocketAddr,
     pub(crate) target: SocketAddr,
     pub(crate) naive: bool,
     pub(crate) tuning: Tuning,
 }
 
-impl Common {
+impl CommonSettings {
     /// Settings of the node of `instance`.
     pub(super) fn settings(
         &self,
--- a/crates/bench/src/control_fleet/watcher.rs
+++ b/crates/bench/src/control_fleet/watcher.rs
@@ -15,11 +15,11 @@
 use sassafrasspool_core::Tick;
 
 use super::Member;
-use super::Seen;
+use super::Observation;
 
 /// Polling interval of all members. It bounds the error of a convergence time
 /// and is far below the measured times.
-const LOOK: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A thread that polls all members, with a clock that starts with it.
 #[derive(Debug)]
@@ -32,26 +32,26 @@
 struct Shared {
     origin: Instant,
     members: Arc<Vec<Member>>,
-    facts: bool,
-    seen: Mutex<Vec<Seen>>,
+    with_facts: bool,
+    observations: Mutex<Vec<Observation>>,
     stop: AtomicBool,
 }
 
 impl Watcher {
-    /// Starts the thread; with `facts`, the facts of every snapshot are
+    /// Starts the thread. If `with_facts` is set, the facts of every snapshot are
     /// recorded.
-    pub fn start(members: Arc<Vec<Member>>, facts: bool) -> Watcher {
+    pub fn start(members: Arc<Vec<Member>>, with_facts: bool) -> Watcher {
         let shared = Arc::new(Shared {
             origin: Instant::now(),
             members,
-            facts,
-            seen: Mutex::default(),
+            with_facts,
+            observations: Mutex::default(),
             stop: AtomicBool::new(false),
         });
-        let looks = Arc::clone(&shared);
+        let polling = Arc::clone(&shared);
         Watcher {
             shared,
-            thread: Some(thread::spawn(move || looks.run())),
+            thread: Some(thread::spawn(move || polling.run())),
         }
     }
 
@@ -61,12 +61,12 @@
     }
 
     /// All observations so far, in their order.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn observations(&self) -> Vec<Observation> {
         self.shared.lock().clone()
     }
 
     /// Removes and returns all observations so far.
-    pub fn take(&self) -> Vec<Seen> {
+    pub fn take_observations(&self) -> Vec<Observation> {
         std::mem::take(&mut *self.shared.lock())
     }
 }
@@ -86,22 +86,24 @@
         Tick::ZERO + self.origin.elapsed()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Seen>> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Vec<Observation>> {
+        self.observations
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn run(&self) {
         let mut last: Vec<Option<Arc<Snapshot>>> = vec![None; self.members.len()];
         while !self.stop.load(Ordering::Relaxed) {
             for (i, last) in last.iter_mut().enumerate() {
-                self.look(i, last);
+                self.poll(i, last);
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    fn look(&self, i: usize, last: &mut Option<Arc<Snapshot>>) {
-        let Some(snapshot) = self.members[i].in_force() else {
+    fn poll(&self, i: usize, last: &mut Option<Arc<Snapshot>>) {
+        let Some(snapshot) = self.members[i].snapshot_in_force() else {
             *last = None;
             return;
         };
@@ -113,8 +115,8 @@
         {
             return;
         }
-        let seen = Seen::of(self.now(), i, &snapshot, self.facts);
-        self.lock().push(seen);
+        let observation = Observation::new(self.now(), i, &snapshot, self.with_facts);
+        self.lock().push(observation);
         *last = Some(snapshot);
     }
 }
--- a/crates/bench/src/core_cost.rs
+++ b/crates/bench/src/core_cost.rs
@@ -9,9 +9,9 @@
 pub use self::report::CoreCost;
 pub use self::run::run;
 
-mod driven;
 mod report;
 mod run;
+mod simulated_node;
 mod source;
 #[cfg(test)]
 mod tests;
--- a/crates/bench/src/core_cost/run.rs
+++ b/crates/bench/src/core_cost/run.rs
@@ -27,35 +27,35 @@
 use sassafrasspool_wire::peer::Packed;
 
 use super::CoreCost;
-use super::driven::Driven;
+use super::simulated_node::SimulatedNode;
 use super::source::Source;
 use crate::generate::Shape;
 use crate::usage::ProcessUsage;
 
 /// Repetitions of each measurement, of which the median is reported.
-const REPEATS: usize = 15;
+const REPETITIONS: usize = 15;
 
 /// Number of machines over which memory is averaged.
-const COPIES: usize = 8;
+const MEMORY_MACHINES: usize = 8;
 
 /// Maximum number of time steps until a machine reads the platform.
-const MAX_STEPS: usize = 20_000;
+const MAX_READ_STEPS: usize = 20_000;
 
 /// Maximum number of time steps until the member holds the reader's versions.
-const MAX_PASSES: usize = 100;
+const MAX_DELIVERY_STEPS: usize = 100;
 
 /// Number of endpoint states in one message.
-const STATES_AT_ONCE: usize = 256;
+const STATES_PER_MESSAGE: usize = 256;
 
 /// Length of a time step.
 const STEP: Duration = Duration::from_millis(200);
 
 /// A machine that reads the platform, and one that receives from it.
-struct Pair {
+struct Simulation {
     now: Tick,
     source: Source,
-    reader: Driven,
-    member: Driven,
+    reader: SimulatedNode,
+    member: SimulatedNode,
 }
 
 /// Measures the state machine of one node in a fleet of this shape.
@@ -67,34 +67,34 @@
 pub fn run(shape: Shape) -> miette::Result<CoreCost> {
     let source = Source::new(shape)?;
     let state_bytes = state_bytes(&source)?;
-    let mut pair = Pair::start(source)?;
-    let mut taken = Times::default();
+    let mut simulation = Simulation::start(source)?;
+    let mut times = Times::default();
     let mut announce_bytes = 0;
-    for i in 0..REPEATS {
-        announce_bytes = pair.change(&mut taken)?;
-        pair.relist(i, &mut taken)?;
-        pair.compare(&mut taken)?;
-        pair.announce_state(i, &mut taken);
-        pair.bind(&mut taken);
+    for i in 0..REPETITIONS {
+        announce_bytes = simulation.measure_catalogue_change(&mut times)?;
+        simulation.measure_list_change(i, &mut times)?;
+        simulation.measure_sync(&mut times)?;
+        simulation.measure_state_announcement(i, &mut times);
+        simulation.measure_picker_build(&mut times);
     }
-    let sizes = Sizes::of(&pair.source)?;
+    let sizes = Sizes::of(&simulation.source)?;
     Ok(CoreCost {
         members: shape.endpoints,
         services: shape.services,
-        reader_us_per_change: median(taken.reader),
-        member_us_per_change: median(taken.member),
-        serve_us_per_change: median(taken.serve),
-        list_us_per_change: median(taken.list),
-        sync_us: median(taken.sync),
-        sync_answer_us: median(taken.sync_answer),
-        state_us: median(taken.state),
-        bind_us: median(taken.bind),
+        reader_us_per_change: median_us(times.reader),
+        member_us_per_change: median_us(times.member),
+        serve_us_per_change: median_us(times.serve),
+        list_us_per_change: median_us(times.list),
+        sync_us: median_us(times.sync),
+        sync_answer_us: median_us(times.sync_answer),
+        state_us: median_us(times.state),
+        bind_us: median_us(times.bind),
         announce_bytes,
-        sync_bytes: taken.sync_bytes,
+        sync_bytes: times.sync_bytes,
         catalogue_bytes: sizes.catalogue,
         list_bytes: sizes.list,
         published_list_bytes: sizes.published_list,
-        published_catalogue_bytes: pair.source.catalogue.text().len(),
+        published_catalogue_bytes: simulation.source.catalogue.text().len(),
         state_bytes,
     })
 }
@@ -113,29 +113,29 @@
     sync_bytes: usize,
 }
 
-impl Pair {
-    fn start(source: Source) -> miette::Result<Pair> {
+impl Simulation {
+    fn start(source: Source) -> miette::Result<Simulation> {
         let mut now = Tick::ZERO;
-        let mut reader = Driven::new(&source.instances[0], 1);
-        let mut member = Driven::new(&source.instances[1], 2);
+        let mut reader = SimulatedNode::new(&source.instances[0], 1);
+        let mut member = SimulatedNode::new(&source.instances[1], 2);
         reader.join(&mut now, &source)?;
         member.join(&mut now, &source)?;
-        let mut pair = Pair {
+        let mut simulation = Simulation {
             now,
             source,
             reader,
             member,
         };
-        pair.until_reading()?;
-        pair.announce_all_states();
-        Ok(pair)
+        simulation.advance_until_reading()?;
+        simulation.announce_all_states();
+        Ok(simulation)
     }
 
     /// Advances time until the first machine has taken over as a reader,
     /// because no other peer answers.
-    fn until_reading(&mut self) -> miette::Result<()> {
-        for _ in 0..MAX_STEPS {
-            if self.reader.reads(self.now) {
+    fn advance_until_reading(&mut self) -> miette::Result<()> {
+        for _ in 0..MAX_READ_STEPS {
+            if self.reader.is_reader(self.now) {
                 return Ok(());
             }
             self.settle();
@@ -145,49 +145,49 @@
 
     /// Measures one change of the catalogue, from the platform to the member,
     /// and returns the size of its announcement.
-    fn change(&mut self, taken: &mut Times) -> miette::Result<usize> {
+    fn measure_catalogue_change(&mut self, times: &mut Times) -> miette::Result<usize> {
         self.source.change_catalogue();
         self.settle();
-        self.read(Stream::Catalogue)?;
-        taken.reader.push(self.reader.take_used());
-        self.member.take_used();
-        let bytes = self.pass_on()?;
-        taken.member.push(self.member.take_used());
-        taken.serve.push(self.reader.take_used());
+        self.answer_read(Stream::Catalogue)?;
+        times.reader.push(self.reader.take_elapsed());
+        self.member.take_elapsed();
+        let bytes = self.deliver_announcements()?;
+        times.member.push(self.member.take_elapsed());
+        times.serve.push(self.reader.take_elapsed());
         Ok(bytes)
     }
 
     /// Measures one change of the list, from the platform to the member.
-    fn relist(&mut self, i: usize, taken: &mut Times) -> miette::Result<()> {
+    fn measure_list_change(&mut self, i: usize, times: &mut Times) -> miette::Result<()> {
         self.source.change_instance(i);
         self.settle();
-        self.read(Stream::Instances)?;
-        self.member.take_used();
-        self.pass_on()?;
-        taken.list.push(self.member.take_used());
+        self.answer_read(Stream::Instances)?;
+        self.member.take_elapsed();
+        self.deliver_announcements()?;
+        times.list.push(self.member.take_elapsed());
         Ok(())
     }
 
     /// Measures one anti-entropy exchange.
-    fn compare(&mut self, taken: &mut Times) -> miette::Result<()> {
+    fn measure_sync(&mut self, times: &mut Times) -> miette::Result<()> {
         self.settle();
         let mut syncs = Vec::new();
         while syncs.is_empty() {
             self.now = self.now + STEP;
-            self.member.take_used();
-            self.member.wake(self.now);
+            self.member.take_elapsed();
+            self.member.wake_if_due(self.now);
             syncs = self.member.take_calls(self.now, "sync");
         }
         for call in syncs {
-            let asked = size(&call.message)?;
-            self.reader.take_used();
+            let request_bytes = packed_bytes(&call.message)?;
+            self.reader.take_elapsed();
             let reply = self.reader.answer(self.now, &self.member.id, call.message);
-            taken.sync_answer.push(self.reader.take_used());
-            taken.sync_bytes = asked + size(&reply)?;
+            times.sync_answer.push(self.reader.take_elapsed());
+            times.sync_bytes = request_bytes + packed_bytes(&reply)?;
             let call = call.id;
             self.member.handle(self.now, Event::Reply { call, reply });
         }
-        taken.sync.push(self.member.take_used());
+        times.sync.push(self.member.take_elapsed());
         Ok(())
     }
 
@@ -195,48 +195,48 @@
     /// them in a fleet after some time.
     fn announce_all_states(&mut self) {
         let instances = self.source.instances.clone();
-        for some in instances.chunks(STATES_AT_ONCE) {
-            let states = some.iter().map(|it| state(it, 0));
-            let told = announce(&self.source, states.collect());
+        for chunk in instances.chunks(STATES_PER_MESSAGE) {
+            let states = chunk.iter().map(|it| ready_state(it, 0));
+            let message = announce(&self.source, states.collect());
             for machine in [&mut self.reader, &mut self.member] {
                 let from = instances[2].id.clone();
-                machine.answer(self.now, &from, told.clone());
+                machine.answer(self.now, &from, message.clone());
             }
             self.settle();
         }
     }
 
     /// Measures building a picker for the snapshot in force on the member.
-    fn bind(&mut self, taken: &mut Times) {
+    fn measure_picker_build(&mut self, times: &mut Times) {
         let Some(snapshot) = &self.member.snapshot else {
             return;
         };
-        let place = &self.source.instances[1];
-        let position = Locality {
-            instance: place.id.clone(),
-            domain: place.domain.clone(),
-            region: place.region.clone(),
+        let instance = &self.source.instances[1];
+        let locality = Locality {
+            instance: instance.id.clone(),
+            domain: instance.domain.clone(),
+            region: instance.region.clone(),
         };
         let meters = Arc::new(Meters::default());
-        let from = Instant::now();
+        let started = Instant::now();
         let cfg = RouteSettings::default();
-        let picker = Picker::build(snapshot, &position, cfg, &meters, self.now);
-        taken.bind.push(from.elapsed());
+        let picker = Picker::build(snapshot, &locality, cfg, &meters, self.now);
+        times.bind.push(started.elapsed());
         drop(picker);
     }
 
     /// Measures one endpoint's change of phase that arrives in an announcement.
-    fn announce_state(&mut self, i: usize, taken: &mut Times) {
+    fn measure_state_announcement(&mut self, i: usize, times: &mut Times) {
         self.settle();
         let instance = &self.source.instances[i % self.source.instances.len()];
-        let told = announce(&self.source, vec![state(instance, 1 + i as u64)]);
+        let message = announce(&self.source, vec![ready_state(instance, 1 + i as u64)]);
         let from = self.reader.id.clone();
-        self.member.take_used();
-        self.member.answer(self.now, &from, told.clone());
+        self.member.take_elapsed();
+        self.member.answer(self.now, &from, message.clone());
         self.now = self.now + STEP;
-        self.member.wake(self.now);
-        taken.state.push(self.member.take_used());
-        self.reader.answer(self.now, &self.member.id, told);
+        self.member.wake_if_due(self.now);
+        times.state.push(self.member.take_elapsed());
+        self.reader.answer(self.now, &self.member.id, message);
         self.settle();
     }
 
@@ -246,29 +246,34 @@
         for _ in 0..3 {
             self.now = self.now + STEP;
             for machine in [&mut self.reader, &mut self.member] {
-                machine.wake(self.now);
+                machine.wake_if_due(self.now);
                 machine.take_calls(self.now, "");
-                machine.end_watches(self.now);
+                machine.answer_pending_reads(self.now);
             }
         }
-        self.reader.take_used();
-        self.member.take_used();
+        self.reader.take_elapsed();
+        self.member.take_elapsed();
     }
 
     /// Answers the reader's pending read of `stream`.
-    fn read(&mut self, stream: Stream) -> miette::Result<()> {
-        for _ in 0..MAX_STEPS {
-            if let Some(at) = self.reader.watches.iter().position(|it| *it == stream) {
-                self.reader.watches.swap_remove(at);
+    fn answer_read(&mut self, stream: Stream) -> miette::Result<()> {
+        for _ in 0..MAX_READ_STEPS {
+            if let Some(at) = self
+                .reader
+                .pending_reads
+                .iter()
+                .position(|it| *it == stream)
+            {
+                self.reader.pending_reads.swap_remove(at);
                 let result = self.source.read(stream)?;
-                self.reader.take_used();
+                self.reader.take_elapsed();
                 self.reader
                     .handle(self.now, Event::SourceRead { stream, result });
-                self.reader.wake(self.now);
+                self.reader.wake_if_due(self.now);
                 return Ok(());
             }
             self.now = self.now + STEP;
-            self.reader.wake(self.now);
+            self.reader.wake_if_due(self.now);
             self.reader.take_calls(self.now, "");
         }
         Err(miette!("the reader doesn't read {stream}"))
@@ -277,11 +282,11 @@
     /// Delivers the reader's announcements to the member, which pulls what they
     /// don't contain and announces in turn. Returns the size of the first
     /// announcement.
-    fn pass_on(&mut self) -> miette::Result<usize> {
+    fn deliver_announcements(&mut self) -> miette::Result<usize> {
         let mut bytes = None;
-        for _ in 0..MAX_PASSES {
+        for _ in 0..MAX_DELIVERY_STEPS {
             if let Some(call) = self.reader.take_calls(self.now, "announce").pop() {
-                bytes = bytes.or(Some(size(&call.message)?));
+                bytes = bytes.or(Some(packed_bytes(&call.message)?));
                 self.member.answer(self.now, &self.reader.id, call.message);
             }
             for pull in self.member.take_calls(self.now, "pull") {
@@ -289,18 +294,18 @@
                 let call = pull.id;
                 self.member.handle(self.now, Event::Reply { call, reply });
             }
-            self.member.wake(self.now);
+            self.member.wake_if_due(self.now);
             if self.member.versions() == self.reader.versions() {
                 return bytes.ok_or_else(|| miette!("the reader announced nothing"));
             }
             self.now = self.now + STEP;
-            self.reader.wake(self.now);
+            self.reader.wake_if_due(self.now);
         }
         Err(miette!("the member doesn't hold what the reader does"))
     }
 }
 
-fn state(instance: &Instance, sequence: u64) -> EndpointState {
+fn ready_state(instance: &Instance, sequence: u64) -> EndpointState {
     EndpointState {
         instance: instance.id.clone(),
         incarnation: 2,
@@ -338,8 +343,8 @@
         let whole_list = Body::whole(Stream::Instances, &list).into_diagnostic()?;
         let json = serde_json::to_string(&source.instances).into_diagnostic()?;
         Ok(Sizes {
-            catalogue: size(&whole)?,
-            list: size(&whole_list)?,
+            catalogue: packed_bytes(&whole)?,
+            list: packed_bytes(&whole_list)?,
             published_list: json.len(),
         })
     }
@@ -347,25 +352,31 @@
 
 /// Resident memory of one machine that has joined, in bytes.
 fn state_bytes(source: &Source) -> miette::Result<f64> {
-    let before = ProcessUsage::of_self()?.own_bytes;
+    let before = ProcessUsage::of_self()?.anonymous_bytes;
     let mut machines = Vec::new();
-    for (i, instance) in source.instances.iter().cycle().take(COPIES).enumerate() {
-        let mut machine = Driven::new(instance, i as u64);
+    for (i, instance) in source
+        .instances
+        .iter()
+        .cycle()
+        .take(MEMORY_MACHINES)
+        .enumerate()
+    {
+        let mut machine = SimulatedNode::new(instance, i as u64);
         machine.join(&mut Tick::ZERO.clone(), source)?;
         machines.push(machine);
     }
-    let after = ProcessUsage::of_self()?.own_bytes;
+    let after = ProcessUsage::of_self()?.anonymous_bytes;
     Ok(after.saturating_sub(before) as f64 / machines.len() as f64)
 }
 
 /// Bytes of a message on the wire, without its envelope.
-fn size(message: &impl serde::Serialize) -> miette::Result<usize> {
+fn packed_bytes(message: &impl serde::Serialize) -> miette::Result<usize> {
     match Packed::pack(message).into_diagnostic()? {
         Packed::Plain(bytes) | Packed::Zstd(bytes) => Ok(bytes.len()),
     }
 }
 
-fn median(mut times: Vec<Duration>) -> f64 {
+fn median_us(mut times: Vec<Duration>) -> f64 {
     times.sort();
     let middle = times.get(times.len() / 2).copied().unwrap_or_default();
     middle.as_secs_f64() * 1e6
--- a/crates/bench/src/core_cost/simulated_node.rs
+++ b/crates/bench/src/core_cost/simulated_node.rs
@@ -32,22 +32,22 @@
 
 /// A state machine with its pending calls and reads.
 #[derive(Debug)]
-pub(super) struct Driven {
+pub(super) struct SimulatedNode {
     pub(super) id: InstanceId,
     machine: SpreadMachine,
     joined: bool,
     /// The snapshot in force.
     pub(super) snapshot: Option<Arc<Snapshot>>,
     /// Calls without an answer yet.
-    pub(super) calls: Vec<Call>,
+    pub(super) pending_calls: Vec<Call>,
     /// Streams with a pending read of the platform.
-    pub(super) watches: Vec<Stream>,
-    /// Time spent in the machine since the last [`Driven::take_used`].
-    used: Duration,
+    pub(super) pending_reads: Vec<Stream>,
+    /// Time spent in the machine since the last [`SimulatedNode::take_elapsed`].
+    elapsed: Duration,
 }
 
-impl Driven {
-    pub(super) fn new(local: &Instance, seed: u64) -> Driven {
+impl SimulatedNode {
+    pub(super) fn new(local: &Instance, seed: u64) -> SimulatedNode {
         let node = LocalNode {
             id: local.id.clone(),
             domain: local.domain.clone(),
@@ -55,14 +55,14 @@
             incarnation: Incarnation::from_start_millis(1),
             seeds: Vec::new(),
         };
-        Driven {
+        SimulatedNode {
             id: local.id.clone(),
             machine: SpreadMachine::new(SpreadConfig::default(), node, seed, Tick::ZERO),
             joined: false,
             snapshot: None,
-            calls: Vec::new(),
-            watches: Vec::new(),
-            used: Duration::ZERO,
+            pending_calls: Vec::new(),
+            pending_reads: Vec::new(),
+            elapsed: Duration::ZERO,
         }
     }
 
@@ -71,11 +71,11 @@
     pub(super) fn join(&mut self, now: &mut Tick, source: &Source) -> miette::Result<()> {
         for _ in 0..MAX_STEPS {
             *now = *now + STEP;
-            self.wake(*now);
-            for call in std::mem::take(&mut self.calls) {
+            self.wake_if_due(*now);
+            for call in std::mem::take(&mut self.pending_calls) {
                 self.handle(*now, Event::CallFailed { call: call.id });
             }
-            for stream in std::mem::take(&mut self.watches) {
+            for stream in std::mem::take(&mut self.pending_reads) {
                 let result = source.read(stream)?;
                 self.handle(*now, Event::SourceRead { stream, result });
             }
@@ -87,7 +87,7 @@
     }
 
     /// Wakes the machine up, if that is due.
-    pub(super) fn wake(&mut self, now: Tick) {
+    pub(super) fn wake_if_due(&mut self, now: Tick) {
         if self.machine.next_wakeup() <= now {
             self.handle(now, Event::Wakeup);
         }
@@ -95,10 +95,10 @@
 
     pub(super) fn handle(&mut self, now: Tick, event: Event) {
         let mut actions = Vec::new();
-        let from = Instant::now();
+        let started = Instant::now();
         self.machine.handle(now, event, &mut actions);
-        self.used += from.elapsed();
-        self.note(actions);
+        self.elapsed += started.elapsed();
+        self.record_actions(actions);
     }
 
     pub(super) fn answer(
@@ -108,16 +108,16 @@
         message: PeerMessage,
     ) -> PeerReply {
         let mut actions = Vec::new();
-        let since = Instant::now();
+        let started = Instant::now();
         let reply = self.machine.answer(now, from, message, &mut actions);
-        self.used += since.elapsed();
-        self.note(actions);
+        self.elapsed += started.elapsed();
+        self.record_actions(actions);
         reply
     }
 
     /// Answers the pending reads: the platform has no newer version.
-    pub(super) fn end_watches(&mut self, now: Tick) {
-        for stream in std::mem::take(&mut self.watches) {
+    pub(super) fn answer_pending_reads(&mut self, now: Tick) {
+        for stream in std::mem::take(&mut self.pending_reads) {
             let result = SourceResult::Unchanged { newest: None };
             self.handle(now, Event::SourceRead { stream, result });
         }
@@ -130,32 +130,32 @@
     }
 
     /// Whether the machine reads the platform.
-    pub(super) fn reads(&self, now: Tick) -> bool {
+    pub(super) fn is_reader(&self, now: Tick) -> bool {
         self.machine.status(now).reading
     }
 
     /// The time spent in the machine since the last call of this method.
-    pub(super) fn take_used(&mut self) -> Duration {
-        std::mem::take(&mut self.used)
+    pub(super) fn take_elapsed(&mut self) -> Duration {
+        std::mem::take(&mut self.elapsed)
     }
 
     /// Removes and returns the pending calls of one kind; the others fail.
     pub(super) fn take_calls(&mut self, now: Tick, kind: &str) -> Vec<Call> {
-        let calls = std::mem::take(&mut self.calls);
-        let (wanted, rest): (Vec<Call>, Vec<Call>) = calls
+        let calls = std::mem::take(&mut self.pending_calls);
+        let (selected, rest): (Vec<Call>, Vec<Call>) = calls
             .into_iter()
             .partition(|call| call.message.kind() == kind);
         for call in rest {
             self.handle(now, Event::CallFailed { call: call.id });
         }
-        wanted
+        selected
     }
 
-    fn note(&mut self, actions: Vec<Action>) {
+    fn record_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(call) => self.calls.push(*call),
-                Action::ReadSource { stream, .. } => self.watches.push(stream),
+                Action::Send(call) => self.pending_calls.push(*call),
+                Action::ReadSource { stream, .. } => self.pending_reads.push(stream),
                 Action::Apply(applied) => self.snapshot = Some(applied.snapshot),
                 Action::Joined => self.joined = true,
                 _ => {}
--- a/crates/bench/src/core_cost/source.rs
+++ b/crates/bench/src/core_cost/source.rs
@@ -39,7 +39,7 @@
 
     /// Changes one entry of the catalogue.
     pub(super) fn change_catalogue(&mut self) {
-        self.catalogue.change();
+        self.catalogue.change_entry();
         self.catalogue_revision += 1;
     }
 
--- a/crates/bench/src/fault.rs
+++ b/crates/bench/src/fault.rs
@@ -8,10 +8,10 @@
 pub use self::run::run;
 
 mod case;
+mod case_fleet;
 mod disturbance;
 mod options;
 mod report;
 mod run;
 mod script;
-mod stage;
 mod timing;
--- a/crates/bench/src/fault/case.rs
+++ b/crates/bench/src/fault/case.rs
@@ -50,7 +50,7 @@
     }
 
     /// The case of this name, or all cases for `all`.
-    pub fn named(name: &str) -> Option<Vec<Case>> {
+    pub fn select(name: &str) -> Option<Vec<Case>> {
         if name == "all" {
             return Some(Case::ALL.to_vec());
         }
--- a/crates/bench/src/fault/case_fleet.rs
+++ b/crates/bench/src/fault/case_fleet.rs
@@ -21,24 +21,24 @@
 use crate::control_fleet::ControlFleet;
 use crate::control_fleet::FleetOptions;
 use crate::control_fleet::Member;
+use crate::control_fleet::Observation;
 use crate::control_fleet::Publisher;
-use crate::control_fleet::Seen;
 use crate::control_fleet::Watcher;
 
 /// Timeout for the start of the fleet.
-const START_BOUND: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Limit of the wait for a version, so that a run ends. It is above the bound
 /// of the checker, so that a version that comes too late is found as a
 /// violation.
-const HEAL_BOUND: Duration = Duration::from_secs(25);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// Number of seeds in the settings of a restarted node.
-const SEEDS: usize = 3;
+const SEEDS_PER_RESTART: usize = 3;
 
 /// A running fleet that records the faults injected into it.
 #[derive(Debug)]
-pub(super) struct Stage {
+pub(super) struct CaseFleet {
     pub(super) rng: SmallRng,
     fleet: ControlFleet,
     publisher: Publisher,
@@ -46,80 +46,82 @@
     history: History,
     timing: Timing,
     /// Number of active faults by node that make it stopped or unreachable.
-    lost: Vec<u32>,
-    source_lost: u32,
-    parted: Option<Parted>,
+    lost_counts: Vec<u32>,
+    source_lost_count: u32,
+    partition: Option<Partition>,
 }
 
 /// A partition between the nodes of one side and all others.
 #[derive(Debug, Clone)]
-struct Parted {
+struct Partition {
     side: HashSet<usize>,
     from_platform: bool,
 }
 
 /// Records of a finished case.
 #[derive(Debug)]
-pub(super) struct Finished {
+pub(super) struct CaseRecords {
     pub(super) history: History,
     pub(super) timing: Timing,
-    pub(super) seen: Vec<Seen>,
+    pub(super) observations: Vec<Observation>,
     pub(super) stats: PlatformStats,
 }
 
-impl Stage {
+impl CaseFleet {
     /// Starts a fleet and waits until the first version is in force.
-    pub(super) fn start(opts: &FleetOptions, salt: u64) -> miette::Result<Stage> {
+    pub(super) fn start(opts: &FleetOptions, seed_salt: u64) -> miette::Result<CaseFleet> {
         let (fleet, publisher) = ControlFleet::start(opts)?;
-        let first = publisher.expected()?;
+        let first = publisher.expected_facts()?;
         let watcher = Watcher::start(fleet.members().clone(), true);
-        let mut stage = Stage {
-            rng: SmallRng::seed_from_u64(opts.shape.seed ^ (salt << 32)),
-            lost: vec![0; fleet.members().len()],
+        let mut case_fleet = CaseFleet {
+            rng: SmallRng::seed_from_u64(opts.shape.seed ^ (seed_salt << 32)),
+            lost_counts: vec![0; fleet.members().len()],
             fleet,
             publisher,
             watcher,
             history: History::new(),
             timing: Timing::default(),
-            source_lost: 0,
-            parted: None,
+            source_lost_count: 0,
+            partition: None,
         };
-        stage.published(Stream::Instances, first.instances);
-        stage.published(Stream::Catalogue, first.catalogue);
-        stage.record_reference()?;
-        stage.fleet.until_in_force(first.catalogue, START_BOUND)?;
-        for i in 0..stage.lost.len() {
-            let node = stage.id(i);
-            stage.record(Event::NodeBack { node });
+        case_fleet.record_published(Stream::Instances, first.instances);
+        case_fleet.record_published(Stream::Catalogue, first.catalogue);
+        case_fleet.record_reference()?;
+        case_fleet
+            .fleet
+            .wait_until_in_force(first.catalogue, START_TIMEOUT)?;
+        for i in 0..case_fleet.lost_counts.len() {
+            let node = case_fleet.node_id(i);
+            case_fleet.record(Event::NodeBack { node });
         }
-        stage.fleet.platform().reset_stats();
-        Ok(stage)
+        case_fleet.fleet.platform().reset_stats();
+        Ok(case_fleet)
     }
 
     /// Number of nodes.
     pub(super) fn len(&self) -> usize {
-        self.lost.len()
+        self.lost_counts.len()
     }
 
     /// The nodes of a failure domain; domains are numbered from 0.
-    pub(super) fn domain(&self, number: usize) -> Vec<usize> {
+    pub(super) fn nodes_of_domain(&self, number: usize) -> Vec<usize> {
         let members = self.fleet.members();
         let mut names: Vec<_> = members.iter().map(|m| &m.instance().domain).collect();
         names.sort();
         names.dedup();
         let name = names[number % names.len()];
-        let of = |i: &usize| members[*i].instance().domain == *name;
-        (0..members.len()).filter(of).collect()
+        let is_in_domain = |i: &usize| members[*i].instance().domain == *name;
+        (0..members.len()).filter(is_in_domain).collect()
     }
 
     /// Publishes a valid change of the catalogue.
-    pub(super) fn change(&mut self) -> miette::Result<Version> {
+    pub(super) fn publish_change(&mut self) -> miette::Result<Version> {
         let at = self.watcher.now();
-        let version = self.publisher.change(self.fleet.platform())?;
+        let version = self.publisher.publish_change(self.fleet.platform())?;
         let stream = Stream::Catalogue;
         self.history
             .record(at, Event::PublishedGood { stream, version });
-        self.timing.published(at, version.revision());
+        self.timing.record_publication(at, version.revision());
         self.record_reference_at(at)?;
         Ok(version)
     }
@@ -135,23 +137,23 @@
     }
 
     /// Waits until the newest valid version is in force on all running nodes, or
-    /// until [`HEAL_BOUND`].
-    pub(super) fn settle(&self) {
-        if let Some(newest) = self.publisher.catalogue() {
+    /// until [`IN_FORCE_TIMEOUT`].
+    pub(super) fn wait_until_in_force(&self) {
+        if let Some(newest) = self.publisher.catalogue_version() {
             // The checker reports a version that comes too late.
-            let _ = self.fleet.until_in_force(newest, HEAL_BOUND);
+            let _ = self.fleet.wait_until_in_force(newest, IN_FORCE_TIMEOUT);
         }
     }
 
     /// Sleeps for `ms` milliseconds.
-    pub(super) fn wait(&self, ms: u64) {
+    pub(super) fn sleep_ms(&self, ms: u64) {
         thread::sleep(Duration::from_millis(ms));
     }
 
     /// Crashes nodes at once.
     pub(super) fn crash(&mut self, nodes: &[usize]) -> miette::Result<()> {
         for &i in nodes {
-            self.lose(i);
+            self.record_node_lost(i);
         }
         let members = Arc::clone(self.fleet.members());
         for &i in nodes {
@@ -168,8 +170,8 @@
         let members = Arc::clone(self.fleet.members());
         for &i in nodes {
             let seeds = self.seeds(i);
-            self.timing.restarted(self.watcher.now(), i);
-            self.find(i);
+            self.timing.record_restart(self.watcher.now(), i);
+            self.record_node_back(i);
             members[i].restart(self.fleet.handle(), &seeds)?;
             self.apply_partition(i);
         }
@@ -179,7 +181,7 @@
     /// Pauses the control sides of nodes.
     pub(super) fn pause(&mut self, nodes: &[usize]) {
         for &i in nodes {
-            self.lose(i);
+            self.record_node_lost(i);
             if let Some(node) = self.member(i).node() {
                 node.gate().pause(true);
             }
@@ -189,7 +191,7 @@
     /// Resumes paused control sides.
     pub(super) fn resume(&mut self, nodes: &[usize]) {
         for &i in nodes {
-            self.find(i);
+            self.record_node_back(i);
             if let Some(node) = self.member(i).node() {
                 node.gate().pause(false);
             }
@@ -199,27 +201,27 @@
     /// Partitions some nodes from the others. If they are also partitioned from
     /// the platform, they can't get new versions; else each side has its own
     /// readers.
-    pub(super) fn part(&mut self, side: &[usize], from_platform: bool) {
-        self.parted = Some(Parted {
+    pub(super) fn partition(&mut self, side: &[usize], from_platform: bool) {
+        self.partition = Some(Partition {
             side: side.iter().copied().collect(),
             from_platform,
         });
         for i in 0..self.len() {
             if from_platform && side.contains(&i) {
-                self.lose(i);
+                self.record_node_lost(i);
             }
             self.apply_partition(i);
         }
     }
 
     /// Ends the partition.
-    pub(super) fn heal(&mut self) {
-        let Some(parted) = self.parted.take() else {
+    pub(super) fn end_partition(&mut self) {
+        let Some(partition) = self.partition.take() else {
             return;
         };
         for i in 0..self.len() {
-            if parted.from_platform && parted.side.contains(&i) {
-                self.find(i);
+            if partition.from_platform && partition.side.contains(&i) {
+                self.record_node_back(i);
             }
             self.apply_partition(i);
         }
@@ -227,19 +229,19 @@
 
     /// Begins an outage of the source.
     pub(super) fn begin_outage(&mut self) {
-        self.lose_source();
+        self.record_source_lost();
         self.fleet.platform().set_outage(true);
     }
 
     /// Ends the outage.
     pub(super) fn end_outage(&mut self) {
-        self.find_source();
+        self.record_source_back();
         self.fleet.platform().set_outage(false);
     }
 
     /// Makes the source serve an old version.
     pub(super) fn begin_stale(&mut self, at: Version) -> miette::Result<()> {
-        self.lose_source();
+        self.record_source_lost();
         let platform = self.fleet.platform();
         platform
             .set_stale_at(Stream::Catalogue, at.revision())
@@ -248,12 +250,12 @@
 
     /// Makes the source serve the newest version again.
     pub(super) fn end_stale(&mut self) {
-        self.find_source();
+        self.record_source_back();
         self.fleet.platform().set_stale(false);
     }
 
     /// Draws `count` nodes at random.
-    pub(super) fn some(&mut self, count: usize) -> Vec<usize> {
+    pub(super) fn draw_nodes(&mut self, count: usize) -> Vec<usize> {
         let all: Vec<usize> = (0..self.len()).collect();
         all.sample(&mut self.rng, count).copied().collect()
     }
@@ -271,22 +273,23 @@
     }
 
     /// Ends the case and returns its records.
-    pub(super) fn finish(mut self) -> Finished {
-        let seen = self.watcher.take();
-        for seen in &seen {
-            if let Some(held) = &seen.held {
-                let node = self.id(seen.member);
+    pub(super) fn finish(mut self) -> CaseRecords {
+        let observations = self.watcher.take_observations();
+        for observation in &observations {
+            if let Some(held) = &observation.facts {
+                let node = self.node_id(observation.member);
                 let held = Arc::clone(held);
-                self.history.record(seen.at, Event::InForce { node, held });
+                self.history
+                    .record(observation.at, Event::InForce { node, held });
             }
         }
         // The checker takes the time of the last event as the end of the run.
         self.record(Event::SourceBack);
-        Finished {
+        CaseRecords {
             stats: self.fleet.platform().stats(),
             history: self.history,
             timing: self.timing,
-            seen,
+            observations,
         }
     }
 
@@ -294,7 +297,7 @@
         &self.fleet.members()[i]
     }
 
-    fn id(&self, i: usize) -> InstanceId {
+    fn node_id(&self, i: usize) -> InstanceId {
         self.member(i).instance().id.clone()
     }
 
@@ -302,7 +305,7 @@
         self.history.record(self.watcher.now(), event);
     }
 
-    fn published(&mut self, stream: Stream, version: Version) {
+    fn record_published(&mut self, stream: Stream, version: Version) {
         let at = sassafrasspool_core::Tick::ZERO;
         self.history
             .record(at, Event::PublishedGood { stream, version });
@@ -317,48 +320,51 @@
     /// content of the same versions as applied in part.
     fn record_reference_at(&mut self, at: sassafrasspool_core::Tick) -> miette::Result<()> {
         let node = InstanceId::new("reference").into_diagnostic()?;
-        let held = Arc::new(self.publisher.expected()?);
+        let held = Arc::new(self.publisher.expected_facts()?);
         self.history.record(at, Event::InForce { node, held });
         Ok(())
     }
 
-    fn lose(&mut self, i: usize) {
-        self.lost[i] += 1;
-        if self.lost[i] == 1 {
-            let node = self.id(i);
+    fn record_node_lost(&mut self, i: usize) {
+        self.lost_counts[i] += 1;
+        if self.lost_counts[i] == 1 {
+            let node = self.node_id(i);
             self.record(Event::NodeLost { node });
         }
     }
 
     /// Records that a node is about to come back. This has to precede the
     /// return, because the node's effects may be observed at once.
-    fn find(&mut self, i: usize) {
-        self.lost[i] = self.lost[i].saturating_sub(1);
-        if self.lost[i] == 0 {
-            let node = self.id(i);
+    fn record_node_back(&mut self, i: usize) {
+        self.lost_counts[i] = self.lost_counts[i].saturating_sub(1);
+        if self.lost_counts[i] == 0 {
+            let node = self.node_id(i);
             self.record(Event::NodeBack { node });
-            self.timing.found(self.watcher.now(), i);
+            self.timing.record_node_back(self.watcher.now(), i);
         }
     }
 
-    fn lose_source(&mut self) {
-        self.source_lost += 1;
-        if self.source_lost == 1 {
+    fn record_source_lost(&mut self) {
+        self.source_lost_count += 1;
+        if self.source_lost_count == 1 {
             self.record(Event::SourceLost);
         }
     }
 
-    fn find_source(&mut self) {
-        self.source_lost = self.source_lost.saturating_sub(1);
-        if self.source_lost == 0 {
+    fn record_source_back(&mut self) {
+        self.source_lost_count = self.source_lost_count.saturating_sub(1);
+        if self.source_lost_count == 0 {
             self.record(Event::SourceBack);
-            self.timing.source_found(self.watcher.now());
+            self.timing.record_source_back(self.watcher.now());
         }
     }
 
     fn seeds(&mut self, i: usize) -> Vec<SocketAddr> {
-        let others = self.some(SEEDS + 1);
-        let others = others.into_iter().filter(|other| *other != i).take(SEEDS);
+        let others = self.draw_nodes(SEEDS_PER_RESTART + 1);
+        let others = others
+            .into_iter()
+            .filter(|other| *other != i)
+            .take(SEEDS_PER_RESTART);
         others
             .map(|other| self.member(other).instance().control)
             .collect()
@@ -368,15 +374,15 @@
         let Some(node) = self.member(i).node() else {
             return;
         };
-        let Some(parted) = &self.parted else {
+        let Some(partition) = &self.partition else {
             node.gate().part(HashSet::new());
             node.gate().cut_platform(false);
             return;
         };
-        let inside = parted.side.contains(&i);
-        let others = (0..self.len()).filter(|other| parted.side.contains(other) != inside);
+        let inside = partition.side.contains(&i);
+        let others = (0..self.len()).filter(|other| partition.side.contains(other) != inside);
         let others = others.map(|other| self.member(other).instance().control);
         node.gate().part(others.collect());
-        node.gate().cut_platform(inside && parted.from_platform);
+        node.gate().cut_platform(inside && partition.from_platform);
     }
 }
--- a/crates/bench/src/fault/disturbance.rs
+++ b/crates/bench/src/fault/disturbance.rs
@@ -3,7 +3,7 @@
 use rand::RngExt;
 use sassafrasspool_core::Version;
 
-use super::stage::Stage;
+use super::case_fleet::CaseFleet;
 
 /// Failure domains of a generated fleet.
 const DOMAINS: usize = 4;
@@ -16,7 +16,7 @@
     /// The control sides of these nodes are paused.
     Pause(Vec<usize>),
     /// These nodes are partitioned from the others and from the platform.
-    Part(Vec<usize>),
+    Partition(Vec<usize>),
     /// The source has an outage.
     Outage,
     /// The source serves this old version.
@@ -25,43 +25,43 @@
 
 impl Disturbance {
     /// Draws two or three faults of different kinds.
-    pub(super) fn draw(stage: &mut Stage, old: Version) -> Vec<Disturbance> {
-        let quarter = (stage.len() / 4).max(1);
-        let domain = stage.rng.random_range(0..DOMAINS);
+    pub(super) fn draw(fleet: &mut CaseFleet, old: Version) -> Vec<Disturbance> {
+        let quarter = (fleet.len() / 4).max(1);
+        let domain = fleet.rng.random_range(0..DOMAINS);
         let all = [
-            Disturbance::Crash(stage.some(quarter)),
-            Disturbance::Pause(stage.some(quarter)),
-            Disturbance::Part(stage.domain(domain)),
+            Disturbance::Crash(fleet.draw_nodes(quarter)),
+            Disturbance::Pause(fleet.draw_nodes(quarter)),
+            Disturbance::Partition(fleet.nodes_of_domain(domain)),
             Disturbance::Outage,
             Disturbance::Stale(old),
         ];
-        let count = stage.rng.random_range(2..=3);
+        let count = fleet.rng.random_range(2..=3);
         let mut drawn: Vec<Disturbance> = all.to_vec();
         while drawn.len() > count {
-            let out = stage.rng.random_range(0..drawn.len());
+            let out = fleet.rng.random_range(0..drawn.len());
             drawn.remove(out);
         }
         drawn
     }
 
-    pub(super) fn begin(&self, stage: &mut Stage) -> miette::Result<()> {
+    pub(super) fn begin(&self, fleet: &mut CaseFleet) -> miette::Result<()> {
         match self {
-            Disturbance::Crash(nodes) => stage.crash(nodes)?,
-            Disturbance::Pause(nodes) => stage.pause(nodes),
-            Disturbance::Part(nodes) => stage.part(nodes, true),
-            Disturbance::Outage => stage.begin_outage(),
-            Disturbance::Stale(version) => stage.begin_stale(*version)?,
+            Disturbance::Crash(nodes) => fleet.crash(nodes)?,
+            Disturbance::Pause(nodes) => fleet.pause(nodes),
+            Disturbance::Partition(nodes) => fleet.partition(nodes, true),
+            Disturbance::Outage => fleet.begin_outage(),
+            Disturbance::Stale(version) => fleet.begin_stale(*version)?,
         }
         Ok(())
     }
 
-    pub(super) fn end(&self, stage: &mut Stage) -> miette::Result<()> {
+    pub(super) fn end(&self, fleet: &mut CaseFleet) -> miette::Result<()> {
         match self {
-            Disturbance::Crash(nodes) => stage.restart(nodes)?,
-            Disturbance::Pause(nodes) => stage.resume(nodes),
-            Disturbance::Part(_) => stage.heal(),
-            Disturbance::Outage => stage.end_outage(),
-            Disturbance::Stale(_) => stage.end_stale(),
+            Disturbance::Crash(nodes) => fleet.restart(nodes)?,
+            Disturbance::Pause(nodes) => fleet.resume(nodes),
+            Disturbance::Partition(_) => fleet.end_partition(),
+            Disturbance::Outage => fleet.end_outage(),
+            Disturbance::Stale(_) => fleet.end_stale(),
         }
         Ok(())
     }
--- a/crates/bench/src/fault/run.rs
+++ b/crates/bench/src/fault/run.rs
@@ -10,8 +10,8 @@
 use super::CaseReport;
 use super::Options;
 use super::Report;
+use super::case_fleet::CaseFleet;
 use super::script;
-use super::stage::Stage;
 
 /// Maximum number of violations that a case's report has as text.
 const EXAMPLES: usize = 5;
@@ -35,28 +35,30 @@
 }
 
 fn run_case(case: Case, opts: &Options) -> miette::Result<CaseReport> {
-    let mut stage = Stage::start(&opts.fleet, case as u64)?;
-    let members = stage.len();
+    let mut fleet = CaseFleet::start(&opts.fleet, case as u64)?;
+    let members = fleet.len();
     let began = Instant::now();
-    script::play(case, &mut stage)?;
+    script::run_case(case, &mut fleet)?;
     let seconds = began.elapsed().as_secs_f64();
-    let finished = stage.finish();
-    let found = check(&finished.history, &Bounds::default());
+    let records = fleet.finish();
+    let violations = check(&records.history, &Bounds::default());
     let mut broken = BTreeMap::new();
-    for violation in &found {
+    for violation in &violations {
         *broken.entry(violation.guarantee().to_string()).or_default() += 1;
     }
-    let examples = found.iter().take(EXAMPLES).map(ToString::to_string);
-    let samples = finished.timing.samples(&finished.seen, members);
+    let examples = violations.iter().take(EXAMPLES).map(ToString::to_string);
+    let samples = records
+        .timing
+        .convergence_samples(&records.observations, members);
     Ok(CaseReport {
         case: case.as_str(),
-        violations: found.len(),
+        violations: violations.len(),
         broken,
         examples: examples.collect(),
         convergence_ms: samples.summary(),
-        source_reads_peak_per_s: finished.stats.reads_peak_per_s,
-        source_reads: finished.stats.reads,
-        applied: finished.seen.len(),
+        source_reads_peak_per_s: records.stats.reads_peak_per_s,
+        source_reads: records.stats.reads,
+        applied: records.observations.len(),
         seconds,
     })
 }
--- a/crates/bench/src/fit.rs
+++ b/crates/bench/src/fit.rs
@@ -36,7 +36,7 @@
 
 /// Means of points, and sums of squares and products about the means.
 #[derive(Debug)]
-struct Moments {
+struct CentredSums {
     mean_x: f64,
     mean_y: f64,
     xx: f64,
@@ -58,21 +58,21 @@
     /// assert_eq!(fit.at(10.0), 23.0);
     /// ```
     pub fn through(points: &[Point]) -> Option<Fit> {
-        let moments = Moments::of(points);
-        if moments.xx <= 0.0 {
+        let sums = CentredSums::of(points);
+        if sums.xx <= 0.0 {
             return None;
         }
-        let slope = moments.xy / moments.xx;
-        let intercept = moments.mean_y - slope * moments.mean_x;
+        let slope = sums.xy / sums.xx;
+        let intercept = sums.mean_y - slope * sums.mean_x;
         let residual = |p: &Point| p.y - (intercept + slope * p.x);
         let squares: f64 = points.iter().map(|p| residual(p).powi(2)).sum();
         Some(Fit {
             slope,
             intercept,
-            slope_error: deviation(squares, points.len()) / moments.xx.sqrt(),
-            level_error: deviation(squares, points.len()) / (points.len() as f64).sqrt(),
-            mean_x: moments.mean_x,
-            r2: explained(squares, moments.yy),
+            slope_error: residual_deviation(squares, points.len()) / sums.xx.sqrt(),
+            level_error: residual_deviation(squares, points.len()) / (points.len() as f64).sqrt(),
+            mean_x: sums.mean_x,
+            r2: r_squared(squares, sums.yy),
             worst: points.iter().map(|p| residual(p).abs()).fold(0.0, f64::max),
         })
     }
@@ -84,20 +84,20 @@
 
     /// Twice the line's standard error at `x`, from the scatter of the points
     /// alone.
-    pub fn spread_at(&self, x: f64) -> f64 {
+    pub fn margin_at(&self, x: f64) -> f64 {
         2.0 * self.level_error.hypot(self.slope_error * (x - self.mean_x))
     }
 }
 
-impl Moments {
-    fn of(points: &[Point]) -> Moments {
+impl CentredSums {
+    fn of(points: &[Point]) -> CentredSums {
         let n = points.len().max(1) as f64;
         let mean_x = points.iter().map(|p| p.x).sum::<f64>() / n;
         let mean_y = points.iter().map(|p| p.y).sum::<f64>() / n;
         let sum = |f: &dyn Fn(f64, f64) -> f64| -> f64 {
             points.iter().map(|p| f(p.x - mean_x, p.y - mean_y)).sum()
         };
-        Moments {
+        CentredSums {
             mean_x,
             mean_y,
             xx: sum(&|dx, _| dx * dx),
@@ -108,14 +108,14 @@
 }
 
 /// Standard deviation of the residuals; zero for fewer than three points.
-fn deviation(squares: f64, points: usize) -> f64 {
+fn residual_deviation(squares: f64, points: usize) -> f64 {
     if points < 3 {
         return 0.0;
     }
     (squares / (points - 2) as f64).sqrt()
 }
 
-fn explained(squares: f64, yy: f64) -> f64 {
+fn r_squared(squares: f64, yy: f64) -> f64 {
     if yy <= 0.0 {
         return 1.0;
     }
--- a/crates/bench/src/generate/catalogue.rs
+++ b/crates/bench/src/generate/catalogue.rs
@@ -30,7 +30,7 @@
 ];
 
 /// Number of teams that own entries.
-const OWNERS: usize = 24;
+const OWNER_COUNT: usize = 24;
 
 /// Maximum number of routes of an entry.
 const MAX_ROUTES: usize = 4;
@@ -73,7 +73,7 @@
 
     /// Changes the rate limit of one entry at random, as a typical change of an
     /// operator does.
-    pub fn change(&mut self) {
+    pub fn change_entry(&mut self) {
         let i = self.rng.random_range(0..self.services.len());
         let limits = &mut self.services[i].limits;
         limits.rate_per_s = limits.rate_per_s % 900 + 100 + self.rng.random_range(1..100);
@@ -88,8 +88,8 @@
     /// exist.
     pub fn bad_text(&self) -> String {
         let mut services = self.services.clone();
-        let gone = services.len() - 1;
-        let name = services.remove(gone).name;
+        let last = services.len() - 1;
+        let name = services.remove(last).name;
         if let Some(route) = services.first_mut().and_then(|s| s.routes.first_mut()) {
             route.service = name;
         }
@@ -103,7 +103,7 @@
     let routes = (0..rng.random_range(1..=MAX_ROUTES)).map(|r| route(&name, class, i, r));
     let routes = routes.collect::<Result<_>>()?;
     Ok(ServiceEntry {
-        owner: OwnerName::new(&format!("team-{:02}", i % OWNERS))?,
+        owner: OwnerName::new(&format!("team-{:02}", i % OWNER_COUNT))?,
         class,
         limits: limits(rng),
         cold_start: None,
--- a/crates/bench/src/generate/shape.rs
+++ b/crates/bench/src/generate/shape.rs
@@ -1,10 +1,10 @@
 //! Sizes of generated catalogues and instance lists.
 
 /// Number of services for which the system is designed.
-const TARGET_SERVICES: usize = 690;
+const DESIGN_SERVICES: usize = 690;
 
 /// Number of endpoints for which the system is designed.
-const TARGET_ENDPOINTS: usize = 4_100;
+const DESIGN_ENDPOINTS: usize = 4_100;
 
 /// Number of services and endpoints to generate, and the seed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,10 +19,10 @@
 
 impl Shape {
     /// The size for which the system is designed.
-    pub const fn target(seed: u64) -> Shape {
+    pub const fn design_size(seed: u64) -> Shape {
         Shape {
-            services: TARGET_SERVICES,
-            endpoints: TARGET_ENDPOINTS,
+            services: DESIGN_SERVICES,
+            endpoints: DESIGN_ENDPOINTS,
             seed,
         }
     }
--- a/crates/bench/src/generate/tests.rs
+++ b/crates/bench/src/generate/tests.rs
@@ -8,40 +8,40 @@
 use super::GeneratedFleet;
 use super::Shape;
 
-fn held(revision: u64, text: &str) -> Catalogue {
+fn catalogue_at(revision: u64, text: &str) -> Catalogue {
     let items = catalogue::parse(text).unwrap();
     Catalogue::new(Revision::new(revision).unwrap(), items).unwrap()
 }
 
 #[test]
-fn a_catalogue_of_the_target_size_binds() {
-    let shape = Shape::target(1);
+fn a_catalogue_of_the_design_size_binds() {
+    let shape = Shape::design_size(1);
     let text = GeneratedCatalogue::new(shape).unwrap().text();
     assert!(text.len() <= catalogue::MAX_CATALOGUE_BYTES);
     let fleet = GeneratedFleet::new(shape).unwrap().into_instances();
     let list = InstanceList::new(Revision::new(1).unwrap(), fleet).unwrap();
-    let snapshot = Snapshot::build(&held(1, &text), &list).unwrap();
+    let snapshot = Snapshot::build(&catalogue_at(1, &text), &list).unwrap();
     assert_eq!(snapshot.services().count(), shape.services);
     let bound: usize = snapshot.services().map(|(_, s)| s.endpoints.len()).sum();
     assert_eq!(bound, shape.endpoints);
 }
 
 #[test]
-fn one_change_touches_one_entry_and_repeats_from_its_seed() {
-    let mut one = GeneratedCatalogue::new(Shape::target(7)).unwrap();
+fn a_change_affects_one_entry_and_is_reproducible() {
+    let mut one = GeneratedCatalogue::new(Shape::design_size(7)).unwrap();
     let mut two = one.clone();
-    let before = held(1, &one.text());
-    one.change();
-    two.change();
+    let before = catalogue_at(1, &one.text());
+    one.change_entry();
+    two.change_entry();
     assert_eq!(one.text(), two.text());
-    let delta = before.delta_to(&held(2, &one.text()));
+    let delta = before.delta_to(&catalogue_at(2, &one.text()));
     assert_eq!((delta.put.len(), delta.remove.len()), (1, 0));
 }
 
 #[test]
 fn a_bad_text_parses_but_does_not_bind() {
-    let generated = GeneratedCatalogue::new(Shape::target(1)).unwrap();
+    let generated = GeneratedCatalogue::new(Shape::design_size(1)).unwrap();
     let list = InstanceList::new(Revision::new(1).unwrap(), Vec::new()).unwrap();
-    let bad = held(1, &generated.bad_text());
+    let bad = catalogue_at(1, &generated.bad_text());
     assert!(Snapshot::build(&bad, &list).is_err());
 }
--- a/crates/bench/src/generate/text.rs
+++ b/crates/bench/src/generate/text.rs
@@ -10,12 +10,12 @@
 pub fn render(kinds: &[Kind], services: &[ServiceEntry]) -> String {
     let mut text = String::from("kinds:\n");
     for kind in kinds {
-        line(
+        push_line(
             &mut text,
             &format!("  {}: {{weight: {}}}", kind.name, kind.weight),
         );
     }
-    line(&mut text, "services:");
+    push_line(&mut text, "services:");
     for service in services {
         render_service(&mut text, service);
     }
@@ -24,37 +24,37 @@
 
 fn render_service(text: &mut String, service: &ServiceEntry) {
     let limits = &service.limits;
-    line(text, &format!("  {}:", service.name));
-    line(text, &format!("    owner: {}", service.owner));
-    line(text, &format!("    class: {}", service.class));
-    line(text, "    limits:");
-    line(text, &format!("      rate_per_s: {}", limits.rate_per_s));
-    line(text, &format!("      concurrency: {}", limits.concurrency));
+    push_line(text, &format!("  {}:", service.name));
+    push_line(text, &format!("    owner: {}", service.owner));
+    push_line(text, &format!("    class: {}", service.class));
+    push_line(text, "    limits:");
+    push_line(text, &format!("      rate_per_s: {}", limits.rate_per_s));
+    push_line(text, &format!("      concurrency: {}", limits.concurrency));
     let deadline_ms = limits.deadline.as_millis();
-    line(text, &format!("      deadline_ms: {deadline_ms}"));
+    push_line(text, &format!("      deadline_ms: {deadline_ms}"));
     let retry = limits.retry;
-    line(
+    push_line(
         text,
         &format!(
             "      retry: {{attempts: {}, budget_percent: {}, burst: {}}}",
             retry.attempts, retry.budget_percent, retry.burst
         ),
     );
-    line(text, "    routes:");
+    push_line(text, "    routes:");
     for route in &service.routes {
         render_route(text, route);
     }
 }
 
 fn render_route(text: &mut String, route: &Route) {
-    line(text, &format!("      - path: {}", route.path));
-    line(text, &format!("        kind: {}", route.kind));
-    line(text, &format!("        service: {}", route.service));
-    line(text, &format!("        class: {}", route.class));
-    line(text, &format!("        idempotent: {}", route.idempotent));
+    push_line(text, &format!("      - path: {}", route.path));
+    push_line(text, &format!("        kind: {}", route.kind));
+    push_line(text, &format!("        service: {}", route.service));
+    push_line(text, &format!("        class: {}", route.class));
+    push_line(text, &format!("        idempotent: {}", route.idempotent));
 }
 
-fn line(text: &mut String, line: &str) {
+fn push_line(text: &mut String, line: &str) {
     // Writing to a string can't fail.
     let _ = writeln!(text, "{line}");
 }
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -5,5 +5,5 @@
 pub use self::run::run;
 
 mod cost;
-mod fleet;
+mod node_processes;
 mod run;
--- a/crates/bench/src/processes/node_processes.rs
+++ b/crates/bench/src/processes/node_processes.rs
@@ -16,7 +16,7 @@
 use tempfile::TempDir;
 use tokio_util::sync::CancellationToken;
 
-use crate::control_fleet::Common;
+use crate::control_fleet::CommonSettings;
 use crate::control_fleet::Publisher;
 use crate::control_fleet::Tuning;
 use crate::control_fleet::addrs;
@@ -28,12 +28,12 @@
 use crate::usage::ProcessUsage;
 
 /// Interval between two reads of a node's status.
-const LOOK: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Node processes, which are killed when dropped.
 #[derive(Debug)]
-pub(super) struct Processes {
-    nodes: Vec<Running>,
+pub(super) struct NodeProcesses {
+    nodes: Vec<RunningNode>,
     pub(super) platform: Platform,
     pub(super) publisher: Publisher,
     _target: Target,
@@ -41,29 +41,29 @@
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningNode {
     addrs: NodeAddrs,
     process: NodeProcess,
 }
 
 /// Resources that all processes have used so far.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Used {
+pub(super) struct ResourceUsage {
     pub(super) at: Instant,
     pub(super) cpu: Duration,
     pub(super) control_bytes: u64,
     pub(super) rss_bytes: u64,
-    pub(super) own_bytes: u64,
+    pub(super) anonymous_bytes: u64,
     pub(super) rss_bytes_max: u64,
 }
 
-impl Processes {
-    pub(super) async fn start(nodes: usize, shape: Shape) -> miette::Result<Processes> {
+impl NodeProcesses {
+    pub(super) async fn start(nodes: usize, shape: Shape) -> miette::Result<NodeProcesses> {
         let platform = Platform::start(PlatformSettings::default(), CancellationToken::new());
         let platform = platform.await.into_diagnostic()?;
         let target = Target::start(TargetSettings::default(), CancellationToken::new());
         let target = target.await.into_diagnostic()?;
-        let common = Common {
+        let common = CommonSettings {
             platform: platform.addr(),
             target: target.addr(),
             naive: false,
@@ -79,7 +79,7 @@
         }
         let generated = GeneratedCatalogue::new(shape).into_diagnostic()?;
         let publisher = Publisher::start(&platform, generated, &listed)?;
-        Ok(Processes {
+        Ok(NodeProcesses {
             nodes: running,
             platform,
             publisher,
@@ -95,64 +95,72 @@
 
     /// Waits until all nodes hold a catalogue of at least the revision of
     /// `version`.
-    pub(super) async fn until_held(&self, version: Version, bound: Duration) -> miette::Result<()> {
+    pub(super) async fn wait_until_held(
+        &self,
+        version: Version,
+        bound: Duration,
+    ) -> miette::Result<()> {
         let since = Instant::now();
         for node in &self.nodes {
             while !holds(node, version).await {
                 if since.elapsed() > bound {
                     return Err(miette!("not all nodes hold {version} after {bound:?}"));
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    pub(super) async fn used(&self) -> miette::Result<Used> {
-        let mut used = Used {
+    pub(super) async fn usage(&self) -> miette::Result<ResourceUsage> {
+        let mut total = ResourceUsage {
             at: Instant::now(),
             cpu: Duration::ZERO,
             control_bytes: 0,
             rss_bytes: 0,
-            own_bytes: 0,
+            anonymous_bytes: 0,
             rss_bytes_max: 0,
         };
         for node in &self.nodes {
             let pid = node.process.pid();
             let usage = ProcessUsage::of(pid.ok_or_else(|| miette!("a node has ended"))?)?;
-            used.cpu += usage.cpu;
-            used.rss_bytes += usage.rss_bytes;
-            used.own_bytes += usage.own_bytes;
-            used.rss_bytes_max = used.rss_bytes_max.max(usage.rss_bytes);
-            used.control_bytes += control_bytes(node).await;
+            total.cpu += usage.cpu;
+            total.rss_bytes += usage.rss_bytes;
+            total.anonymous_bytes += usage.anonymous_bytes;
+            total.rss_bytes_max = total.rss_bytes_max.max(usage.rss_bytes);
+            total.control_bytes += control_bytes(node).await;
         }
-        Ok(used)
+        Ok(total)
     }
 }
 
-fn start_node(dir: &TempDir, common: &Common, instance: &mut Instance) -> miette::Result<Running> {
-    let addrs = addrs::draw()?;
+fn start_node(
+    dir: &TempDir,
+    common: &CommonSettings,
+    instance: &mut Instance,
+) -> miette::Result<RunningNode> {
+    let addrs = addrs::allocate()?;
     instance.traffic = addrs.traffic;
     instance.control = addrs.control;
     let file = dir.path().join(format!("{}.yaml", instance.id));
     let log = dir.path().join(format!("{}.log", instance.id));
     std::fs::write(&file, common.text(instance, addrs, &[])).into_diagnostic()?;
     let process = NodeProcess::start(&file, &log).into_diagnostic()?;
-    Ok(Running { addrs, process })
+    Ok(RunningNode { addrs, process })
 }
 
-async fn status(node: &Running) -> Value {
+async fn status(node: &RunningNode) -> Value {
     let status = admin::get(node.addrs.admin, "/status").await;
     status.unwrap_or_default()
 }
 
-async fn holds(node: &Running, version: Version) -> bool {
+async fn holds(node: &RunningNode, version: Version) -> bool {
     let status = status(node).await;
     let revision = status["held"]["catalogue"]["revision"].as_u64();
     revision.is_some_and(|held| held >= version.revision().get())
 }
 
-async fn control_bytes(node: &Running) -> u64 {
+async fn control_bytes(node: &RunningNode) -> u64 {
     let status = status(node).await;
     let count = |name: &str| status["control"][name].as_u64().unwrap_or(0);
     count("bytes_in") + count("bytes_out")
--- a/crates/bench/src/slopes/axis.rs
+++ b/crates/bench/src/slopes/axis.rs
@@ -45,7 +45,7 @@
     }
 
     /// The axis of this name, or all axes for `all`.
-    pub fn named(name: &str) -> Option<Vec<Axis>> {
+    pub fn select(name: &str) -> Option<Vec<Axis>> {
         if name == "all" {
             return Some(Axis::ALL.to_vec());
         }
@@ -54,7 +54,7 @@
     }
 
     /// The sizes at which it is measured.
-    pub(super) const fn places(self) -> &'static [f64] {
+    pub(super) const fn measured_sizes(self) -> &'static [f64] {
         match self {
             Axis::Nodes => &[25.0, 50.0, 100.0, 200.0],
             Axis::Processes => &[25.0, 50.0, 100.0],
@@ -67,7 +67,7 @@
     }
 
     /// The size for which the system is designed.
-    pub(super) const fn target(self) -> f64 {
+    pub(super) const fn design_size(self) -> f64 {
         match self {
             Axis::Nodes | Axis::Processes | Axis::Endpoints | Axis::Members => 4_100.0,
             Axis::Services => 690.0,
--- a/crates/bench/src/slopes/measure.rs
+++ b/crates/bench/src/slopes/measure.rs
@@ -18,27 +18,27 @@
 use crate::spread;
 
 /// Number of nodes while another size is varied.
-const FEW_NODES: usize = 25;
+const DEFAULT_NODES: usize = 25;
 
 /// Number of nodes in measurements of calls.
 const CALL_NODES: usize = 4;
 
 /// Figures with a fixed part that is divided by the number of nodes.
-const SHARED: [&str; 2] = ["control bytes/node/change", "CPU us/node/change"];
+const SHARED_FIGURES: [&str; 2] = ["control bytes/node/change", "CPU us/node/change"];
 
 /// Measures all figures of `axis` at `x`.
 ///
 /// # Errors
 ///
 /// Fails if the run itself fails.
-pub(super) fn at(axis: Axis, x: f64, seed: u64) -> miette::Result<Vec<Figure>> {
-    let shape = Shape::target(seed);
+pub(super) fn figures_at(axis: Axis, x: f64, seed: u64) -> miette::Result<Vec<Figure>> {
+    let shape = Shape::design_size(seed);
     let count = x as usize;
     match axis {
         Axis::Nodes => nodes_at(count, shape),
         Axis::Processes => processes_at(count, shape),
         Axis::Services => spread_at(
-            FEW_NODES,
+            DEFAULT_NODES,
             Shape {
                 services: count,
                 ..shape
@@ -46,14 +46,14 @@
             1.0,
         ),
         Axis::Endpoints => spread_at(
-            FEW_NODES,
+            DEFAULT_NODES,
             Shape {
                 endpoints: count,
                 ..shape
             },
             1.0,
         ),
-        Axis::ChangeRate => spread_at(FEW_NODES, shape, x),
+        Axis::ChangeRate => spread_at(DEFAULT_NODES, shape, x),
         Axis::CallRate => calls_at(x, seed),
         Axis::Members => members_at(Shape {
             endpoints: count,
@@ -72,8 +72,8 @@
             tuning: Tuning::default(),
         },
         changes: 5,
-        pace: Duration::from_secs_f64(1.0 / per_s),
-        idle: Duration::from_secs(5),
+        change_interval: Duration::from_secs_f64(1.0 / per_s),
+        idle_time: Duration::from_secs(5),
     })?;
     Ok(vec![
         figure("convergence, p99, ms", report.convergence_ms.p99),
@@ -102,7 +102,7 @@
 fn nodes_at(nodes: usize, shape: Shape) -> miette::Result<Vec<Figure>> {
     let mut figures = spread_at(nodes, shape, 1.0)?;
     for figure in &mut figures {
-        if SHARED.contains(&figure.name) {
+        if SHARED_FIGURES.contains(&figure.name) {
             figure.form = Form::Inverse;
         }
     }
@@ -116,9 +116,9 @@
         figure("resident memory, bytes", cost.rss_bytes),
         figure("own memory, bytes", cost.own_bytes),
         figure("largest resident memory, bytes", cost.rss_bytes_max as f64),
-        shared("CPU us/change", cost.cpu_us_per_change),
+        shared_figure("CPU us/change", cost.cpu_us_per_change),
         figure("CPU us/s idle", cost.idle_cpu_us_per_s),
-        shared("control bytes/change", cost.control_bytes_per_change),
+        shared_figure("control bytes/change", cost.control_bytes_per_change),
         figure("idle control bytes/s", cost.idle_control_bytes_per_s),
     ])
 }
@@ -141,7 +141,7 @@
 }
 
 fn members_at(shape: Shape) -> miette::Result<Vec<Figure>> {
-    let cost = core_cost_apart(shape)?;
+    let cost = core_cost_in_own_process(shape)?;
     Ok(vec![
         figure("reader CPU us/change", cost.reader_us_per_change),
         figure("member CPU us/change", cost.member_us_per_change),
@@ -159,7 +159,7 @@
 
 /// Runs the verb `core-cost` in a process of its own: memory that an earlier
 /// measurement freed would be reused and hide the memory of this one.
-fn core_cost_apart(shape: Shape) -> miette::Result<CoreCost> {
+fn core_cost_in_own_process(shape: Shape) -> miette::Result<CoreCost> {
     let program = std::env::current_exe().into_diagnostic()?;
     let output = Command::new(program)
         .arg("core-cost")
@@ -183,7 +183,7 @@
 }
 
 /// A figure with a fixed part that is divided by the number of nodes.
-fn shared(name: &'static str, value: f64) -> Figure {
+fn shared_figure(name: &'static str, value: f64) -> Figure {
     Figure {
         form: Form::Inverse,
         ..figure(name, value)
--- a/crates/bench/src/slopes/run.rs
+++ b/crates/bench/src/slopes/run.rs
@@ -19,7 +19,7 @@
     let before = load_average();
     let mut series = Vec::new();
     for &axis in axes {
-        series.extend(along(axis, seed)?);
+        series.extend(measure_axis(axis, seed)?);
     }
     Ok(Report {
         processors: thread::available_parallelism().map_or(0, usize::from),
@@ -28,11 +28,11 @@
     })
 }
 
-fn along(axis: Axis, seed: u64) -> miette::Result<Vec<Series>> {
+fn measure_axis(axis: Axis, seed: u64) -> miette::Result<Vec<Series>> {
     let mut last: Vec<Figure> = Vec::new();
     let mut points: Vec<Vec<Point>> = Vec::new();
-    for &x in axis.places() {
-        let figures = measure::at(axis, x, seed)?;
+    for &x in axis.measured_sizes() {
+        let figures = measure::figures_at(axis, x, seed)?;
         points.resize_with(figures.len(), Vec::new);
         for (points, figure) in points.iter_mut().zip(&figures) {
             points.push(Point { x, y: figure.value });
--- a/crates/bench/src/slopes/series.rs
+++ b/crates/bench/src/slopes/series.rs
@@ -20,7 +20,7 @@
 }
 
 impl Form {
-    fn of(self, x: f64) -> f64 {
+    fn variable(self, x: f64) -> f64 {
         match self {
             Form::Linear => x,
             Form::Inverse => 1.0 / x,
@@ -60,13 +60,13 @@
 impl Series {
     pub(super) fn new(axis: Axis, figure: Figure, points: Vec<Point>) -> Series {
         let form = figure.form;
-        let drawn = points.iter().map(|p| Point {
-            x: form.of(p.x),
+        let fitted = points.iter().map(|p| Point {
+            x: form.variable(p.x),
             y: p.y,
         });
-        let fit = Fit::through(&drawn.collect::<Vec<Point>>());
-        let target = axis.target();
-        let drawn_target = form.of(target);
+        let fit = Fit::through(&fitted.collect::<Vec<Point>>());
+        let target = axis.design_size();
+        let fitted_target = form.variable(target);
         Series {
             axis: axis.as_str(),
             figure: figure.name,
@@ -74,8 +74,8 @@
             points,
             fit,
             target,
-            at_target: fit.map(|fit| fit.at(drawn_target)),
-            at_target_spread: fit.map(|fit| fit.spread_at(drawn_target)),
+            at_target: fit.map(|fit| fit.at(fitted_target)),
+            at_target_spread: fit.map(|fit| fit.margin_at(fitted_target)),
         }
     }
 }
--- a/crates/bench/src/slopes/series/tests.rs
+++ b/crates/bench/src/slopes/series/tests.rs
@@ -6,7 +6,7 @@
 
 /// Guards against a line in the size that falls below zero at the design size.
 #[test]
-fn a_shared_cost_is_drawn_over_the_inverse() {
+fn a_shared_cost_is_fitted_over_the_inverse() {
     let nodes = [25.0, 50.0, 100.0, 200.0];
     let points = nodes.map(|x| Point {
         x,
--- a/crates/bench/src/spread/convergence.rs
+++ b/crates/bench/src/spread/convergence.rs
@@ -7,12 +7,12 @@
 use sassafrasspool_core::Stream;
 use sassafrasspool_core::Tick;
 
-use crate::control_fleet::Seen;
+use crate::control_fleet::Observation;
 use crate::summary::Samples;
 
 /// A published revision and the time of its publication.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Published {
+pub(crate) struct Publication {
     /// Taken just before it was sent to the platform.
     pub(crate) at: Tick,
     /// The catalogue's revision.
@@ -23,50 +23,58 @@
 #[derive(Debug, Default)]
 pub(crate) struct Convergence {
     /// One sample for each node and change.
-    pub(crate) nodes: Samples,
+    pub(crate) by_node: Samples,
     /// One sample for each change, of the last node.
-    pub(crate) everywhere: Samples,
+    pub(crate) by_change: Samples,
 }
 
 impl Convergence {
     /// Computes the times. A revision that a node skipped counts as in force
     /// from when a newer one was in force on the node.
-    pub(crate) fn of(published: &[Published], seen: &[Seen]) -> Convergence {
-        let mut by_member: HashMap<usize, Vec<&Seen>> = HashMap::new();
-        for seen in seen {
-            by_member.entry(seen.member).or_default().push(seen);
+    pub(crate) fn of(publications: &[Publication], observations: &[Observation]) -> Convergence {
+        let mut by_member: HashMap<usize, Vec<&Observation>> = HashMap::new();
+        for observation in observations {
+            by_member
+                .entry(observation.member)
+                .or_default()
+                .push(observation);
         }
         let mut convergence = Convergence::default();
-        for published in published {
-            let took = by_member.values().filter_map(|seen| took(*published, seen));
-            let took: Vec<Duration> = took.collect();
-            for &sample in &took {
-                convergence.nodes.add(sample);
+        for publication in publications {
+            let convergence_times = by_member
+                .values()
+                .filter_map(|observations| time_until_in_force(*publication, observations));
+            let convergence_times: Vec<Duration> = convergence_times.collect();
+            for &sample in &convergence_times {
+                convergence.by_node.add(sample);
             }
-            if let Some(&last) = took.iter().max() {
-                convergence.everywhere.add(last);
+            if let Some(&last) = convergence_times.iter().max() {
+                convergence.by_change.add(last);
             }
         }
         convergence
     }
 }
 
-fn took(published: Published, seen: &[&Seen]) -> Option<Duration> {
-    let first = seen
+fn time_until_in_force(
+    publication: Publication,
+    observations: &[&Observation],
+) -> Option<Duration> {
+    let first = observations
         .iter()
-        .find(|seen| seen.catalogue.revision() >= published.revision)?;
-    Some(first.at.since(published.at))
+        .find(|observation| observation.catalogue.revision() >= publication.revision)?;
+    Some(first.at.since(publication.at))
 }
 
 /// Number of times that a member put an older version in force than the one
 /// before, over both streams.
-pub(crate) fn steps_back(seen: &[Seen]) -> usize {
+pub(crate) fn steps_back(observations: &[Observation]) -> usize {
     let mut last: HashMap<(usize, Stream), Revision> = HashMap::new();
     let mut steps = 0;
-    for seen in seen {
+    for observation in observations {
         for stream in Stream::ALL {
-            let revision = seen.version(stream).revision();
-            let before = last.insert((seen.member, stream), revision);
+            let revision = observation.version(stream).revision();
+            let before = last.insert((observation.member, stream), revision);
             if before.is_some_and(|before| before > revision) {
                 steps += 1;
             }
--- a/crates/bench/src/spread/cost.rs
+++ b/crates/bench/src/spread/cost.rs
@@ -10,7 +10,7 @@
 
 /// Counters of a fleet at one time.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Mark {
+pub(super) struct CounterSnapshot {
     at: Instant,
     stats: ControlStats,
     cpu: Duration,
@@ -19,7 +19,7 @@
 
 /// Costs between two marks.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Spent {
+pub(super) struct Cost {
     /// Length of the period, in seconds.
     pub(super) seconds: f64,
     /// Control bytes of all nodes, read and written.
@@ -32,21 +32,21 @@
     pub(super) source_reads: u64,
 }
 
-impl Mark {
-    pub(super) fn now(fleet: &ControlFleet) -> miette::Result<Mark> {
-        Ok(Mark {
+impl CounterSnapshot {
+    pub(super) fn now(fleet: &ControlFleet) -> miette::Result<CounterSnapshot> {
+        Ok(CounterSnapshot {
             at: Instant::now(),
             stats: fleet.control_stats(),
-            cpu: fleet.cpu()?,
+            cpu: fleet.cpu_time()?,
             source_reads: fleet.platform().stats().reads,
         })
     }
 
     /// Costs from this mark to a later one.
-    pub(super) fn to(&self, later: &Mark) -> Spent {
+    pub(super) fn cost_until(&self, later: &CounterSnapshot) -> Cost {
         let bytes = |stats: &ControlStats| stats.bytes_in + stats.bytes_out;
         let cpu = later.cpu.saturating_sub(self.cpu);
-        Spent {
+        Cost {
             seconds: later.at.duration_since(self.at).as_secs_f64(),
             bytes: (bytes(&later.stats) - bytes(&self.stats)) as f64,
             messages: (later.stats.messages - self.stats.messages) as f64,
@@ -56,16 +56,16 @@
     }
 }
 
-impl Spent {
+impl Cost {
     /// The part of `figure` beyond that of an idle fleet over the same time.
-    pub(super) fn beyond(&self, idle: &Spent, figure: impl Fn(&Spent) -> f64) -> f64 {
+    pub(super) fn beyond_idle(&self, idle: &Cost, figure: impl Fn(&Cost) -> f64) -> f64 {
         let idle_part = figure(idle) / idle.seconds * self.seconds;
         (figure(self) - idle_part).max(0.0)
     }
 }
 
-impl AddAssign for Spent {
-    fn add_assign(&mut self, rhs: Spent) {
+impl AddAssign for Cost {
+    fn add_assign(&mut self, rhs: Cost) {
         self.seconds += rhs.seconds;
         self.bytes += rhs.bytes;
         self.messages += rhs.messages;
--- a/crates/bench/src/spread/options.rs
+++ b/crates/bench/src/spread/options.rs
@@ -12,7 +12,7 @@
     /// Number of changes, published one after the other.
     pub changes: usize,
     /// Interval between two changes.
-    pub pace: Duration,
+    pub change_interval: Duration,
     /// How long the idle fleet is measured before the changes.
-    pub idle: Duration,
+    pub idle_time: Duration,
 }
--- a/crates/bench/src/spread/run.rs
+++ b/crates/bench/src/spread/run.rs
@@ -10,11 +10,11 @@
 
 use super::Options;
 use super::Report;
-use super::baseline::Mark;
-use super::baseline::Spent;
 use super::convergence::Convergence;
-use super::convergence::Published;
+use super::convergence::Publication;
 use super::convergence::steps_back;
+use super::cost::Cost;
+use super::cost::CounterSnapshot;
 use crate::control_fleet::ControlFleet;
 use crate::control_fleet::Member;
 use crate::control_fleet::Publisher;
@@ -22,20 +22,20 @@
 use crate::usage::ProcessUsage;
 
 /// Timeout for the start of the fleet.
-const START_BOUND: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Timeout for a change to be in force everywhere, so that every run ends.
-const CHANGE_BOUND: Duration = Duration::from_secs(30);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Wait after the start before the fleet counts as idle.
-const SETTLE: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// How long the cost of a change is still counted after the change is in force
 /// everywhere, to include its remaining traffic.
-const TAIL: Duration = Duration::from_millis(500);
+const TAIL_TIME: Duration = Duration::from_millis(500);
 
 /// Number of threads that check snapshots.
-const JUDGES: usize = 4;
+const CHECK_THREADS: usize = 4;
 
 /// Starts a fleet, measures it while idle and during changes, and reports the
 /// cost.
@@ -47,21 +47,21 @@
 pub fn run(opts: &Options) -> miette::Result<Report> {
     let before = ProcessUsage::of_self()?;
     let (fleet, mut publisher) = ControlFleet::start(&opts.fleet)?;
-    let first = publisher.expected()?.catalogue;
-    fleet.until_in_force(first, START_BOUND)?;
+    let first = publisher.expected_facts()?.catalogue;
+    fleet.wait_until_in_force(first, START_TIMEOUT)?;
     let watcher = Watcher::start(fleet.members().clone(), false);
-    thread::sleep(SETTLE);
+    thread::sleep(SETTLE_TIME);
     let start_reads_peak = fleet.platform().stats().reads_peak_per_s;
-    let idle = idle(&fleet, opts.idle)?;
+    let idle = measure_idle(&fleet, opts.idle_time)?;
     fleet.platform().reset_stats();
     let changes = publish_all(&fleet, &mut publisher, &watcher, opts)?;
     let peak = fleet.platform().stats().reads_peak_per_s;
     let after = ProcessUsage::of_self()?;
-    let seen = watcher.take();
-    let found = Convergence::of(&changes.published, &seen);
+    let observations = watcher.take_observations();
+    let convergence = Convergence::of(&changes.published, &observations);
     let nodes = opts.fleet.nodes as f64;
-    let per_change = |figure: &dyn Fn(&Spent) -> f64| {
-        changes.spent.beyond(&idle, figure) / nodes / opts.changes as f64
+    let per_change = |figure: &dyn Fn(&Cost) -> f64| {
+        changes.cost.beyond_idle(&idle, figure) / nodes / opts.changes as f64
     };
     let per_s = |figure: f64| figure / nodes / idle.seconds;
     Ok(Report {
@@ -71,41 +71,41 @@
         changes: opts.changes,
         seed: opts.fleet.shape.seed,
         naive: opts.fleet.naive,
-        convergence_ms: found.nodes.summary(),
-        everywhere_ms: found.everywhere.summary(),
-        control_bytes_per_node_per_change: per_change(&|spent| spent.bytes),
-        messages_per_node_per_change: per_change(&|spent| spent.messages),
+        convergence_ms: convergence.by_node.summary(),
+        everywhere_ms: convergence.by_change.summary(),
+        control_bytes_per_node_per_change: per_change(&|cost| cost.bytes),
+        messages_per_node_per_change: per_change(&|cost| cost.messages),
         idle_control_bytes_per_node_per_s: per_s(idle.bytes),
         idle_messages_per_node_per_s: per_s(idle.messages),
-        source_reads: changes.spent.source_reads,
+        source_reads: changes.cost.source_reads,
         idle_source_reads_per_s: idle.source_reads as f64 / idle.seconds,
-        source_reads_per_change: per_change(&|spent| spent.source_reads as f64) * nodes,
+        source_reads_per_change: per_change(&|cost| cost.source_reads as f64) * nodes,
         source_reads_peak_per_s: peak,
         start_reads_peak_per_s: start_reads_peak,
-        steps_back: steps_back(&seen),
+        steps_back: steps_back(&observations),
         partial: changes.partial,
-        cpu_us_per_node_per_change: per_change(&|spent| spent.cpu_us),
+        cpu_us_per_node_per_change: per_change(&|cost| cost.cpu_us),
         idle_cpu_us_per_node_per_s: per_s(idle.cpu_us),
         rss_bytes_per_node: after.rss_bytes.saturating_sub(before.rss_bytes) as f64 / nodes,
     })
 }
 
-fn idle(fleet: &ControlFleet, length: Duration) -> miette::Result<Spent> {
-    let from = Mark::now(fleet)?;
+fn measure_idle(fleet: &ControlFleet, length: Duration) -> miette::Result<Cost> {
+    let from = CounterSnapshot::now(fleet)?;
     thread::sleep(length);
-    Ok(from.to(&Mark::now(fleet)?))
+    Ok(from.cost_until(&CounterSnapshot::now(fleet)?))
 }
 
 /// Results over all changes.
 #[derive(Debug, Default)]
 struct Changes {
-    published: Vec<Published>,
-    spent: Spent,
+    published: Vec<Publication>,
+    cost: Cost,
     partial: usize,
 }
 
 /// Publishes one change after the other. The cost of a change is measured from
-/// its publication until it is in force everywhere, and for [`TAIL`] after.
+/// its publication until it is in force everywhere, and for [`TAIL_TIME`] after.
 /// Then every snapshot is checked, and the rest of the interval is waited for.
 fn publish_all(
     fleet: &ControlFleet,
@@ -115,39 +115,39 @@
 ) -> miette::Result<Changes> {
     let mut changes = Changes::default();
     for _ in 0..opts.changes {
-        let due = Instant::now() + opts.pace;
-        let from = Mark::now(fleet)?;
+        let due = Instant::now() + opts.change_interval;
+        let from = CounterSnapshot::now(fleet)?;
         let at = watcher.now();
-        let version = publisher.change(fleet.platform())?;
+        let version = publisher.publish_change(fleet.platform())?;
         let revision = version.revision();
-        changes.published.push(Published { at, revision });
-        fleet.until_in_force(version, CHANGE_BOUND)?;
-        thread::sleep(TAIL);
-        changes.spent += from.to(&Mark::now(fleet)?);
-        changes.partial += partial(fleet, &publisher.expected()?)?;
+        changes.published.push(Publication { at, revision });
+        fleet.wait_until_in_force(version, CHANGE_TIMEOUT)?;
+        thread::sleep(TAIL_TIME);
+        changes.cost += from.cost_until(&CounterSnapshot::now(fleet)?);
+        changes.partial += count_partial(fleet, &publisher.expected_facts()?)?;
         thread::sleep(due.saturating_duration_since(Instant::now()));
     }
     Ok(changes)
 }
 
 /// Number of members whose snapshot differs from `expected`.
-fn partial(fleet: &ControlFleet, expected: &SnapshotFacts) -> miette::Result<usize> {
+fn count_partial(fleet: &ControlFleet, expected: &SnapshotFacts) -> miette::Result<usize> {
     let members = fleet.members();
-    let share = members.len().div_ceil(JUDGES).max(1);
+    let share = members.len().div_ceil(CHECK_THREADS).max(1);
     thread::scope(|scope| {
-        let judge = |members| scope.spawn(move || partial_among(members, expected));
-        let judges: Vec<_> = members.chunks(share).map(judge).collect();
-        let judged = judges.into_iter().map(|judge| judge.join());
-        let counts = judged.map(|judged| {
-            judged.unwrap_or_else(|_| Err(miette!("a thread that checks snapshots panicked")))
+        let check = |members| scope.spawn(move || count_partial_among(members, expected));
+        let threads: Vec<_> = members.chunks(share).map(check).collect();
+        let results = threads.into_iter().map(|thread| thread.join());
+        let counts = results.map(|result| {
+            result.unwrap_or_else(|_| Err(miette!("a thread that checks snapshots panicked")))
         });
         counts.sum()
     })
 }
 
-fn partial_among(members: &[Member], expected: &SnapshotFacts) -> miette::Result<usize> {
+fn count_partial_among(members: &[Member], expected: &SnapshotFacts) -> miette::Result<usize> {
     let mut partial = 0;
-    for snapshot in members.iter().filter_map(Member::in_force) {
+    for snapshot in members.iter().filter_map(Member::snapshot_in_force) {
         if SnapshotFacts::of(&snapshot).into_diagnostic()? != *expected {
             partial += 1;
         }
--- a/crates/bench/src/summary/samples.rs
+++ b/crates/bench/src/summary/samples.rs
@@ -7,7 +7,7 @@
 use super::SummaryMs;
 
 /// Significant digits of a percentile.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// The longest duration that is distinguished, in microseconds: one hour.
 const MAX_US: u64 = 3_600_000_000;
@@ -27,7 +27,7 @@
     ///
     /// Never: the bounds are valid for the histogram.
     pub fn new() -> Samples {
-        let histogram = Histogram::new_with_max(MAX_US, DIGITS);
+        let histogram = Histogram::new_with_max(MAX_US, SIGNIFICANT_DIGITS);
         Samples(histogram.expect("the constant bounds are valid"))
     }
 
@@ -61,9 +61,9 @@
     /// Percentiles in milliseconds; all zero if there are no samples.
     pub fn summary(&self) -> SummaryMs {
         SummaryMs {
-            p50: ms(self.0.value_at_quantile(0.50)),
-            p99: ms(self.0.value_at_quantile(0.99)),
-            max: ms(self.0.max()),
+            p50: us_to_ms(self.0.value_at_quantile(0.50)),
+            p99: us_to_ms(self.0.value_at_quantile(0.99)),
+            max: us_to_ms(self.0.max()),
         }
     }
 }
@@ -84,6 +84,6 @@
     }
 }
 
-fn ms(us: u64) -> f64 {
+fn us_to_ms(us: u64) -> f64 {
     us as f64 / US_PER_MS
 }
--- a/crates/bench/src/summary/tests.rs
+++ b/crates/bench/src/summary/tests.rs
@@ -12,6 +12,6 @@
 }
 
 #[test]
-fn an_empty_set_has_a_summary() {
+fn an_empty_histogram_has_a_summary() {
     assert_eq!(Samples::new().summary(), Default::default());
 }
--- a/crates/bench/src/usage/process.rs
+++ b/crates/bench/src/usage/process.rs
@@ -10,7 +10,7 @@
 use super::stat::Stat;
 
 /// Bytes of the unit in which `/proc` reports memory.
-const KIB: u64 = 1024;
+const BYTES_PER_KIB: u64 = 1024;
 
 /// Processor time and resident memory of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     pub rss_bytes: u64,
     /// Anonymous resident memory in bytes, which is not backed by a file and
     /// therefore not shared with other processes of the same program.
-    pub own_bytes: u64,
+    pub anonymous_bytes: u64,
 }
 
 impl ProcessUsage {
@@ -47,13 +47,13 @@
         let status = fs::read_to_string(dir.join("status")).into_diagnostic()?;
         Ok(ProcessUsage {
             cpu: Stat::read(&dir.join("stat"))?.cpu,
-            rss_bytes: kib(&status, "VmRSS:")? * KIB,
-            own_bytes: kib(&status, "RssAnon:")? * KIB,
+            rss_bytes: kib_field(&status, "VmRSS:")? * BYTES_PER_KIB,
+            anonymous_bytes: kib_field(&status, "RssAnon:")? * BYTES_PER_KIB,
         })
     }
 }
 
-fn kib(status: &str, field: &str) -> miette::Result<u64> {
+fn kib_field(status: &str, field: &str) -> miette::Result<u64> {
     let line = status.lines().find_map(|line| line.strip_prefix(field));
     let number = line.and_then(|rest| rest.split_whitespace().next());
     let parsed = number.and_then(|number| number.parse().ok());
--- a/crates/bench/src/usage/stat.rs
+++ b/crates/bench/src/usage/stat.rs
@@ -9,10 +9,10 @@
 
 /// Length of a clock tick, the unit of processor time in `stat`: a hundredth of
 /// a second on every Linux.
-const ACCOUNTING_TICK: Duration = Duration::from_millis(10);
+const CLOCK_TICK: Duration = Duration::from_millis(10);
 
 /// Index of the user time among the fields after the name.
-const USER_TICKS: usize = 11;
+const USER_TIME_INDEX: usize = 11;
 
 /// The fields of a `stat` file that are used.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,12 +39,15 @@
         // counted from the last closing bracket.
         let open = line.find('(')?;
         let close = line.rfind(')')?;
-        let mut fields = line.get(close + 1..)?.split_whitespace().skip(USER_TICKS);
+        let mut fields = line
+            .get(close + 1..)?
+            .split_whitespace()
+            .skip(USER_TIME_INDEX);
         let user: u32 = fields.next()?.parse().ok()?;
         let system: u32 = fields.next()?.parse().ok()?;
         Some(Stat {
             name: line.get(open + 1..close)?.to_owned(),
-            cpu: ACCOUNTING_TICK * (user + system),
+            cpu: CLOCK_TICK * (user + system),
         })
     }
 }
--- a/crates/bench/src/usage/tests.rs
+++ b/crates/bench/src/usage/tests.rs
@@ -15,6 +15,9 @@
 #[test]
 fn this_process_uses_memory_and_has_threads() {
     let usage = ProcessUsage::of_self().unwrap();
-    assert!(usage.own_bytes > 0 && usage.own_bytes <= usage.rss_bytes);
-    assert_eq!(ThreadUsage::now().unwrap().of("no such"), Duration::ZERO);
+    assert!(usage.anonymous_bytes > 0 && usage.anonymous_bytes <= usage.rss_bytes);
+    assert_eq!(
+        ThreadUsage::now().unwrap().cpu_of("no such"),
+        Duration::ZERO
+    );
 }
--- a/crates/bench/src/usage/threads.rs
+++ b/crates/bench/src/usage/threads.rs
@@ -35,7 +35,7 @@
     }
 
     /// Processor time of the threads whose name begins with `prefix`.
-    pub fn of(&self, prefix: &str) -> Duration {
+    pub fn cpu_of(&self, prefix: &str) -> Duration {
         let named = self.0.iter().filter(|(name, _)| name.starts_with(prefix));
         named.map(|(_, cpu)| *cpu).sum()
     }
