--- a/crates/bench/src/chaos/events.rs
+++ b/crates/bench/src/chaos/events.rs
@@ -1,4 +1,5 @@
-//! From records and ledgers to the events that the history checker judges.
+//! Conversion of caller records and target ledgers to events of the history
+//! checker.
 
 use std::collections::HashMap;
 
@@ -15,48 +16,49 @@
 use crate::load::Ending;
 use crate::load::LedgerRun;
 
-/// How shortly before the end of a planned stop a run must have ended for its
-/// end to be laid at the stop's door, in microseconds.
-const STOP_CUTS_US: u64 = 50_000;
+/// A run that was cut this shortly before the end of a planned stop, in
+/// microseconds, is attributed to the stop.
+const MAX_CUT_BEFORE_STOP_US: u64 = 50_000;
 
-/// Numbers for the ids that records and ledgers share.
+/// Maps the ids that records and ledgers share to numbers.
 #[derive(Debug, Default)]
-struct Numbers<'a> {
+struct IdNumbers<'a> {
     by_text: HashMap<&'a str, u64>,
 }
 
-impl<'a> Numbers<'a> {
-    fn of(&mut self, text: &'a str) -> u64 {
+impl<'a> IdNumbers<'a> {
+    fn number_of(&mut self, text: &'a str) -> u64 {
         let next = u64::try_from(self.by_text.len()).unwrap_or(u64::MAX);
         *self.by_text.entry(text).or_insert(next)
     }
 }
 
-/// When a planned stop ended.
+/// End of a planned stop of a node.
 #[derive(Debug, Clone)]
 pub struct Stopped {
-    /// Which instance.
+    /// The index of the instance.
     pub instance: usize,
-    /// When its node was gone, in microseconds since the Unix epoch.
+    /// When the node's process had ended, in microseconds since the Unix epoch.
     pub at_us: u64,
 }
 
-/// Adds what callers and targets saw to what the run recorded. An excused
-/// silence counts as told: the caller saw the connection end.
+/// Builds the history of a run from its log, the callers' records and the
+/// targets' ledgers. A missing answer that an outage explains counts as an
+/// unknown outcome: the caller saw the connection end.
 pub fn history(
     log: &Log,
     records: &[CallRecord],
     runs: &[LedgerRun],
     names: &[InstanceId],
     stops: &[Stopped],
-    is_excused: impl Fn(&CallRecord) -> bool,
+    is_explained: impl Fn(&CallRecord) -> bool,
 ) -> History {
     let (mut history, _) = log.copy();
-    let mut ids = Numbers::default();
-    let mut calls = Numbers::default();
+    let mut ids = IdNumbers::default();
+    let mut calls = IdNumbers::default();
     for record in records {
-        let request = RequestId(ids.of(&record.id));
-        let operation = OperationId(calls.of(record.key.as_deref().unwrap_or(&record.id)));
+        let request = RequestId(ids.number_of(&record.id));
+        let operation = OperationId(calls.number_of(record.key.as_deref().unwrap_or(&record.id)));
         let repeatable = record.idempotent;
         let sent = Event::Sent {
             request,
@@ -64,12 +66,12 @@
             repeatable,
         };
         history.record(Tick::from_micros(record.sent_us), sent);
-        if let Some(end) = end_of(record, request, is_excused(record)) {
+        if let Some(end) = ending_event(record, request, is_explained(record)) {
             history.record(Tick::from_micros(record.ended_us), end);
         }
     }
     for run in runs.iter().filter(|run| run.run.began()) {
-        let request = RequestId(ids.of(&run.run.id));
+        let request = RequestId(ids.number_of(&run.run.id));
         let target = names[run.instance].clone();
         let started = Event::RunStarted {
             request,
@@ -78,7 +80,7 @@
         history.record(Tick::from_micros(run.run.started_us), started);
         if let Some(ended_us) = run.run.ended_us {
             let at = match is_cut_by_stop(run, ended_us, stops) {
-                true => ended_us + STOP_CUTS_US,
+                true => ended_us + MAX_CUT_BEFORE_STOP_US,
                 false => ended_us,
             };
             history.record(
@@ -90,7 +92,7 @@
     history
 }
 
-fn end_of(record: &CallRecord, request: RequestId, is_excused: bool) -> Option<Event> {
+fn ending_event(record: &CallRecord, request: RequestId, is_explained: bool) -> Option<Event> {
     let answered = |whole| Event::Answered {
         request,
         answers: request,
@@ -101,7 +103,7 @@
         Ending::Wrong => Some(answered(false)),
         Ending::NotRun | Ending::NotSent => Some(Event::RefusedNotRun { request }),
         Ending::Unknown | Ending::Failed => Some(Event::Unknown { request }),
-        Ending::Broken | Ending::Silence if is_excused => Some(Event::Unknown { request }),
+        Ending::Broken | Ending::Silence if is_explained => Some(Event::Unknown { request }),
         Ending::Broken | Ending::Silence => None,
     }
 }
@@ -112,6 +114,6 @@
         && stops.iter().any(|stop| {
             stop.instance == run.instance
                 && ended_us <= stop.at_us
-                && stop.at_us - ended_us < STOP_CUTS_US
+                && stop.at_us - ended_us < MAX_CUT_BEFORE_STOP_US
         })
 }
--- a/crates/bench/src/chaos/observer.rs
+++ b/crates/bench/src/chaos/observer.rs
@@ -1,4 +1,4 @@
-//! Watching what each node has in force.
+//! Observation of the snapshot in force on each node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,11 +19,11 @@
 use super::log::Log;
 use crate::load::admin;
 
-/// How often each node is asked.
-const POLL: Duration = Duration::from_millis(50);
+/// Interval between two reads of a node's snapshot.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Records each change of what `node` has in force until `cancel`; `admin` is
-/// where it answers operators.
+/// Records each change of the snapshot in force on `node` until `cancel`;
+/// `admin` is the node's admin address.
 pub async fn observe(
     admin: SocketAddr,
     node: InstanceId,
@@ -41,11 +41,12 @@
             });
             last = Some(held);
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// What the node has in force; `None` if it has nothing or doesn't answer.
+/// Facts of the snapshot in force on the node with this admin address; `None`
+/// if there is none or the node doesn't answer.
 pub async fn held_by(node: SocketAddr) -> Option<SnapshotFacts> {
     let value = admin::get(node, SNAPSHOT_PATH).await?;
     let info: SnapshotInfo = serde_json::from_value(value).ok()?;
@@ -62,8 +63,8 @@
     Some(Version::new(revision, Digest::parse(&info.digest).ok()?))
 }
 
-/// The digest of what the versions decide. The phases that endpoints say of
-/// themselves come another way and are left out.
+/// Digest of the content that the versions determine. The phases of endpoints
+/// are left out: they are announced by the endpoints, apart from the versions.
 fn content(info: &SnapshotInfo) -> Option<Digest> {
     let mut info = info.clone();
     for service in &mut info.services {
@@ -76,10 +77,10 @@
 }
 
 fn dangling(info: &SnapshotInfo) -> Vec<Dangling> {
-    let is_held = |name| info.services.iter().any(|service| service.name == name);
+    let exists = |name| info.services.iter().any(|service| service.name == name);
     let routes = info.routes.iter();
-    let loose = routes.filter(|route| !is_held(route.service.clone()));
-    loose
+    let dangling = routes.filter(|route| !exists(route.service.clone()));
+    dangling
         .map(|route| Dangling::Route {
             path: route.path.clone(),
             service: route.service.clone(),
--- a/crates/bench/src/control_fleet/seen.rs
+++ b/crates/bench/src/control_fleet/observation.rs
@@ -1,4 +1,4 @@
-//! What the watcher saw.
+//! Observations of the watcher.
 
 use std::sync::Arc;
 
@@ -8,33 +8,38 @@
 use sassafrasspool_core::Version;
 use sassafrasspool_core::history::SnapshotFacts;
 
-/// A snapshot that a member was seen to have put in force.
+/// The observation that a member put a snapshot in force.
 #[derive(Debug, Clone)]
-pub struct Seen {
-    /// When it was seen.
+pub struct Observation {
+    /// When it was observed.
     pub at: Tick,
-    /// The member's number.
+    /// The member's index.
     pub member: usize,
     /// The catalogue's version.
     pub catalogue: Version,
     /// The instance list's version.
     pub instances: Version,
-    /// The facts of the snapshot, if the watcher was told to take them.
-    pub held: Option<Arc<SnapshotFacts>>,
+    /// The facts of the snapshot, if the watcher records them.
+    pub facts: Option<Arc<SnapshotFacts>>,
 }
 
-impl Seen {
-    pub(super) fn of(at: Tick, member: usize, snapshot: &Snapshot, facts: bool) -> Seen {
-        let held = match facts {
+impl Observation {
+    pub(super) fn new(
+        at: Tick,
+        member: usize,
+        snapshot: &Snapshot,
+        with_facts: bool,
+    ) -> Observation {
+        let facts = match with_facts {
             true => SnapshotFacts::of(snapshot).ok().map(Arc::new),
             false => None,
         };
-        Seen {
+        Observation {
             at,
             member,
             catalogue: snapshot.catalogue(),
             instances: snapshot.instances(),
-            held,
+            facts,
         }
     }
 
--- a/crates/bench/src/control_fleet/watcher.rs
+++ b/crates/bench/src/control_fleet/watcher.rs
@@ -1,4 +1,4 @@
-//! Watching when each member puts a snapshot in force.
+//! Observation of when each member puts a snapshot in force.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -15,13 +15,13 @@
 use sassafrasspool_core::Tick;
 
 use super::Member;
-use super::Seen;
+use super::Observation;
 
-/// How often all members are looked at. It bounds the error of a convergence
-/// time, and is far below the times that are measured.
-const LOOK: Duration = Duration::from_millis(1);
+/// Polling interval of all members. It bounds the error of a convergence time
+/// and is far below the measured times.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A thread that looks at all members, on the run's clock.
+/// A thread that polls all members, with a clock that starts with it.
 #[derive(Debug)]
 pub struct Watcher {
     shared: Arc<Shared>,
@@ -32,40 +32,41 @@
 struct Shared {
     origin: Instant,
     members: Arc<Vec<Member>>,
-    facts: bool,
-    seen: Mutex<Vec<Seen>>,
+    with_facts: bool,
+    observations: Mutex<Vec<Observation>>,
     stop: AtomicBool,
 }
 
 impl Watcher {
-    /// Begins to watch; with `facts`, every snapshot is followed through.
-    pub fn start(members: Arc<Vec<Member>>, facts: bool) -> Watcher {
+    /// Starts the thread. If `with_facts` is set, the facts of every snapshot are
+    /// recorded.
+    pub fn start(members: Arc<Vec<Member>>, with_facts: bool) -> Watcher {
         let shared = Arc::new(Shared {
             origin: Instant::now(),
             members,
-            facts,
-            seen: Mutex::default(),
+            with_facts,
+            observations: Mutex::default(),
             stop: AtomicBool::new(false),
         });
-        let looks = Arc::clone(&shared);
+        let polling = Arc::clone(&shared);
         Watcher {
             shared,
-            thread: Some(thread::spawn(move || looks.run())),
+            thread: Some(thread::spawn(move || polling.run())),
         }
     }
 
-    /// The present tick of the run's clock.
+    /// The current tick of the watcher's clock.
     pub fn now(&self) -> Tick {
         self.shared.now()
     }
 
-    /// All that was seen so far, in the order of seeing.
-    pub fn seen(&self) -> Vec<Seen> {
+    /// All observations so far, in their order.
+    pub fn observations(&self) -> Vec<Observation> {
         self.shared.lock().clone()
     }
 
-    /// Takes what was seen so far.
-    pub fn take(&self) -> Vec<Seen> {
+    /// Removes and returns all observations so far.
+    pub fn take_observations(&self) -> Vec<Observation> {
         std::mem::take(&mut *self.shared.lock())
     }
 }
@@ -85,34 +86,37 @@
         Tick::ZERO + self.origin.elapsed()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Seen>> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Vec<Observation>> {
+        self.observations
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn run(&self) {
         let mut last: Vec<Option<Arc<Snapshot>>> = vec![None; self.members.len()];
         while !self.stop.load(Ordering::Relaxed) {
             for (i, last) in last.iter_mut().enumerate() {
-                self.look(i, last);
+                self.poll(i, last);
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    fn look(&self, i: usize, last: &mut Option<Arc<Snapshot>>) {
-        let Some(snapshot) = self.members[i].in_force() else {
+    fn poll(&self, i: usize, last: &mut Option<Arc<Snapshot>>) {
+        let Some(snapshot) = self.members[i].snapshot_in_force() else {
             *last = None;
             return;
         };
-        // The last snapshot is kept, so that its address can't be reused.
+        // `last` keeps the snapshot alive, so that a new one can't get its
+        // address and be mistaken for it.
         if last
             .as_ref()
             .is_some_and(|last| Arc::ptr_eq(last, &snapshot))
         {
             return;
         }
-        let seen = Seen::of(self.now(), i, &snapshot, self.facts);
-        self.lock().push(seen);
+        let observation = Observation::new(self.now(), i, &snapshot, self.with_facts);
+        self.lock().push(observation);
         *last = Some(snapshot);
     }
 }
--- a/crates/bench/src/core_cost/driven.rs
+++ b/crates/bench/src/core_cost/simulated_node.rs
@@ -1,4 +1,4 @@
-//! One machine, driven by hand.
+//! A state machine that is driven without I/O.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,30 +24,30 @@
 
 use super::source::Source;
 
-/// Steps of time that joining may take.
+/// Maximum number of time steps until the machine has joined.
 const MAX_STEPS: usize = 20_000;
 
-/// Length of a step while joining.
+/// Length of a time step while joining.
 const STEP: Duration = Duration::from_millis(5);
 
-/// A machine with what it asked for.
+/// A state machine with its pending calls and reads.
 #[derive(Debug)]
-pub(super) struct Driven {
+pub(super) struct SimulatedNode {
     pub(super) id: InstanceId,
     machine: SpreadMachine,
     joined: bool,
-    /// What it put in force last.
+    /// The snapshot in force.
     pub(super) snapshot: Option<Arc<Snapshot>>,
-    /// Calls that nobody has answered yet.
-    pub(super) calls: Vec<Call>,
-    /// Streams whose reads the platform holds.
-    pub(super) watches: Vec<Stream>,
-    /// Time that the machine has used since this was last taken.
-    used: Duration,
+    /// Calls without an answer yet.
+    pub(super) pending_calls: Vec<Call>,
+    /// Streams with a pending read of the platform.
+    pub(super) pending_reads: Vec<Stream>,
+    /// Time spent in the machine since the last [`SimulatedNode::take_elapsed`].
+    elapsed: Duration,
 }
 
-impl Driven {
-    pub(super) fn new(local: &Instance, seed: u64) -> Driven {
+impl SimulatedNode {
+    pub(super) fn new(local: &Instance, seed: u64) -> SimulatedNode {
         let node = LocalNode {
             id: local.id.clone(),
             domain: local.domain.clone(),
@@ -55,26 +55,27 @@
             incarnation: Incarnation::from_start_millis(1),
             seeds: Vec::new(),
         };
-        Driven {
+        SimulatedNode {
             id: local.id.clone(),
             machine: SpreadMachine::new(SpreadConfig::default(), node, seed, Tick::ZERO),
             joined: false,
             snapshot: None,
-            calls: Vec::new(),
-            watches: Vec::new(),
-            used: Duration::ZERO,
+            pending_calls: Vec::new(),
+            pending_reads: Vec::new(),
+            elapsed: Duration::ZERO,
         }
     }
 
-    /// Lets the machine join, alone with the platform: its peers fail.
+    /// Runs the machine until it has joined. Its reads are answered; its calls
+    /// to peers fail.
     pub(super) fn join(&mut self, now: &mut Tick, source: &Source) -> miette::Result<()> {
         for _ in 0..MAX_STEPS {
             *now = *now + STEP;
-            self.wake(*now);
-            for call in std::mem::take(&mut self.calls) {
+            self.wake_if_due(*now);
+            for call in std::mem::take(&mut self.pending_calls) {
                 self.handle(*now, Event::CallFailed { call: call.id });
             }
-            for stream in std::mem::take(&mut self.watches) {
+            for stream in std::mem::take(&mut self.pending_reads) {
                 let result = source.read(stream)?;
                 self.handle(*now, Event::SourceRead { stream, result });
             }
@@ -85,8 +86,8 @@
         Err(miette!("the machine didn't join"))
     }
 
-    /// Tells the time, if that is due.
-    pub(super) fn wake(&mut self, now: Tick) {
+    /// Wakes the machine up, if that is due.
+    pub(super) fn wake_if_due(&mut self, now: Tick) {
         if self.machine.next_wakeup() <= now {
             self.handle(now, Event::Wakeup);
         }
@@ -94,10 +95,10 @@
 
     pub(super) fn handle(&mut self, now: Tick, event: Event) {
         let mut actions = Vec::new();
-        let from = Instant::now();
+        let started = Instant::now();
         self.machine.handle(now, event, &mut actions);
-        self.used += from.elapsed();
-        self.note(actions);
+        self.elapsed += started.elapsed();
+        self.record_actions(actions);
     }
 
     pub(super) fn answer(
@@ -107,16 +108,16 @@
         message: PeerMessage,
     ) -> PeerReply {
         let mut actions = Vec::new();
-        let since = Instant::now();
+        let started = Instant::now();
         let reply = self.machine.answer(now, from, message, &mut actions);
-        self.used += since.elapsed();
-        self.note(actions);
+        self.elapsed += started.elapsed();
+        self.record_actions(actions);
         reply
     }
 
-    /// Ends the watches: the platform has nothing newer.
-    pub(super) fn end_watches(&mut self, now: Tick) {
-        for stream in std::mem::take(&mut self.watches) {
+    /// Answers the pending reads: the platform has no newer version.
+    pub(super) fn answer_pending_reads(&mut self, now: Tick) {
+        for stream in std::mem::take(&mut self.pending_reads) {
             let result = SourceResult::Unchanged { newest: None };
             self.handle(now, Event::SourceRead { stream, result });
         }
@@ -128,33 +129,33 @@
         Some([snapshot.catalogue(), snapshot.instances()])
     }
 
-    /// Whether it reads the platform.
-    pub(super) fn reads(&self, now: Tick) -> bool {
+    /// Whether the machine reads the platform.
+    pub(super) fn is_reader(&self, now: Tick) -> bool {
         self.machine.status(now).reading
     }
 
-    /// The time used since the last call of this.
-    pub(super) fn take_used(&mut self) -> Duration {
-        std::mem::take(&mut self.used)
+    /// The time spent in the machine since the last call of this method.
+    pub(super) fn take_elapsed(&mut self) -> Duration {
+        std::mem::take(&mut self.elapsed)
     }
 
-    /// Takes the calls of one kind; the others fail.
+    /// Removes and returns the pending calls of one kind; the others fail.
     pub(super) fn take_calls(&mut self, now: Tick, kind: &str) -> Vec<Call> {
-        let calls = std::mem::take(&mut self.calls);
-        let (wanted, rest): (Vec<Call>, Vec<Call>) = calls
+        let calls = std::mem::take(&mut self.pending_calls);
+        let (selected, rest): (Vec<Call>, Vec<Call>) = calls
             .into_iter()
             .partition(|call| call.message.kind() == kind);
         for call in rest {
             self.handle(now, Event::CallFailed { call: call.id });
         }
-        wanted
+        selected
     }
 
-    fn note(&mut self, actions: Vec<Action>) {
+    fn record_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send(call) => self.calls.push(*call),
-                Action::ReadSource { stream, .. } => self.watches.push(stream),
+                Action::Send(call) => self.pending_calls.push(*call),
+                Action::ReadSource { stream, .. } => self.pending_reads.push(stream),
                 Action::Apply(applied) => self.snapshot = Some(applied.snapshot),
                 Action::Joined => self.joined = true,
                 _ => {}
--- a/crates/bench/src/core_cost/source.rs
+++ b/crates/bench/src/core_cost/source.rs
@@ -1,4 +1,4 @@
-//! A platform as the decisions see it.
+//! A simulated platform without I/O.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 use crate::generate::GeneratedFleet;
 use crate::generate::Shape;
 
-/// What is published.
+/// The published catalogue and instance list.
 #[derive(Debug)]
 pub(super) struct Source {
     pub(super) catalogue: GeneratedCatalogue,
@@ -39,7 +39,7 @@
 
     /// Changes one entry of the catalogue.
     pub(super) fn change_catalogue(&mut self) {
-        self.catalogue.change();
+        self.catalogue.change_entry();
         self.catalogue_revision += 1;
     }
 
--- a/crates/bench/src/fault.rs
+++ b/crates/bench/src/fault.rs
@@ -1,5 +1,5 @@
-//! The verb `fault`: what the fleet's configuration does while nodes, network
-//! and source fail, judged by the history checker.
+//! The verb `fault`: the versions in force on a fleet while nodes, network and
+//! source fail, checked by the history checker.
 
 pub use self::case::Case;
 pub use self::options::Options;
@@ -8,10 +8,10 @@
 pub use self::run::run;
 
 mod case;
+mod case_fleet;
 mod disturbance;
 mod options;
 mod report;
 mod run;
 mod script;
-mod stage;
 mod timing;
--- a/crates/bench/src/fit.rs
+++ b/crates/bench/src/fit.rs
@@ -1,42 +1,42 @@
-//! Straight lines through measured points.
+//! Linear regression of measured points.
 
 use serde::Serialize;
 
 #[cfg(test)]
 mod tests;
 
-/// A measured point: what was set and what came of it.
+/// A measured point.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Point {
-    /// What was set, such as the number of nodes.
+    /// The independent variable, such as the number of nodes.
     pub x: f64,
-    /// What was measured.
+    /// The measured value.
     pub y: f64,
 }
 
-/// The line of least squares through some points.
+/// The least squares line through some points.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Fit {
-    /// What one more of `x` adds.
+    /// Increase of `y` per unit of `x`.
     pub slope: f64,
-    /// The line's value where `x` is zero.
+    /// The line's value at `x` = 0.
     pub intercept: f64,
     /// The standard error of the slope; zero for fewer than three points.
     pub slope_error: f64,
     /// The standard error of the line at the points' mean; zero for fewer than
     /// three points.
     pub level_error: f64,
-    /// The mean of the points' `x`.
+    /// Mean of the points' `x`.
     pub mean_x: f64,
-    /// The share of the variation that the line explains, 0 to 1.
+    /// Coefficient of determination, from 0 to 1.
     pub r2: f64,
-    /// The largest distance of a point from the line, in units of `y`.
+    /// Largest absolute residual, in units of `y`.
     pub worst: f64,
 }
 
-/// Sums over points, taken from their means.
+/// Means of points, and sums of squares and products about the means.
 #[derive(Debug)]
-struct Moments {
+struct CentredSums {
     mean_x: f64,
     mean_y: f64,
     xx: f64,
@@ -45,7 +45,7 @@
 }
 
 impl Fit {
-    /// Fits a line; absent if the points don't differ in `x`.
+    /// Fits a line; `None` if the points don't differ in `x`.
     ///
     /// # Example
     ///
@@ -58,21 +58,21 @@
     /// assert_eq!(fit.at(10.0), 23.0);
     /// ```
     pub fn through(points: &[Point]) -> Option<Fit> {
-        let moments = Moments::of(points);
-        if moments.xx <= 0.0 {
+        let sums = CentredSums::of(points);
+        if sums.xx <= 0.0 {
             return None;
         }
-        let slope = moments.xy / moments.xx;
-        let intercept = moments.mean_y - slope * moments.mean_x;
+        let slope = sums.xy / sums.xx;
+        let intercept = sums.mean_y - slope * sums.mean_x;
         let residual = |p: &Point| p.y - (intercept + slope * p.x);
         let squares: f64 = points.iter().map(|p| residual(p).powi(2)).sum();
         Some(Fit {
             slope,
             intercept,
-            slope_error: deviation(squares, points.len()) / moments.xx.sqrt(),
-            level_error: deviation(squares, points.len()) / (points.len() as f64).sqrt(),
-            mean_x: moments.mean_x,
-            r2: explained(squares, moments.yy),
+            slope_error: residual_deviation(squares, points.len()) / sums.xx.sqrt(),
+            level_error: residual_deviation(squares, points.len()) / (points.len() as f64).sqrt(),
+            mean_x: sums.mean_x,
+            r2: r_squared(squares, sums.yy),
             worst: points.iter().map(|p| residual(p).abs()).fold(0.0, f64::max),
         })
     }
@@ -82,22 +82,22 @@
         self.intercept + self.slope * x
     }
 
-    /// Twice the line's standard error at `x`: how far it may be off there by
-    /// the spread of the points alone.
-    pub fn spread_at(&self, x: f64) -> f64 {
+    /// Twice the line's standard error at `x`, from the scatter of the points
+    /// alone.
+    pub fn margin_at(&self, x: f64) -> f64 {
         2.0 * self.level_error.hypot(self.slope_error * (x - self.mean_x))
     }
 }
 
-impl Moments {
-    fn of(points: &[Point]) -> Moments {
+impl CentredSums {
+    fn of(points: &[Point]) -> CentredSums {
         let n = points.len().max(1) as f64;
         let mean_x = points.iter().map(|p| p.x).sum::<f64>() / n;
         let mean_y = points.iter().map(|p| p.y).sum::<f64>() / n;
         let sum = |f: &dyn Fn(f64, f64) -> f64| -> f64 {
             points.iter().map(|p| f(p.x - mean_x, p.y - mean_y)).sum()
         };
-        Moments {
+        CentredSums {
             mean_x,
             mean_y,
             xx: sum(&|dx, _| dx * dx),
@@ -107,15 +107,15 @@
     }
 }
 
-/// The standard deviation of points from their line.
-fn deviation(squares: f64, points: usize) -> f64 {
+/// Standard deviation of the residuals; zero for fewer than three points.
+fn residual_deviation(squares: f64, points: usize) -> f64 {
     if points < 3 {
         return 0.0;
     }
     (squares / (points - 2) as f64).sqrt()
 }
 
-fn explained(squares: f64, yy: f64) -> f64 {
+fn r_squared(squares: f64, yy: f64) -> f64 {
     if yy <= 0.0 {
         return 1.0;
     }
--- a/crates/bench/src/processes.rs
+++ b/crates/bench/src/processes.rs
@@ -1,9 +1,9 @@
-//! Nodes as processes of their own, for what only a whole process shows:
-//! its memory, and its processor time with everything that belongs to it.
+//! Measurements of nodes that run as processes of their own: memory and total
+//! processor time of the process.
 
 pub use self::cost::ProcessCost;
 pub use self::run::run;
 
 mod cost;
-mod fleet;
+mod node_processes;
 mod run;
