--- a/crates/core/src/spread/machine/answer.rs
+++ b/crates/core/src/spread/machine/answer.rs
@@ -122,7 +122,7 @@
     }
 }
 
-/// Whether `local_endpoint` contains a newer version than `theirs`.
+/// Whether `own` contains a newer version than `theirs`.
 fn is_ahead(own: Heads, theirs: Heads) -> bool {
     let ahead = |stream: &Stream| match (own.of(*stream), theirs.of(*stream)) {
         (Some(own), Some(theirs)) => own.revision() > theirs.revision(),
