--- a/crates/bench/src/load/client.rs
+++ b/crates/bench/src/load/client.rs
@@ -85,7 +85,7 @@
                 (_, None) => Ending::Silence,
                 (_, Some(_)) => Ending::Broken,
             };
-            exchange.detail = "timed out".to_owned();
+            exchange.detail = "patience ended".to_owned();
         }
         exchange
     }
