--- a/crates/bench/src/chaos.rs
+++ b/crates/bench/src/chaos.rs
@@ -23,7 +23,7 @@
 pub mod observer;
 mod operators;
 mod options;
-pub mod published;
+pub mod publication;
 mod report;
 mod run;
 mod script;
--- a/crates/bench/src/chaos/operators.rs
+++ b/crates/bench/src/chaos/operators.rs
@@ -13,9 +13,9 @@
 
 use super::catalogue;
 use super::log::Log;
-use super::published::catalogue_of;
-use super::published::good_catalogue;
-use super::published::good_list;
+use super::publication::catalogue_of;
+use super::publication::good_catalogue;
+use super::publication::good_list;
 
 /// Publishes versions, and records each before it becomes visible.
 #[derive(Debug)]
--- a/crates/bench/src/load/caller.rs
+++ b/crates/bench/src/load/caller.rs
@@ -16,7 +16,7 @@
 use super::plan::Call;
 use super::record::CallRecord;
 use super::request::Attempt;
-use super::way::Way;
+use super::system_under_test::Way;
 
 /// How often and when a caller retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/bench/src/load/fleet.rs
+++ b/crates/bench/src/load/fleet.rs
@@ -5,15 +5,15 @@
 //! and so that their processor time is measured apart from that of the callers
 //! and targets.
 
-pub use self::layout::DOMAINS;
-pub use self::layout::Layout;
-pub use self::layout::Place;
 pub use self::member::Member;
 pub use self::running_fleet::Fleet;
 pub use self::settings::Listen;
 pub use self::settings::node_settings;
+pub use self::spec::DOMAINS;
+pub use self::spec::Layout;
+pub use self::spec::Place;
 
-mod layout;
 mod member;
 mod running_fleet;
 mod settings;
+mod spec;
--- a/crates/bench/src/load/fleet/running_fleet.rs
+++ b/crates/bench/src/load/fleet/running_fleet.rs
@@ -21,10 +21,10 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::layout::Layout;
-use super::layout::Place;
 use super::member::Member;
 use super::settings::Listen;
+use super::spec::Layout;
+use super::spec::Place;
 use crate::load::LedgerRun;
 use crate::load::Link;
 use crate::load::Ports;
--- a/crates/bench/src/load/way.rs
+++ b/crates/bench/src/load/system_under_test.rs
@@ -4,8 +4,8 @@
 
 use super::client::Client;
 use super::client::Exchange;
-use super::entries::Entries;
-use super::naive::Naive;
+use super::entry_nodes::Entries;
+use super::naive_proxy::Naive;
 use super::request::Attempt;
 
 /// The system under test: the nodes, or the naive proxy as their baseline.
--- a/crates/soak/src/driver/operators.rs
+++ b/crates/soak/src/driver/operators.rs
@@ -3,7 +3,7 @@
 use sassafrasspool_bench::chaos;
 use sassafrasspool_bench::chaos::log::Log;
 use sassafrasspool_bench::chaos::log::now_us;
-use sassafrasspool_bench::chaos::published;
+use sassafrasspool_bench::chaos::publication;
 use sassafrasspool_core::Instance;
 use sassafrasspool_core::InstanceState;
 use sassafrasspool_core::Stream;
@@ -34,8 +34,8 @@
 
 impl Operators {
     pub(super) fn new(list: Vec<Instance>, log: &Log) -> miette::Result<Operators> {
-        log.record(published::good_catalogue(1, &catalogue::text(0, &[]))?);
-        log.record(published::good_list(1, &list)?);
+        log.record(publication::good_catalogue(1, &catalogue::text(0, &[]))?);
+        log.record(publication::good_list(1, &list)?);
         let instances = list.into_iter().map(|it| (it, Some(InstanceState::Live)));
         Ok(Operators(Mutex::new(Published {
             changes: 0,
@@ -64,7 +64,7 @@
         }
         published.catalogue_revision += 1;
         let text = chaos::catalogue::bad_text(published.changes);
-        let version = published::catalogue_of(published.catalogue_revision, &text)?.version();
+        let version = publication::catalogue_of(published.catalogue_revision, &text)?.version();
         let stream = Stream::Catalogue;
         log.record(Event::PublishedBad { stream, version });
         platform.publish("/catalogue", text).await
@@ -112,7 +112,7 @@
             })
         });
         let listed: Vec<Instance> = listed.collect();
-        log.record(published::good_list(published.list_revision, &listed)?);
+        log.record(publication::good_list(published.list_revision, &listed)?);
         let body = Fleet::list_body(&listed);
         platform.publish("/instances", body).await
     }
@@ -127,7 +127,7 @@
         evacuated.sort_unstable();
         evacuated.dedup();
         let text = catalogue::text(self.changes, &evacuated);
-        log.record(published::good_catalogue(self.catalogue_revision, &text)?);
+        log.record(publication::good_catalogue(self.catalogue_revision, &text)?);
         self.valid_catalogues.push(PublishedCatalogue {
             revision: self.catalogue_revision,
             at_us: now_us(),
