--- a/crates/bench/src/calls/pairs.rs
+++ b/crates/bench/src/calls/pairs.rs
@@ -10,7 +10,7 @@
 use crate::load::Attempt;
 use crate::load::Call;
 use crate::load::Client;
-use crate::load::Due;
+use crate::load::DueCall;
 use crate::load::Ending;
 use crate::load::Pacer;
 use crate::load::Plan;
@@ -85,7 +85,7 @@
     measured
 }
 
-async fn call_pair(run: &str, client: &Client, destination: &Destination, due: Due) -> Pair {
+async fn call_pair(run: &str, client: &Client, destination: &Destination, due: DueCall) -> Pair {
     let direct_first = due.call.draw.is_multiple_of(2);
     let direct = || {
         timed_call(
--- a/crates/bench/src/calls/run.rs
+++ b/crates/bench/src/calls/run.rs
@@ -13,9 +13,9 @@
 use super::process;
 use crate::load::CallKind;
 use crate::load::Fleet;
+use crate::load::FleetSpec;
+use crate::load::InstanceSpec;
 use crate::load::Keys;
-use crate::load::Layout;
-use crate::load::Place;
 use crate::load::Plan;
 use crate::summary::SummaryMs;
 use crate::usage::ProcessUsage;
@@ -64,9 +64,9 @@
     Plan::new(&[kind], rate, length, opts.seed)
 }
 
-fn layout(opts: Options) -> Layout {
-    let place = |n| Place::new(n, service(n), TargetSettings::default());
-    Layout {
+fn layout(opts: Options) -> FleetSpec {
+    let place = |n| InstanceSpec::new(n, service(n), TargetSettings::default());
+    FleetSpec {
         places: (0..opts.nodes).map(place).collect(),
         catalogue: catalogue(opts.nodes),
         nodes: true,
--- a/crates/bench/src/chaos/callers.rs
+++ b/crates/bench/src/chaos/callers.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use crate::load::Repeats;
+use crate::load::RetryPolicy;
 
 /// Retry policy of the callers.
-pub const REPEATS: Repeats = Repeats {
+pub const RETRY_POLICY: RetryPolicy = RetryPolicy {
     attempts: 3,
     pause: Duration::from_millis(150),
-    impatient_percent: 5,
-    impatient_after: Duration::from_millis(30),
+    overlapping_percent: 5,
+    overlap_after: Duration::from_millis(30),
 };
 
 /// Request timeout that callers send to the node.
@@ -17,4 +17,4 @@
 
 /// How long callers wait beyond [`TIMEOUT`]. A paused node may answer late,
 /// but it has to answer.
-pub const GRACE: Duration = Duration::from_millis(3_500);
+pub const TIMEOUT_GRACE: Duration = Duration::from_millis(3_500);
--- a/crates/bench/src/chaos/driver.rs
+++ b/crates/bench/src/chaos/driver.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use super::events::Stopped;
+use super::events::NodeStop;
 use super::fault::Fault;
 use super::fault::is_in_herd;
 use super::log::Log;
@@ -38,7 +38,7 @@
     /// Whether the fleet has nodes. Without nodes, faults of nodes are injected
     /// into the targets.
     pub(super) with_nodes: bool,
-    pub(super) stops: Mutex<Vec<Stopped>>,
+    pub(super) stops: Mutex<Vec<NodeStop>>,
     /// By instance: locked while a fault of the instance lasts.
     pub(super) fault_locks: Vec<tokio::sync::Mutex<()>>,
 }
@@ -122,7 +122,7 @@
         }
         let status = member.stop_node().await.into_diagnostic()?;
         let cut = u64::from(status.is_some_and(|status| !status.success()));
-        let stopped = Stopped {
+        let stopped = NodeStop {
             instance,
             at_us: now_us(),
         };
--- a/crates/bench/src/chaos/events.rs
+++ b/crates/bench/src/chaos/events.rs
@@ -35,7 +35,7 @@
 
 /// End of a planned stop of a node.
 #[derive(Debug, Clone)]
-pub struct Stopped {
+pub struct NodeStop {
     /// The index of the instance.
     pub instance: usize,
     /// When the node's process had ended, in microseconds since the Unix epoch.
@@ -50,7 +50,7 @@
     records: &[CallRecord],
     runs: &[LedgerRun],
     names: &[InstanceId],
-    stops: &[Stopped],
+    stops: &[NodeStop],
     is_explained: impl Fn(&CallRecord) -> bool,
 ) -> History {
     let (mut history, _) = log.copy();
@@ -108,7 +108,7 @@
     }
 }
 
-fn is_cut_by_stop(run: &LedgerRun, ended_us: u64, stops: &[Stopped]) -> bool {
+fn is_cut_by_stop(run: &LedgerRun, ended_us: u64, stops: &[NodeStop]) -> bool {
     let is_cut = matches!(run.run.end, RunEnd::Cancelled | RunEnd::AnswerCut);
     is_cut
         && stops.iter().any(|stop| {
--- a/crates/bench/src/chaos/run.rs
+++ b/crates/bench/src/chaos/run.rs
@@ -23,13 +23,13 @@
 
 use super::Options;
 use super::Report;
-use super::bounds::IN_FORCE;
-use super::bounds::OWNERS_SETTLE;
-use super::bounds::SETTINGS;
-use super::bounds::SETTLE;
-use super::callers::GRACE;
-use super::callers::REPEATS;
+use super::bounds::IN_FORCE_BOUND;
+use super::bounds::KEY_OWNERS_SETTLE_TIME;
+use super::bounds::NODE_SETTINGS;
+use super::bounds::SETTLE_TIME;
+use super::callers::RETRY_POLICY;
 use super::callers::TIMEOUT;
+use super::callers::TIMEOUT_GRACE;
 use super::catalogue;
 use super::catalogue::KINDS;
 use super::catalogue::SERVICES;
@@ -44,15 +44,15 @@
 use crate::load::Caller;
 use crate::load::Client;
 use crate::load::Ending;
-use crate::load::Entries;
-use crate::load::Evidence;
+use crate::load::EntryNodes;
 use crate::load::Fleet;
-use crate::load::Layout;
-use crate::load::Naive;
+use crate::load::FleetSpec;
+use crate::load::InstanceSpec;
+use crate::load::JoinedRecords;
+use crate::load::NaiveProxy;
 use crate::load::OpenLoop;
-use crate::load::Place;
 use crate::load::Plan;
-use crate::load::Way;
+use crate::load::SystemUnderTest;
 use crate::summary::Samples;
 
 /// Slots of each target.
@@ -85,7 +85,7 @@
     let layout = layout(opts);
     let fleet = Arc::new(Fleet::start(&layout).await?);
     if !opts.naive {
-        tokio::time::sleep(OWNERS_SETTLE).await;
+        tokio::time::sleep(KEY_OWNERS_SETTLE_TIME).await;
     }
     let log = Arc::new(Log::default());
     let list = fleet.members.iter().map(|m| m.instance.clone()).collect();
@@ -116,7 +116,7 @@
     let load = OpenLoop::run(plan, Arc::new(caller(opts, &fleet)));
     let (load, script_result) = tokio::join!(load, driver.run_script(&script));
     script_result?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     cancel.cancel();
     while observers.join_next().await.is_some() {}
     let report = build_report(opts, &script, &load, &driver);
@@ -124,7 +124,7 @@
     keep_logs_if_faulty(opts, report, fleet, &load.records)
 }
 
-fn layout(opts: Options) -> Layout {
+fn layout(opts: Options) -> FleetSpec {
     let kinds = SERVICE_US.iter();
     let kinds = kinds.filter_map(|&(kind, us)| Some((KindName::new(kind).ok()?, us)));
     let target = TargetSettings {
@@ -136,12 +136,12 @@
         },
         ..TargetSettings::default()
     };
-    let place = |n| Place::new(n, SERVICES[n % SERVICES.len()], target.clone());
-    Layout {
+    let place = |n| InstanceSpec::new(n, SERVICES[n % SERVICES.len()], target.clone());
+    FleetSpec {
         places: (0..opts.nodes).map(place).collect(),
         catalogue: catalogue::text(0),
         nodes: !opts.naive,
-        settings: SETTINGS,
+        settings: NODE_SETTINGS,
         links: !opts.naive,
         patience: READY_TIMEOUT,
     }
@@ -149,21 +149,21 @@
 
 fn caller(opts: Options, fleet: &Fleet) -> Caller {
     let way = match opts.naive {
-        true => Way::Naive(naive(fleet)),
-        false => Way::Nodes(Entries::new(fleet.entries())),
+        true => SystemUnderTest::Naive(naive(fleet)),
+        false => SystemUnderTest::Nodes(EntryNodes::new(fleet.entries())),
     };
     Caller {
         client: Client::default(),
         way,
         kinds: KINDS.to_vec(),
         run: format!("c{}", opts.seed),
-        repeats: REPEATS,
+        repeats: RETRY_POLICY,
         timeout: TIMEOUT,
-        grace: GRACE,
+        grace: TIMEOUT_GRACE,
     }
 }
 
-fn naive(fleet: &Fleet) -> Naive {
+fn naive(fleet: &Fleet) -> NaiveProxy {
     let mut targets: HashMap<&'static str, Vec<_>> = HashMap::new();
     for kind in &KINDS {
         let service = SERVICES[catalogue::service_of(kind)];
@@ -171,7 +171,7 @@
         let serving = members.filter(|m| m.instance.service.as_str() == service);
         targets.insert(kind.path, serving.map(|m| m.target.addr()).collect());
     }
-    Naive {
+    NaiveProxy {
         targets,
         tries: 3,
         try_timeout: TIMEOUT / 3,
@@ -181,7 +181,7 @@
 fn build_report(opts: Options, script: &Script, load: &OpenLoop, driver: &Driver) -> Report {
     let runs = driver.fleet.runs();
     let (_, outages) = driver.log.copy();
-    let evidence = Evidence::new(&load.records, &runs, &outages);
+    let evidence = JoinedRecords::new(&load.records, &runs, &outages);
     let members = driver.fleet.members.iter();
     let names: Vec<InstanceId> = members.map(|m| m.instance.id.clone()).collect();
     let stops = driver.stops.lock().unwrap_or_else(PoisonError::into_inner);
@@ -195,7 +195,7 @@
         is_explained,
     );
     let bounds = Bounds {
-        in_force: IN_FORCE,
+        in_force: IN_FORCE_BOUND,
         ..Bounds::default()
     };
     let violations = check(&history, &bounds);
--- a/crates/bench/src/demo/callers.rs
+++ b/crates/bench/src/demo/callers.rs
@@ -18,12 +18,12 @@
 use crate::load::CallKind;
 use crate::load::Caller;
 use crate::load::Client;
-use crate::load::Entries;
+use crate::load::EntryNodes;
 use crate::load::Keys;
 use crate::load::OpenLoop;
 use crate::load::Plan;
-use crate::load::Repeats;
-use crate::load::Way;
+use crate::load::RetryPolicy;
+use crate::load::SystemUnderTest;
 
 #[cfg(test)]
 mod tests;
@@ -31,11 +31,11 @@
 /// How callers retry: once more under the same key if the outcome of a request
 /// is unknown. Some send the second attempt while the first is in flight, as a
 /// user who clicks twice does.
-const REPEATS: Repeats = Repeats {
+const REPEATS: RetryPolicy = RetryPolicy {
     attempts: 2,
     pause: Duration::from_millis(100),
-    impatient_percent: 10,
-    impatient_after: Duration::from_millis(5),
+    overlapping_percent: 10,
+    overlap_after: Duration::from_millis(5),
 };
 
 /// Caller timeout, which is sent with each request.
@@ -70,7 +70,7 @@
         let plan = plan.take_while(move |_| !stop.load(Ordering::Relaxed));
         let caller = Caller {
             client: Client::default(),
-            way: Way::Nodes(Entries::new(entries)),
+            way: SystemUnderTest::Nodes(EntryNodes::new(entries)),
             kinds,
             run: "d".to_owned(),
             repeats: REPEATS,
--- a/crates/bench/src/demo/fleet.rs
+++ b/crates/bench/src/demo/fleet.rs
@@ -13,7 +13,7 @@
 use sassafrasspool_core::history::Event;
 use sassafrasspool_ctl::AdminClient;
 use sassafrasspool_standin::platform::PlatformStats;
-use sassafrasspool_standin::target::LedgerPages;
+use sassafrasspool_standin::target::LedgerEntries;
 use tempfile::TempDir;
 use tokio::time::Instant;
 use tokio::time::sleep;
@@ -29,7 +29,7 @@
 use super::role::Role;
 use super::status_poller::StatusPoller;
 use super::status_poller::Statuses;
-use crate::chaos::events::Stopped;
+use crate::chaos::events::NodeStop;
 use crate::chaos::log::Log;
 use crate::load::LedgerRun;
 use crate::load::Ports;
@@ -61,7 +61,7 @@
     /// The log of the run's events.
     pub(super) log: Arc<Log>,
     /// Completed drains.
-    pub(super) stops: Vec<Stopped>,
+    pub(super) stops: Vec<NodeStop>,
     platform: Process,
     dir: TempDir,
 }
@@ -157,7 +157,7 @@
     pub(super) async fn ledger_runs(&self) -> Result<Vec<LedgerRun>> {
         let mut runs = Vec::new();
         for (instance, member) in self.members.iter().enumerate() {
-            let pages: LedgerPages = self.client.get(member.target_admin, "/ledger").await?;
+            let pages: LedgerEntries = self.client.get(member.target_admin, "/ledger").await?;
             if pages.unrecorded > 0 {
                 let reason = format!("the ledger lacks {} runs", pages.unrecorded);
                 return Err(Error::new(Step::Check, reason).at_peer(member.id()));
--- a/crates/bench/src/demo/fleet/stop.rs
+++ b/crates/bench/src/demo/fleet/stop.rs
@@ -9,7 +9,7 @@
 use sassafrasspool_core::history::Event;
 
 use super::Fleet;
-use crate::chaos::events::Stopped;
+use crate::chaos::events::NodeStop;
 use crate::chaos::log::now_us;
 use crate::demo::member::Member;
 use crate::demo::process::Process;
@@ -112,7 +112,7 @@
     /// Records when a node had exited, so that runs that were cut can be
     /// attributed to its drain.
     fn record_stop(&mut self, id: &InstanceId) {
-        let stopped = self.position(id).map(|instance| Stopped {
+        let stopped = self.position(id).map(|instance| NodeStop {
             instance,
             at_us: now_us(),
         });
--- a/crates/bench/src/demo/results.rs
+++ b/crates/bench/src/demo/results.rs
@@ -65,7 +65,7 @@
         fleet.drain_all().await?;
         let runs = fleet.ledger_runs().await?;
         let (_, outages) = fleet.log.copy();
-        let joined = load::Evidence::new(&load.records, &runs, &outages);
+        let joined = load::JoinedRecords::new(&load.records, &runs, &outages);
         let names = fleet.members.iter().map(|member| member.id().clone());
         let names: Vec<InstanceId> = names.collect();
         let excused = |record: &CallRecord| joined.is_excused(record);
--- a/crates/bench/src/demo/scenario/script.rs
+++ b/crates/bench/src/demo/scenario/script.rs
@@ -10,7 +10,7 @@
 use sassafrasspool_wire::admin::AUDIT_PATH;
 use sassafrasspool_wire::admin::AuditPage;
 use sassafrasspool_wire::admin::AuditRecord;
-use sassafrasspool_wire::admin::Held;
+use sassafrasspool_wire::admin::StreamVersions;
 use sassafrasspool_wire::admin::VERSIONS_PATH;
 use sassafrasspool_wire::admin::VersionInfo;
 use sassafrasspool_wire::admin::Versions;
@@ -205,7 +205,7 @@
     }
 }
 
-fn held_version(held: &Held, stream: Stream) -> Option<&VersionInfo> {
+fn held_version(held: &StreamVersions, stream: Stream) -> Option<&VersionInfo> {
     match stream {
         Stream::Catalogue => held.catalogue.as_ref(),
         Stream::Instances => held.instances.as_ref(),
--- a/crates/bench/src/demo/status_poller.rs
+++ b/crates/bench/src/demo/status_poller.rs
@@ -15,9 +15,9 @@
 use sassafrasspool_core::Step;
 use sassafrasspool_core::history::Event;
 use sassafrasspool_ctl::AdminClient;
-use sassafrasspool_wire::admin::Held;
 use sassafrasspool_wire::admin::STATUS_PATH;
 use sassafrasspool_wire::admin::Status;
+use sassafrasspool_wire::admin::StreamVersions;
 use sassafrasspool_wire::admin::VersionInfo;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
@@ -131,7 +131,7 @@
     /// Records the versions that came into force. A node that isn't ready yet
     /// serves no request, so a version that it holds until then doesn't count as
     /// in force.
-    async fn record_in_force(&self, status: &Status, last: &mut Option<Held>) {
+    async fn record_in_force(&self, status: &Status, last: &mut Option<StreamVersions>) {
         if status.phase < Phase::Ready || last.as_ref() == Some(&status.held) {
             return;
         }
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -6,38 +6,38 @@
 //! from a slow one, or a false refusal from a true one.
 
 pub use self::caller::Caller;
-pub use self::caller::Repeats;
+pub use self::caller::RetryPolicy;
 pub use self::client::Client;
 pub use self::ending::Ending;
-pub use self::entry_nodes::Entries;
+pub use self::entry_nodes::EntryNodes;
 pub use self::fleet::DOMAINS;
 pub use self::fleet::Fleet;
-pub use self::fleet::Layout;
+pub use self::fleet::FleetSpec;
+pub use self::fleet::InstanceSpec;
 pub use self::fleet::Listen;
 pub use self::fleet::Member;
-pub use self::fleet::Place;
 pub use self::fleet::node_settings;
 pub use self::kind::CallKind;
 pub use self::kind::Keys;
 pub use self::link::Link;
-pub use self::naive_proxy::Naive;
+pub use self::naive_proxy::NaiveProxy;
 pub use self::node_process::NodeProcess;
 pub use self::open_loop::OpenLoop;
-pub use self::outcomes::Evidence;
+pub use self::outcomes::JoinedRecords;
 pub use self::outcomes::KindCount;
 pub use self::outcomes::LedgerRun;
 pub use self::outcomes::Outage;
 pub use self::outcomes::OutageKind;
 pub use self::outcomes::Verdict;
 pub use self::outcomes::count_outcomes;
-pub use self::pacer::Due;
+pub use self::pacer::DueCall;
 pub use self::pacer::Pacer;
 pub use self::plan::Call;
 pub use self::plan::Plan;
 pub use self::ports::Ports;
 pub use self::record::CallRecord;
 pub use self::request::Attempt;
-pub use self::system_under_test::Way;
+pub use self::system_under_test::SystemUnderTest;
 
 pub mod admin;
 mod caller;
--- a/crates/bench/src/load/caller.rs
+++ b/crates/bench/src/load/caller.rs
@@ -12,33 +12,33 @@
 use super::client::Client;
 use super::ending::Ending;
 use super::kind::CallKind;
-use super::pacer::Due;
+use super::pacer::DueCall;
 use super::plan::Call;
 use super::record::CallRecord;
 use super::request::Attempt;
-use super::system_under_test::Way;
+use super::system_under_test::SystemUnderTest;
 
 /// How often and when a caller retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Repeats {
+pub struct RetryPolicy {
     /// Attempts in all, the first one included.
     pub attempts: u32,
     /// Time between the end of an attempt and the next one.
     pub pause: Duration,
     /// Percentage of calls whose second attempt is sent without waiting for the end
     /// of the first one.
-    pub impatient_percent: u64,
+    pub overlapping_percent: u64,
     /// When the second attempt of such a call is sent, counted from the first one.
-    pub impatient_after: Duration,
+    pub overlap_after: Duration,
 }
 
-impl Repeats {
+impl RetryPolicy {
     /// No retries.
-    pub const NONE: Repeats = Repeats {
+    pub const NONE: RetryPolicy = RetryPolicy {
         attempts: 1,
         pause: Duration::ZERO,
-        impatient_percent: 0,
-        impatient_after: Duration::ZERO,
+        overlapping_percent: 0,
+        overlap_after: Duration::ZERO,
     };
 }
 
@@ -51,14 +51,14 @@
     /// The client with its connections.
     pub client: Client,
     /// The system that it sends its requests to.
-    pub way: Way,
+    pub way: SystemUnderTest,
     /// The kinds that the calls index.
     pub kinds: Vec<CallKind>,
     /// Prefix of its request ids, different from those of other runs on the same
     /// targets.
     pub run: String,
     /// How it retries.
-    pub repeats: Repeats,
+    pub repeats: RetryPolicy,
     /// Caller timeout, which is sent with each request.
     pub timeout: Duration,
     /// How long after the timeout it still waits for the node's timeout answer.
@@ -67,9 +67,9 @@
 
 impl Caller {
     /// Makes a call with its retries and gives a record of each attempt.
-    pub async fn call(&self, due: Due) -> Vec<CallRecord> {
+    pub async fn call(&self, due: DueCall) -> Vec<CallRecord> {
         let mut rng = SmallRng::seed_from_u64(due.call.draw);
-        let overlaps = rng.random_range(0..100) < self.repeats.impatient_percent;
+        let overlaps = rng.random_range(0..100) < self.repeats.overlapping_percent;
         if overlaps && self.repeats.attempts > 1 && self.may_retry(&due.call, Ending::Unknown) {
             return self.overlapping_attempts(&due, &mut rng).await;
         }
@@ -89,11 +89,11 @@
     }
 
     /// Makes two attempts, the second without waiting for the end of the first.
-    async fn overlapping_attempts(&self, due: &Due, rng: &mut SmallRng) -> Vec<CallRecord> {
+    async fn overlapping_attempts(&self, due: &DueCall, rng: &mut SmallRng) -> Vec<CallRecord> {
         let first = self.attempt(&due.call, 1, due.at, rng.random());
         let draw = rng.random();
         let second = async {
-            tokio::time::sleep(self.repeats.impatient_after).await;
+            tokio::time::sleep(self.repeats.overlap_after).await;
             self.attempt(&due.call, 2, Instant::now(), draw).await
         };
         let (first, second) = tokio::join!(first, second);
--- a/crates/bench/src/load/entry_nodes.rs
+++ b/crates/bench/src/load/entry_nodes.rs
@@ -7,14 +7,14 @@
 /// Callers aren't notified when a node stops. They detect it by a refused
 /// connection and try the next node.
 #[derive(Debug, Default)]
-pub struct Entries {
+pub struct EntryNodes {
     addrs: Vec<SocketAddr>,
 }
 
-impl Entries {
+impl EntryNodes {
     /// Makes a list of the nodes at `addrs`.
-    pub fn new(addrs: Vec<SocketAddr>) -> Entries {
-        Entries { addrs }
+    pub fn new(addrs: Vec<SocketAddr>) -> EntryNodes {
+        EntryNodes { addrs }
     }
 
     /// All nodes, starting with the one that the random number `draw` selects.
--- a/crates/bench/src/load/fleet.rs
+++ b/crates/bench/src/load/fleet.rs
@@ -10,8 +10,8 @@
 pub use self::settings::Listen;
 pub use self::settings::node_settings;
 pub use self::spec::DOMAINS;
-pub use self::spec::Layout;
-pub use self::spec::Place;
+pub use self::spec::FleetSpec;
+pub use self::spec::InstanceSpec;
 
 mod member;
 mod running_fleet;
--- a/crates/bench/src/load/fleet/running_fleet.rs
+++ b/crates/bench/src/load/fleet/running_fleet.rs
@@ -23,8 +23,8 @@
 
 use super::member::Member;
 use super::settings::Listen;
-use super::spec::Layout;
-use super::spec::Place;
+use super::spec::FleetSpec;
+use super::spec::InstanceSpec;
 use crate::load::LedgerRun;
 use crate::load::Link;
 use crate::load::Ports;
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// Fails if something can't be started or isn't ready in time.
-    pub async fn start(layout: &Layout) -> miette::Result<Fleet> {
+    pub async fn start(layout: &FleetSpec) -> miette::Result<Fleet> {
         let cancel = CancellationToken::new();
         let platform = Platform::start(PlatformSettings::default(), cancel.clone())
             .await
@@ -145,7 +145,7 @@
         Ok(())
     }
 
-    fn publish(&self, layout: &Layout) -> miette::Result<()> {
+    fn publish(&self, layout: &FleetSpec) -> miette::Result<()> {
         let list: Vec<Instance> = self.members.iter().map(|m| m.instance.clone()).collect();
         let catalogue = self.platform.publish_catalogue(&layout.catalogue);
         catalogue.into_diagnostic()?;
@@ -170,7 +170,12 @@
 }
 
 impl MemberBuilder {
-    async fn build(&mut self, n: usize, place: &Place, target: Target) -> miette::Result<Member> {
+    async fn build(
+        &mut self,
+        n: usize,
+        place: &InstanceSpec,
+        target: Target,
+    ) -> miette::Result<Member> {
         let listen = self.reserve_listen().into_diagnostic()?;
         let mut instance = instance(n, place, listen).into_diagnostic()?;
         let mut links = Vec::new();
@@ -207,7 +212,11 @@
     }
 }
 
-fn instance(n: usize, place: &Place, listen: Listen) -> sassafrasspool_core::Result<Instance> {
+fn instance(
+    n: usize,
+    place: &InstanceSpec,
+    listen: Listen,
+) -> sassafrasspool_core::Result<Instance> {
     Ok(Instance {
         id: InstanceId::new(&format!("{}-{n}", place.service))?,
         service: ServiceName::new(&place.service)?,
--- a/crates/bench/src/load/fleet/spec.rs
+++ b/crates/bench/src/load/fleet/spec.rs
@@ -6,7 +6,7 @@
 
 /// The specification of one instance, without addresses.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct InstanceSpec {
     /// The service of the instance.
     pub service: String,
     /// Its failure domain.
@@ -17,9 +17,9 @@
 
 /// The specification of a fleet.
 #[derive(Debug, Clone)]
-pub struct Layout {
+pub struct FleetSpec {
     /// The instances.
-    pub places: Vec<Place>,
+    pub places: Vec<InstanceSpec>,
     /// The catalogue that is published first.
     pub catalogue: String,
     /// Whether nodes are started. The naive proxy uses none.
@@ -35,10 +35,10 @@
 /// The failure domains over which instances are placed round-robin.
 pub const DOMAINS: [&str; 3] = ["bayanzurkh", "khan-uul", "sukhbaatar"];
 
-impl Place {
+impl InstanceSpec {
     /// The `n`th instance of a fleet, placed in a failure domain round-robin.
-    pub fn new(n: usize, service: impl Into<String>, target: TargetSettings) -> Place {
-        Place {
+    pub fn new(n: usize, service: impl Into<String>, target: TargetSettings) -> InstanceSpec {
+        InstanceSpec {
             service: service.into(),
             domain: DOMAINS[n % DOMAINS.len()],
             target,
--- a/crates/bench/src/load/naive_proxy.rs
+++ b/crates/bench/src/load/naive_proxy.rs
@@ -17,7 +17,7 @@
 /// path, has no admission control and no owner of a request key, and retries on any
 /// failure.
 #[derive(Debug)]
-pub struct Naive {
+pub struct NaiveProxy {
     /// The targets of each path.
     pub targets: HashMap<&'static str, Vec<SocketAddr>>,
     /// Attempts in all, the first one included.
@@ -26,7 +26,7 @@
     pub try_timeout: Duration,
 }
 
-impl Naive {
+impl NaiveProxy {
     /// Retries until there is an answer. After the last attempt it reports the
     /// request as not run, which may be wrong: a target may have run it.
     pub(super) async fn exchange(&self, client: &Client, attempt: &Attempt, draw: u64) -> Exchange {
--- a/crates/bench/src/load/outcomes.rs
+++ b/crates/bench/src/load/outcomes.rs
@@ -1,6 +1,6 @@
 //! Derives the outcome of the calls from callers' records and targets' ledgers.
 
-pub use self::joined_records::Evidence;
+pub use self::joined_records::JoinedRecords;
 pub use self::joined_records::count_outcomes;
 pub use self::ledger_run::LedgerRun;
 pub use self::outage::Outage;
--- a/crates/bench/src/load/outcomes/joined_records.rs
+++ b/crates/bench/src/load/outcomes/joined_records.rs
@@ -24,25 +24,25 @@
 /// ledgers. `outages` are the injected faults. They excuse missing and broken answers
 /// of the attempts that they affected, but never a false refusal or a second run.
 pub fn count_outcomes(records: &[CallRecord], runs: &[LedgerRun], outages: &[Outage]) -> Verdict {
-    Evidence::new(records, runs, outages).verdict()
+    JoinedRecords::new(records, runs, outages).verdict()
 }
 
 /// Callers' records joined with targets' ledgers.
 #[derive(Debug)]
-pub struct Evidence<'a> {
+pub struct JoinedRecords<'a> {
     records: &'a [CallRecord],
     outages: &'a [Outage],
     by_id: HashMap<&'a str, Vec<&'a LedgerRun>>,
     by_call: HashMap<&'a str, Vec<&'a LedgerRun>>,
 }
 
-impl<'a> Evidence<'a> {
+impl<'a> JoinedRecords<'a> {
     /// Joins the records with the runs that began. Other runs are left out.
     pub fn new(
         records: &'a [CallRecord],
         runs: &'a [LedgerRun],
         outages: &'a [Outage],
-    ) -> Evidence<'a> {
+    ) -> JoinedRecords<'a> {
         let mut by_id: HashMap<&str, Vec<&LedgerRun>> = HashMap::new();
         let mut by_call: HashMap<&str, Vec<&LedgerRun>> = HashMap::new();
         for run in runs.iter().filter(|run| run.run.began()) {
@@ -50,7 +50,7 @@
             by_id.entry(&run.run.id).or_default().push(run);
             by_call.entry(call).or_default().push(run);
         }
-        Evidence {
+        JoinedRecords {
             records,
             outages,
             by_id,
@@ -146,7 +146,7 @@
         self.outages.iter().filter(during).any(|outage| {
             let sent_to_node = record.entry == Some(outage.entry);
             match outage.kind {
-                OutageKind::IdleClosed => sent_to_node && crossed_close,
+                OutageKind::IdleConnectionsClosed => sent_to_node && crossed_close,
                 kind => (sent_to_node && kind.affects_node()) || ran_on(outage.instance),
             }
         })
--- a/crates/bench/src/load/outcomes/outage.rs
+++ b/crates/bench/src/load/outcomes/outage.rs
@@ -14,10 +14,10 @@
     /// The target, or a link between it and other nodes, broke off answers.
     AnswersCut,
     /// A link between callers and the node broke off connections.
-    CallersCut,
+    CallerConnectionsCut,
     /// The node closed idle connections when it drained. A request that is sent at
     /// the same moment can't get an answer.
-    IdleClosed,
+    IdleConnectionsClosed,
 }
 
 impl OutageKind {
@@ -25,7 +25,7 @@
     pub fn affects_node(self) -> bool {
         matches!(
             self,
-            OutageKind::NodeKilled | OutageKind::NodePaused | OutageKind::CallersCut
+            OutageKind::NodeKilled | OutageKind::NodePaused | OutageKind::CallerConnectionsCut
         )
     }
 }
--- a/crates/bench/src/load/pacer.rs
+++ b/crates/bench/src/load/pacer.rs
@@ -10,7 +10,7 @@
 
 /// A call that is due now.
 #[derive(Debug)]
-pub struct Due {
+pub struct DueCall {
     /// The call.
     pub call: Call,
     /// When it was released; its latency counts from then.
@@ -27,7 +27,7 @@
 /// later calls.
 #[derive(Debug)]
 pub struct Pacer {
-    rx: mpsc::UnboundedReceiver<Due>,
+    rx: mpsc::UnboundedReceiver<DueCall>,
 }
 
 impl Pacer {
@@ -39,18 +39,18 @@
     }
 
     /// Waits for the next call that is due. `None` after the last one.
-    pub async fn next(&mut self) -> Option<Due> {
+    pub async fn next(&mut self) -> Option<DueCall> {
         self.rx.recv().await
     }
 }
 
-fn release(calls: impl Iterator<Item = Call>, tx: &mpsc::UnboundedSender<Due>) {
+fn release(calls: impl Iterator<Item = Call>, tx: &mpsc::UnboundedSender<DueCall>) {
     let start = Instant::now();
     for call in calls {
         let planned = start + call.due;
         thread::sleep(planned.saturating_duration_since(Instant::now()));
         let now = Instant::now();
-        let due = Due {
+        let due = DueCall {
             call,
             at: now,
             late: now.saturating_duration_since(planned),
--- a/crates/bench/src/load/tests.rs
+++ b/crates/bench/src/load/tests.rs
@@ -17,21 +17,21 @@
 use super::CallRecord;
 use super::Caller;
 use super::Client;
-use super::Due;
+use super::DueCall;
 use super::Ending;
-use super::Entries;
+use super::EntryNodes;
 use super::Keys;
 use super::LedgerRun;
 use super::Link;
-use super::Naive;
+use super::NaiveProxy;
 use super::OpenLoop;
 use super::Outage;
 use super::OutageKind;
 use super::Plan;
 use super::Ports;
-use super::Repeats;
+use super::RetryPolicy;
+use super::SystemUnderTest;
 use super::Verdict;
-use super::Way;
 use super::count_outcomes;
 
 const KIND: CallKind = CallKind {
@@ -66,10 +66,10 @@
 fn caller(addrs: Vec<SocketAddr>) -> Arc<Caller> {
     Arc::new(Caller {
         client: Client::default(),
-        way: Way::Nodes(Entries::new(addrs)),
+        way: SystemUnderTest::Nodes(EntryNodes::new(addrs)),
         kinds: vec![KIND],
         run: "t".to_owned(),
-        repeats: Repeats::NONE,
+        repeats: RetryPolicy::NONE,
         timeout: Duration::from_secs(10),
         grace: Duration::from_secs(10),
     })
@@ -127,7 +127,7 @@
     let caller = caller(vec![link.addr()]);
     let delayed = {
         let caller = Arc::clone(&caller);
-        let due = Due {
+        let due = DueCall {
             call: first_call(),
             at: Instant::now(),
             late: Duration::ZERO,
@@ -148,13 +148,13 @@
 async fn the_naive_proxy_doubles_requests_and_refuses_falsely() {
     let target = start_target().await;
     target.late_answers(1, Duration::from_secs(60)).await;
-    let naive = Naive {
+    let naive = NaiveProxy {
         targets: HashMap::from([(KIND.path, vec![target.addr()])]),
         tries: 3,
         try_timeout: Duration::from_millis(100),
     };
     let caller = Caller {
-        way: Way::Naive(naive),
+        way: SystemUnderTest::Naive(naive),
         ..Arc::into_inner(caller(Vec::new())).unwrap()
     };
     let plan = Plan::new(&[KIND], RATE, Duration::from_millis(20), 1);
@@ -265,19 +265,19 @@
 #[case::request_that_crossed_an_idle_close_is_unknown(Case {
     records: vec![record(1, Ending::Silence)],
     runs: vec![],
-    outages: vec![outage(0, ENTRY, OutageKind::IdleClosed)],
+    outages: vec![outage(0, ENTRY, OutageKind::IdleConnectionsClosed)],
     expected: Verdict { unknown: 1, unknown_by_outage: 1, ..Verdict::default() },
 })]
 #[case::idle_close_doesnt_excuse_a_request_that_ran(Case {
     records: vec![record(1, Ending::Silence)],
     runs: vec![run(1, RunEnd::Finished)],
-    outages: vec![outage(3, ENTRY, OutageKind::IdleClosed)],
+    outages: vec![outage(3, ENTRY, OutageKind::IdleConnectionsClosed)],
     expected: Verdict { lost: 1, ..Verdict::default() },
 })]
 #[case::idle_close_doesnt_excuse_a_late_end(Case {
     records: vec![CallRecord { ended_us: 100_000, ..record(1, Ending::Silence) }],
     runs: vec![],
-    outages: vec![outage(0, ENTRY, OutageKind::IdleClosed)],
+    outages: vec![outage(0, ENTRY, OutageKind::IdleConnectionsClosed)],
     expected: Verdict { lost: 1, ..Verdict::default() },
 })]
 #[case::answer_broken_by_a_target_crash_is_unknown(Case {
--- a/crates/bench/src/overload/run.rs
+++ b/crates/bench/src/overload/run.rs
@@ -16,17 +16,17 @@
 use crate::load::CallKind;
 use crate::load::Caller;
 use crate::load::Client;
-use crate::load::Entries;
+use crate::load::EntryNodes;
 use crate::load::Fleet;
+use crate::load::FleetSpec;
+use crate::load::InstanceSpec;
 use crate::load::Keys;
-use crate::load::Layout;
 use crate::load::LedgerRun;
-use crate::load::Naive;
+use crate::load::NaiveProxy;
 use crate::load::OpenLoop;
-use crate::load::Place;
 use crate::load::Plan;
-use crate::load::Repeats;
-use crate::load::Way;
+use crate::load::RetryPolicy;
+use crate::load::SystemUnderTest;
 
 /// Slots of each target.
 const SLOTS: NonZeroU32 = NonZeroU32::new(10).unwrap();
@@ -106,7 +106,7 @@
     ))
 }
 
-fn layout(opts: Options, with_nodes: bool) -> Layout {
+fn layout(opts: Options, with_nodes: bool) -> FleetSpec {
     let target = TargetSettings {
         slots: SLOTS,
         service: ServiceTimes {
@@ -115,8 +115,8 @@
         },
         ..TargetSettings::default()
     };
-    let place = |n| Place::new(n, "desk", target.clone());
-    Layout {
+    let place = |n| InstanceSpec::new(n, "desk", target.clone());
+    FleetSpec {
         places: (0..opts.nodes).map(place).collect(),
         catalogue: catalogue(),
         nodes: with_nodes,
@@ -146,24 +146,24 @@
 
 fn caller(fleet: &Fleet, with_nodes: bool) -> Caller {
     let way = match with_nodes {
-        true => Way::Nodes(Entries::new(fleet.entries())),
-        false => Way::Naive(naive(fleet)),
+        true => SystemUnderTest::Nodes(EntryNodes::new(fleet.entries())),
+        false => SystemUnderTest::Naive(naive(fleet)),
     };
     Caller {
         client: Client::default(),
         way,
         kinds: KINDS.to_vec(),
         run: "o".to_owned(),
-        repeats: Repeats::NONE,
+        repeats: RetryPolicy::NONE,
         timeout: CALL_TIMEOUT,
         grace: TIMEOUT_GRACE,
     }
 }
 
-fn naive(fleet: &Fleet) -> Naive {
+fn naive(fleet: &Fleet) -> NaiveProxy {
     let targets: Vec<_> = fleet.members.iter().map(|m| m.target.addr()).collect();
     let of_path = KINDS.iter().map(|kind| (kind.path, targets.clone()));
-    Naive {
+    NaiveProxy {
         targets: HashMap::from_iter(of_path),
         tries: NAIVE_MAX_ATTEMPTS,
         try_timeout: CALL_TIMEOUT,
--- a/crates/ctl/src/request_trace.rs
+++ b/crates/ctl/src/request_trace.rs
@@ -11,10 +11,10 @@
 use sassafrasspool_core::Error;
 use sassafrasspool_core::Result;
 use sassafrasspool_core::Step;
-use sassafrasspool_wire::log::BESIDE;
-use sassafrasspool_wire::log::ENDED;
+use sassafrasspool_wire::log::ENDED_AT_CALLER;
+use sassafrasspool_wire::log::ENDED_AT_TARGET;
+use sassafrasspool_wire::log::FAILED_ATTEMPT;
 use sassafrasspool_wire::log::RequestLine;
-use sassafrasspool_wire::log::TRIED;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -75,7 +75,7 @@
         // instances differ.
         trace
             .at_caller
-            .sort_by_key(|line| (line.event == ENDED, line.try_number, line.unix_ms));
+            .sort_by_key(|line| (line.event == ENDED_AT_CALLER, line.try_number, line.unix_ms));
         trace.at_target.sort_by_key(|line| line.unix_ms);
         Ok(trace)
     }
@@ -113,8 +113,8 @@
             return;
         }
         match &*line.event {
-            BESIDE => self.at_target.push(line),
-            TRIED | ENDED => self.at_caller.push(line),
+            ENDED_AT_TARGET => self.at_target.push(line),
+            FAILED_ATTEMPT | ENDED_AT_CALLER => self.at_caller.push(line),
             _ => {}
         }
     }
@@ -183,7 +183,11 @@
 }
 
 fn write_line(f: &mut fmt::Formatter<'_>, line: &RequestLine<'_>) -> fmt::Result {
-    let indent = if line.event == BESIDE { "    " } else { "  " };
+    let indent = if line.event == ENDED_AT_TARGET {
+        "    "
+    } else {
+        "  "
+    };
     write!(f, "{indent}{} {}", line.node, line.event)?;
     if let (Some(number), Some(instance)) = (line.try_number, &line.instance) {
         write!(f, " try {number} at {instance}")?;
--- a/crates/ctl/src/versions.rs
+++ b/crates/ctl/src/versions.rs
@@ -5,7 +5,7 @@
 
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::Stream;
-use sassafrasspool_wire::admin::Held;
+use sassafrasspool_wire::admin::StreamVersions;
 use sassafrasspool_wire::admin::VERSIONS_PATH;
 use sassafrasspool_wire::admin::VersionInfo;
 use sassafrasspool_wire::admin::Versions;
@@ -21,7 +21,7 @@
 /// The versions that all nodes hold, and the newest of them in each stream.
 #[derive(Debug, Serialize)]
 pub(crate) struct FleetVersions {
-    newest: Held,
+    newest: StreamVersions,
     nodes: Vec<NodeVersions>,
     unreachable: Vec<Unreachable>,
 }
@@ -31,9 +31,9 @@
 struct NodeVersions {
     node: SocketAddr,
     instance: InstanceId,
-    held: Held,
+    held: StreamVersions,
     #[serde(rename = "heard")]
-    advertised: Held,
+    advertised: StreamVersions,
     refused: Option<VersionInfo>,
     refusals: u64,
     conflicts: u64,
@@ -53,7 +53,7 @@
             let held = held.filter_map(|answer| version_of(&answer.body.held, stream));
             held.max().cloned()
         };
-        let newest = Held {
+        let newest = StreamVersions {
             catalogue: newest(Stream::Catalogue),
             instances: newest(Stream::Instances),
         };
@@ -69,7 +69,7 @@
 
 impl NodeVersions {
     /// Compares the versions of one node with the newest.
-    fn compare(node: SocketAddr, versions: Versions, newest: &Held) -> NodeVersions {
+    fn compare(node: SocketAddr, versions: Versions, newest: &StreamVersions) -> NodeVersions {
         let lags =
             |stream: &Stream| version_of(&versions.held, *stream) != version_of(newest, *stream);
         NodeVersions {
@@ -86,7 +86,7 @@
 }
 
 /// Returns the version of one stream.
-pub(crate) fn version_of(held: &Held, stream: Stream) -> Option<&VersionInfo> {
+pub(crate) fn version_of(held: &StreamVersions, stream: Stream) -> Option<&VersionInfo> {
     match stream {
         Stream::Catalogue => held.catalogue.as_ref(),
         Stream::Instances => held.instances.as_ref(),
--- a/crates/ctl/tests/support/fake_nodes.rs
+++ b/crates/ctl/tests/support/fake_nodes.rs
@@ -27,12 +27,12 @@
 use sassafrasspool_wire::admin::DrainAnswer;
 use sassafrasspool_wire::admin::EndpointInfo;
 use sassafrasspool_wire::admin::Explanation;
-use sassafrasspool_wire::admin::Held;
 use sassafrasspool_wire::admin::QuarantineInfo;
 use sassafrasspool_wire::admin::QuarantinedInfo;
 use sassafrasspool_wire::admin::ReleaseAnswer;
 use sassafrasspool_wire::admin::ServiceInfo;
 use sassafrasspool_wire::admin::Status;
+use sassafrasspool_wire::admin::StreamVersions;
 use sassafrasspool_wire::admin::VersionInfo;
 use sassafrasspool_wire::admin::Versions;
 use serde::Deserialize;
@@ -114,13 +114,13 @@
         InstanceId::new(self.instance).unwrap()
     }
 
-    fn held(&self) -> Held {
+    fn held(&self) -> StreamVersions {
         let version = |revision, digest: &str| VersionInfo {
             revision,
             digest: digest.to_owned(),
         };
         let holds_any = self.revision > 0;
-        Held {
+        StreamVersions {
             catalogue: holds_any.then(|| version(self.revision, self.digest)),
             instances: holds_any.then(|| version(3, "ff")),
         }
--- a/crates/node/src/admin/answers.rs
+++ b/crates/node/src/admin/answers.rs
@@ -10,13 +10,13 @@
 use sassafrasspool_core::Tick;
 use sassafrasspool_wire::admin::EndpointInfo;
 use sassafrasspool_wire::admin::EvacuationInfo;
-use sassafrasspool_wire::admin::Held;
 use sassafrasspool_wire::admin::QuarantineInfo;
 use sassafrasspool_wire::admin::QuarantinedInfo;
 use sassafrasspool_wire::admin::RouteInfo;
 use sassafrasspool_wire::admin::ServiceInfo;
 use sassafrasspool_wire::admin::SnapshotInfo;
 use sassafrasspool_wire::admin::Status;
+use sassafrasspool_wire::admin::StreamVersions;
 use sassafrasspool_wire::admin::Versions;
 
 use super::AdminServer;
@@ -93,8 +93,8 @@
 }
 
 /// The versions that a view was built from.
-pub(super) fn held_versions(view: &View) -> Held {
-    Held {
+pub(super) fn held_versions(view: &View) -> StreamVersions {
+    StreamVersions {
         catalogue: Some(view.snapshot.catalogue().into()),
         instances: Some(view.snapshot.instances().into()),
     }
@@ -145,13 +145,13 @@
 }
 
 /// The versions that requests are routed by now.
-fn versions_in_force(admin: &AdminServer) -> Held {
+fn versions_in_force(admin: &AdminServer) -> StreamVersions {
     let view = admin.context.shared.view();
     view.map(|view| held_versions(&view)).unwrap_or_default()
 }
 
-fn advertised_versions(heads: &Heads) -> Held {
-    Held {
+fn advertised_versions(heads: &Heads) -> StreamVersions {
+    StreamVersions {
         catalogue: heads.catalogue.map(Into::into),
         instances: heads.instances.map(Into::into),
     }
--- a/crates/node/src/control/context.rs
+++ b/crates/node/src/control/context.rs
@@ -9,7 +9,7 @@
 use sassafrasspool_core::SourceResult;
 use sassafrasspool_wire::peer::PeerPool;
 use sassafrasspool_wire::platform::Source;
-use sassafrasspool_wire::platform::SourceAsk;
+use sassafrasspool_wire::platform::SourceRequest;
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
@@ -65,7 +65,7 @@
 
     /// Starts a read of the platform; the result is sent to the control task as
     /// an event.
-    pub(crate) fn start_read(&self, ask: SourceAsk) {
+    pub(crate) fn start_read(&self, ask: SourceRequest) {
         let stream = ask.stream;
         self.counts.add_read();
         let context = self.clone();
@@ -79,7 +79,7 @@
         });
     }
 
-    async fn read_platform(&self, ask: SourceAsk) -> SourceResult {
+    async fn read_platform(&self, ask: SourceRequest) -> SourceResult {
         let result = match self.fault_injector.is_platform_cut() {
             true => {
                 tokio::time::sleep(ask.wait).await;
--- a/crates/node/src/control/driver.rs
+++ b/crates/node/src/control/driver.rs
@@ -11,7 +11,7 @@
 use sassafrasspool_core::Phase;
 use sassafrasspool_core::SpreadStatus;
 use sassafrasspool_core::Tick;
-use sassafrasspool_wire::platform::SourceAsk;
+use sassafrasspool_wire::platform::SourceRequest;
 
 use super::ControlContext;
 use super::ControlEvent;
@@ -226,7 +226,7 @@
                     freshness,
                     list,
                     catalogue,
-                } => self.context.start_read(SourceAsk {
+                } => self.context.start_read(SourceRequest {
                     stream,
                     after,
                     wait,
--- a/crates/node/src/log/tests.rs
+++ b/crates/node/src/log/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sassafrasspool_core::Tick;
-use sassafrasspool_standin::Written;
+use sassafrasspool_standin::CapturedOutput;
 
 use super::LogSink;
 use super::Rank;
@@ -61,7 +61,7 @@
 
 #[test]
 fn lines_are_written_in_order_and_flushed_at_the_end() {
-    let out = Written::default();
+    let out = CapturedOutput::default();
     let sink = LogSink::start(1_000_000, out.clone()).expect("a thread");
     for n in 0..100 {
         sink.write(Rank::State, &n);
--- a/crates/node/src/traffic/head.rs
+++ b/crates/node/src/traffic/head.rs
@@ -6,7 +6,7 @@
 use http::Request;
 use http::Uri;
 use http::header;
-use sassafrasspool_wire::header::OWN_PREFIX;
+use sassafrasspool_wire::header::INTERNAL_PREFIX;
 
 /// Hop-by-hop headers, which apply to one connection only.
 const HOP_BY_HOP: [HeaderName; 7] = [
@@ -31,7 +31,7 @@
 }
 
 fn find_internal(headers: &HeaderMap) -> Option<HeaderName> {
-    let is_internal = |name: &&HeaderName| name.as_str().starts_with(OWN_PREFIX);
+    let is_internal = |name: &&HeaderName| name.as_str().starts_with(INTERNAL_PREFIX);
     headers.keys().find(is_internal).cloned()
 }
 
--- a/crates/node/src/traffic/inbound/access_log.rs
+++ b/crates/node/src/traffic/inbound/access_log.rs
@@ -11,7 +11,7 @@
 use sassafrasspool_core::LossCause;
 use sassafrasspool_core::Step;
 use sassafrasspool_core::Tick;
-use sassafrasspool_wire::log::BESIDE;
+use sassafrasspool_wire::log::ENDED_AT_TARGET;
 use sassafrasspool_wire::log::RequestLine;
 
 use crate::log::LoggedOutcome;
@@ -91,7 +91,7 @@
         let line = RequestLine {
             unix_ms: unix_ms(),
             node: shared.me().as_str().into(),
-            event: BESIDE.into(),
+            event: ENDED_AT_TARGET.into(),
             request: text(id).into(),
             content: facts.content.map(|content| content.to_string().into()),
             kind: facts.kind.as_ref().map(|kind| kind.as_str().into()),
--- a/crates/node/src/traffic/inbound/forward.rs
+++ b/crates/node/src/traffic/inbound/forward.rs
@@ -275,7 +275,7 @@
         .as_millis();
     if cold > 0 {
         let cold = u64::try_from(cold).unwrap_or(u64::MAX);
-        headers.insert(names::COLD_MS, HeaderValue::from(cold));
+        headers.insert(names::COLD_REMAINING_MS, HeaderValue::from(cold));
     }
 }
 
--- a/crates/node/src/traffic/inbound/peer_side.rs
+++ b/crates/node/src/traffic/inbound/peer_side.rs
@@ -56,7 +56,7 @@
         return Err(refuse(Reason::NoConfiguration).into());
     };
     let call = call_of(worker, &routes, req.headers())?;
-    if req.headers().contains_key(names::ROOM) {
+    if req.headers().contains_key(names::CAPACITY_CHECK) {
         forward::check_capacity(worker, &call)?;
         return Ok(Response::new(AnswerBody::from_text("")));
     }
@@ -75,7 +75,7 @@
     headers: &HeaderMap,
 ) -> Result<CallContext<'a>, Refusal> {
     check_service(worker, headers)?;
-    let hop = head::parse_number(headers, &names::HOP).unwrap_or(0);
+    let hop = head::parse_number(headers, &names::HOP_COUNT).unwrap_or(0);
     let hop = u32::try_from(hop).unwrap_or(u32::MAX);
     if hop > MAX_HOPS {
         return Err(refuse(Reason::TooManyHops));
@@ -91,14 +91,14 @@
         hop,
         class: text(headers, &names::CLASS).and_then(Class::from_name),
         kind: text(headers, &names::KIND).and_then(|name| KindName::new(name).ok()),
-        soft_deadline: head::parse_number(headers, &names::AIM_MS)
+        soft_deadline: head::parse_number(headers, &names::SOFT_DEADLINE_MS)
             .map(|ms| now + Duration::from_millis(ms)),
-        content: text(headers, &names::CONTENT).and_then(|text| Content::parse(text).ok()),
-        last_resort: headers.contains_key(names::SETTLES),
-        generation: headers.get(names::LIFE).cloned(),
+        content: text(headers, &names::CONTENT_HASH).and_then(|text| Content::parse(text).ok()),
+        last_resort: headers.contains_key(names::LAST_RESORT),
+        generation: headers.get(names::TARGET_GENERATION).cloned(),
         for_local_service: text(headers, &names::SERVICE)
             .is_some_and(|name| worker.hub.serves(name)),
-        origin: headers.get(names::ORIGIN).cloned(),
+        origin: headers.get(names::ORIGIN_SERVICE).cloned(),
     })
 }
 
@@ -107,7 +107,7 @@
 /// Instances are replaced at any time and addresses are reused, so that a stale
 /// instance list can lead to a target of another service.
 fn check_service(worker: &Worker, headers: &HeaderMap) -> Result<(), Refusal> {
-    if headers.contains_key(names::LIFE) {
+    if headers.contains_key(names::TARGET_GENERATION) {
         // The target itself declines a request for another generation.
         return Ok(());
     }
--- a/crates/node/src/traffic/listener/serve/caller.rs
+++ b/crates/node/src/traffic/listener/serve/caller.rs
@@ -8,7 +8,7 @@
 use hyper_util::rt::TokioTimer;
 use hyper_util::server::conn::auto;
 use sassafrasspool_core::CallerLimits;
-use sassafrasspool_wire::Tapped;
+use sassafrasspool_wire::Observed;
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
@@ -35,7 +35,7 @@
     let service = RequestService::for_caller(worker, port, pipeline.clone());
     let builder = builder(&limits(&hub));
     let stream = Arc::new(stream);
-    let io = Tapped::new(SharedStream::new(&stream), pipeline);
+    let io = Observed::new(SharedStream::new(&stream), pipeline);
     let conn = builder.serve_connection(TokioIo::new(io), service);
     tokio::select! {
         biased;
--- a/crates/node/src/traffic/listener/serve/pipelining/pipeline.rs
+++ b/crates/node/src/traffic/listener/serve/pipelining/pipeline.rs
@@ -9,7 +9,7 @@
 use http::Method;
 use http::Request;
 use http::Response;
-use sassafrasspool_wire::Tap;
+use sassafrasspool_wire::IoObserver;
 use tokio_util::task::AbortOnDropHandle;
 
 use super::request_head;
@@ -111,7 +111,7 @@
     }
 }
 
-impl Tap for Pipeline {
+impl IoObserver for Pipeline {
     fn read(&mut self, bytes: &[u8]) {
         self.lock().inspect(bytes);
     }
--- a/crates/node/src/traffic/outbound/access_log.rs
+++ b/crates/node/src/traffic/outbound/access_log.rs
@@ -15,9 +15,9 @@
 use sassafrasspool_core::Step;
 use sassafrasspool_core::Tick;
 use sassafrasspool_wire::header::REQUEST_ID;
-use sassafrasspool_wire::log::ENDED;
+use sassafrasspool_wire::log::ENDED_AT_CALLER;
+use sassafrasspool_wire::log::FAILED_ATTEMPT;
 use sassafrasspool_wire::log::RequestLine;
-use sassafrasspool_wire::log::TRIED;
 
 use crate::Routes;
 use crate::Shared;
@@ -96,7 +96,7 @@
             .picked
             .as_ref()
             .map_or(self.started_at, |picked| picked.picked_at);
-        if let Some(line) = self.line(TRIED, since) {
+        if let Some(line) = self.line(FAILED_ATTEMPT, since) {
             let log = self.first.context().worker.hub.shared.log();
             log.write(Rank::Failure, &with_outcome(line, failure.into()));
         }
@@ -104,7 +104,7 @@
 
     /// Logs the end of the request.
     pub(in crate::traffic) fn log_end(mut self, ended: &Result<Response<AnswerBody>, Failure>) {
-        if let Some(mut line) = self.line(ENDED, self.started_at) {
+        if let Some(mut line) = self.line(ENDED_AT_CALLER, self.started_at) {
             let is_success = ended
                 .as_ref()
                 .is_ok_and(|res| !res.status().is_server_error());
@@ -156,7 +156,7 @@
 
 impl Drop for RequestLogger<'_> {
     fn drop(&mut self) {
-        if let Some(line) = self.line(ENDED, self.started_at) {
+        if let Some(line) = self.line(ENDED_AT_CALLER, self.started_at) {
             let caller_gone = Failure::from(Loss::new(Step::Forward, LossCause::CallerGone));
             let log = self.first.context().worker.hub.shared.log();
             log.write(Rank::Failure, &with_outcome(line, (&caller_gone).into()));
@@ -220,7 +220,7 @@
     let line = RequestLine {
         unix_ms: unix_ms(),
         node: shared.me().as_str().into(),
-        event: ENDED.into(),
+        event: ENDED_AT_CALLER.into(),
         request: String::from_utf8_lossy(id.as_bytes()),
         ..version_fields(shared, routes)
     };
--- a/crates/node/src/traffic/outbound/attempt.rs
+++ b/crates/node/src/traffic/outbound/attempt.rs
@@ -162,7 +162,7 @@
         *probe.uri_mut() = req.uri().clone();
         probe
             .headers_mut()
-            .insert(names::ROOM, HeaderValue::from_static("1"));
+            .insert(names::CAPACITY_CHECK, HeaderValue::from_static("1"));
         let answered = self.exchange_with_peer(picked, probe).await;
         let failure = match answered {
             Ok(res) => failure_response::parse_failure(&res),
@@ -210,7 +210,7 @@
         };
         if let Some(load) = parse_load(&res) {
             picked.record_load(clock.now(), load);
-            let cold_ms = head::parse_number(res.headers(), &names::COLD_MS).unwrap_or(0);
+            let cold_ms = head::parse_number(res.headers(), &names::COLD_REMAINING_MS).unwrap_or(0);
             picked.mark_cold_for(clock.now(), Duration::from_millis(cold_ms));
         }
         Ok(res)
@@ -223,24 +223,24 @@
         if let Some(id) = headers.get_mut(names::REQUEST_ID) {
             id.set_sensitive(true);
         }
-        headers.insert(names::HOP, HeaderValue::from(self.hop));
+        headers.insert(names::HOP_COUNT, HeaderValue::from(self.hop));
         headers.insert(names::CLASS, HeaderValue::from_static(self.class.as_str()));
         let content = self.content.map(Content::to_string);
         let content = content.and_then(|text| HeaderValue::try_from(text).ok());
         let optional = [
-            (names::CONTENT, content.map(unindexed)),
-            (names::LIFE, self.generation()),
-            (names::ORIGIN, self.origin()),
+            (names::CONTENT_HASH, content.map(unindexed)),
+            (names::TARGET_GENERATION, self.generation()),
+            (names::ORIGIN_SERVICE, self.origin()),
             (names::KIND, HeaderValue::from_str(self.kind.as_str()).ok()),
             (
-                names::AIM_MS,
+                names::SOFT_DEADLINE_MS,
                 self.soft_deadline_left_ms()
                     .map(HeaderValue::from)
                     .map(unindexed),
             ),
         ];
         if self.last_resort {
-            headers.insert(names::SETTLES, HeaderValue::from_static("1"));
+            headers.insert(names::LAST_RESORT, HeaderValue::from_static("1"));
         }
         for (name, value) in optional {
             if let Some(value) = value {
--- a/crates/node/src/traffic/target/connection.rs
+++ b/crates/node/src/traffic/target/connection.rs
@@ -9,7 +9,7 @@
 
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use sassafrasspool_wire::Counted;
+use sassafrasspool_wire::CountedStream;
 use sassafrasspool_wire::SocketBytes;
 
 use super::pool::OpenGuard;
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(in crate::traffic) struct Connection {
     pub(super) sender: http1::SendRequest<Payload>,
-    driver: Pin<Box<http1::Connection<TokioIo<Counted>, Payload>>>,
+    driver: Pin<Box<http1::Connection<TokioIo<CountedStream>, Payload>>>,
     ended: bool,
     written: Arc<SocketBytes>,
     pub(super) last_used: Instant,
@@ -31,7 +31,7 @@
 impl Connection {
     pub(super) fn new(
         sender: http1::SendRequest<Payload>,
-        driver: http1::Connection<TokioIo<Counted>, Payload>,
+        driver: http1::Connection<TokioIo<CountedStream>, Payload>,
         written: Arc<SocketBytes>,
         open: OpenGuard,
     ) -> Connection {
--- a/crates/node/src/traffic/target/pool.rs
+++ b/crates/node/src/traffic/target/pool.rs
@@ -20,7 +20,7 @@
 use sassafrasspool_core::Error;
 use sassafrasspool_core::Result;
 use sassafrasspool_core::Step;
-use sassafrasspool_wire::Counted;
+use sassafrasspool_wire::CountedStream;
 use sassafrasspool_wire::SocketBytes;
 use tokio::net::TcpStream;
 
@@ -138,7 +138,7 @@
         counter!(traffic::TARGET_CONNECTIONS).increment(1);
         self.opened_total.fetch_add(1, Ordering::Relaxed);
         let written = Arc::new(SocketBytes::default());
-        let io = TokioIo::new(Counted::new(stream, Arc::clone(&written)));
+        let io = TokioIo::new(CountedStream::new(stream, Arc::clone(&written)));
         let handshake = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .handshake(io);
--- a/crates/node/tests/requests/fleet.rs
+++ b/crates/node/tests/requests/fleet.rs
@@ -25,9 +25,9 @@
 use sassafrasspool_node::TrafficAddrs;
 use sassafrasspool_node::View;
 use sassafrasspool_node::log::LogSink;
+use sassafrasspool_standin::CapturedOutput;
 use sassafrasspool_standin::Target;
 use sassafrasspool_standin::TargetSettings;
-use sassafrasspool_standin::Written;
 use sassafrasspool_standin::target::Run;
 use tokio_util::sync::CancellationToken;
 
@@ -51,7 +51,7 @@
     pub(crate) cancel: CancellationToken,
     pub(crate) traffic: Option<RunningTraffic>,
     /// The request log of the node.
-    pub(crate) written: Written,
+    pub(crate) written: CapturedOutput,
 }
 
 /// The settings of a member.
@@ -89,7 +89,7 @@
             .await
             .expect("the target starts");
         let settings = settings(spec, shared_target.unwrap_or_else(|| target.addr()));
-        let written = Written::default();
+        let written = CapturedOutput::default();
         let log = LogSink::start(LOG_BYTES_PER_S, written.clone());
         let shared = Arc::new(Shared::with_dialect(
             Dialect::NATIVE,
--- a/crates/node/tests/requests/request_log.rs
+++ b/crates/node/tests/requests/request_log.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use sassafrasspool_standin::Written;
-use sassafrasspool_wire::log::BESIDE;
-use sassafrasspool_wire::log::ENDED;
+use sassafrasspool_standin::CapturedOutput;
+use sassafrasspool_wire::log::ENDED_AT_CALLER;
+use sassafrasspool_wire::log::ENDED_AT_TARGET;
 use sassafrasspool_wire::log::RequestLine;
 
 use crate::client;
@@ -15,12 +15,12 @@
 use crate::wait;
 
 /// Outcome, step, reason and instance of each line in which a request ended.
-fn end_lines(written: &Written, id: &str) -> Vec<[String; 4]> {
-    event_lines(written, id, ENDED)
+fn end_lines(written: &CapturedOutput, id: &str) -> Vec<[String; 4]> {
+    event_lines(written, id, ENDED_AT_CALLER)
 }
 
 /// Outcome, step, reason and instance of each line of an event of a request.
-fn event_lines(written: &Written, id: &str, event: &str) -> Vec<[String; 4]> {
+fn event_lines(written: &CapturedOutput, id: &str, event: &str) -> Vec<[String; 4]> {
     let text = written.text();
     let lines = text.lines().map(|line| {
         let line: RequestLine<'_> = serde_json::from_str(line).expect("a valid log line");
@@ -65,7 +65,7 @@
 #[tokio::test]
 async fn a_request_of_a_disconnected_caller_is_logged_on_the_target_node() {
     let fleet = fleet_with_disconnected_caller().await;
-    let lines = || event_lines(&fleet.members[1].written, "left", BESIDE);
+    let lines = || event_lines(&fleet.members[1].written, "left", ENDED_AT_TARGET);
     wait::until("the log line", || !lines().is_empty()).await;
     let expected = ["unknown", "forward", "caller-gone", ""].map(str::to_owned);
     assert_eq!(lines(), [expected]);
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -15,18 +15,18 @@
 
 use miette::IntoDiagnostic;
 use miette::miette;
-use sassafrasspool_bench::chaos::callers::GRACE;
-use sassafrasspool_bench::chaos::callers::REPEATS;
+use sassafrasspool_bench::chaos::callers::RETRY_POLICY;
 use sassafrasspool_bench::chaos::callers::TIMEOUT;
+use sassafrasspool_bench::chaos::callers::TIMEOUT_GRACE;
 use sassafrasspool_bench::chaos::catalogue::KINDS;
 use sassafrasspool_bench::load::CallRecord;
 use sassafrasspool_bench::load::Caller;
 use sassafrasspool_bench::load::Client;
 use sassafrasspool_bench::load::Ending;
-use sassafrasspool_bench::load::Entries;
+use sassafrasspool_bench::load::EntryNodes;
 use sassafrasspool_bench::load::OpenLoop;
 use sassafrasspool_bench::load::Plan;
-use sassafrasspool_bench::load::Way;
+use sassafrasspool_bench::load::SystemUnderTest;
 use serde::Deserialize;
 use serde::Serialize;
 
@@ -87,12 +87,12 @@
     let run = format!("s{}-{}", job.seed, job.number);
     let caller = Caller {
         client: Client::default(),
-        way: Way::Nodes(Entries::new(job.entries.clone())),
+        way: SystemUnderTest::Nodes(EntryNodes::new(job.entries.clone())),
         kinds: KINDS.to_vec(),
         run: run.clone(),
-        repeats: REPEATS,
+        repeats: RETRY_POLICY,
         timeout: TIMEOUT,
-        grace: GRACE,
+        grace: TIMEOUT_GRACE,
     };
     let load = OpenLoop::run(plan, Arc::new(caller));
     let irregular = irregular::send_requests(&job.entries, &run, length, seed);
--- a/crates/soak/src/driver.rs
+++ b/crates/soak/src/driver.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use miette::IntoDiagnostic;
-use sassafrasspool_bench::chaos::events::Stopped;
+use sassafrasspool_bench::chaos::events::NodeStop;
 use sassafrasspool_bench::chaos::log::Log;
 use sassafrasspool_bench::chaos::log::now_us;
 use sassafrasspool_bench::load::DOMAINS;
@@ -50,7 +50,7 @@
     fleet: Arc<Fleet>,
     operators: Operators,
     log: Arc<Log>,
-    stops: Mutex<Vec<Stopped>>,
+    stops: Mutex<Vec<NodeStop>>,
     /// One lock per instance, held while a fault is applied to the process of its node.
     node_locks: Vec<tokio::sync::Mutex<()>>,
     /// One lock per instance, held while a fault is applied to its target.
@@ -60,7 +60,7 @@
     /// events in their order.
     impairments: Mutex<Impairments>,
     /// When node processes were killed.
-    kills: Mutex<Vec<Stopped>>,
+    kills: Mutex<Vec<NodeStop>>,
     /// When nodes, their targets or the links between them were stalled, so that requests
     /// start later than they were handed over.
     stalls: Mutex<Vec<Impairment>>,
@@ -95,7 +95,7 @@
     }
 
     /// The planned stops of nodes so far.
-    pub fn stops(&self) -> Vec<Stopped> {
+    pub fn stops(&self) -> Vec<NodeStop> {
         lock(&self.stops).clone()
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// When node processes were killed.
-    pub fn kills(&self) -> Vec<Stopped> {
+    pub fn kills(&self) -> Vec<NodeStop> {
         lock(&self.kills).clone()
     }
 
@@ -265,7 +265,7 @@
     /// that connect to the node directly.
     fn record_outage_until(&self, n: usize, kind: OutageKind, from_us: u64, to_us: u64) {
         let member = self.member(n);
-        let affected = (kind == OutageKind::CallersCut).then_some(member.linked_ingress);
+        let affected = (kind == OutageKind::CallerConnectionsCut).then_some(member.linked_ingress);
         let entries = [member.ingress, member.linked_ingress];
         for entry in entries
             .into_iter()
--- a/crates/soak/src/driver/links.rs
+++ b/crates/soak/src/driver/links.rs
@@ -46,10 +46,10 @@
         match role {
             // A caller may use a silent connection at any later time.
             LinkRole::Callers if fault == LinkFault::Silence => {
-                self.record_outage_until(n, OutageKind::CallersCut, from_us, u64::MAX);
+                self.record_outage_until(n, OutageKind::CallerConnectionsCut, from_us, u64::MAX);
             }
             // A caller whose own connection fails can't receive any answer.
-            LinkRole::Callers => self.record_outage(n, OutageKind::CallersCut, from_us),
+            LinkRole::Callers => self.record_outage(n, OutageKind::CallerConnectionsCut, from_us),
             // An answer that has begun can't be completed by another instance.
             LinkRole::PeerTraffic | LinkRole::Target => {
                 self.record_outage(n, OutageKind::AnswersCut, from_us);
--- a/crates/soak/src/driver/nodes.rs
+++ b/crates/soak/src/driver/nodes.rs
@@ -4,7 +4,7 @@
 
 use miette::IntoDiagnostic;
 use rustix::process::Signal;
-use sassafrasspool_bench::chaos::events::Stopped;
+use sassafrasspool_bench::chaos::events::NodeStop;
 use sassafrasspool_bench::chaos::log::now_us;
 use sassafrasspool_bench::load::OutageKind;
 use sassafrasspool_core::InstanceState;
@@ -64,10 +64,10 @@
         let cut_nothing = member.stop_node().await.into_diagnostic()?;
         self.record_outage(
             n,
-            OutageKind::IdleClosed,
+            OutageKind::IdleConnectionsClosed,
             now_us().saturating_sub(IDLE_CLOSE_US),
         );
-        lock(&self.stops).push(Stopped {
+        lock(&self.stops).push(NodeStop {
             instance: n,
             at_us: now_us(),
         });
@@ -77,7 +77,7 @@
         tokio::time::sleep(down).await;
         member.start_node().await.into_diagnostic()?;
         self.end_planned_stop(n);
-        self.record_outage(n, OutageKind::CallersCut, from_us);
+        self.record_outage(n, OutageKind::CallerConnectionsCut, from_us);
         self.publish_state(n, Some(InstanceState::Live)).await
     }
 
@@ -85,7 +85,7 @@
         let from_us = now_us();
         self.begin_impairment(n);
         self.member(n).kill_node().await.into_diagnostic()?;
-        lock(&self.kills).push(Stopped {
+        lock(&self.kills).push(NodeStop {
             instance: n,
             at_us: now_us(),
         });
--- a/crates/soak/src/fleet/builder.rs
+++ b/crates/soak/src/fleet/builder.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use miette::IntoDiagnostic;
-use sassafrasspool_bench::chaos::bounds::SETTINGS;
+use sassafrasspool_bench::chaos::bounds::NODE_SETTINGS;
 use sassafrasspool_bench::chaos::catalogue::SERVICES;
+use sassafrasspool_bench::load::InstanceSpec;
 use sassafrasspool_bench::load::Link;
 use sassafrasspool_bench::load::Listen;
-use sassafrasspool_bench::load::Place;
 use sassafrasspool_bench::load::Ports;
 use sassafrasspool_bench::load::node_settings;
 use sassafrasspool_core::DomainName;
@@ -84,7 +84,7 @@
         n: usize,
         platform: SocketAddr,
     ) -> miette::Result<Member> {
-        let place = Place::new(n, SERVICES[n % SERVICES.len()], TargetSettings::default());
+        let place = InstanceSpec::new(n, SERVICES[n % SERVICES.len()], TargetSettings::default());
         let name = format!("{}-{n}", place.service);
         let (addr, admin) = self.take_two_addrs()?;
         let extra = format!(
@@ -124,7 +124,7 @@
             of(LinkRole::Target),
             of(LinkRole::Platform),
             &[],
-            &format!("{SETTINGS}{DRAIN_SETTINGS}"),
+            &format!("{NODE_SETTINGS}{DRAIN_SETTINGS}"),
         );
         std::fs::write(&settings, text).into_diagnostic()?;
         Ok(Member {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -4,9 +4,9 @@
 
 use miette::IntoDiagnostic;
 use miette::miette;
-use sassafrasspool_bench::chaos::bounds::IN_FORCE;
-use sassafrasspool_bench::chaos::bounds::OWNERS_SETTLE;
-use sassafrasspool_bench::chaos::bounds::SETTLE;
+use sassafrasspool_bench::chaos::bounds::IN_FORCE_BOUND;
+use sassafrasspool_bench::chaos::bounds::KEY_OWNERS_SETTLE_TIME;
+use sassafrasspool_bench::chaos::bounds::SETTLE_TIME;
 use sassafrasspool_bench::chaos::log::Log;
 use sassafrasspool_bench::chaos::observer::observe;
 use sassafrasspool_core::InstanceId;
@@ -37,7 +37,7 @@
 /// A violation isn't an error.
 pub async fn run(opts: Options) -> miette::Result<Report> {
     let fleet = Arc::new(Fleet::start(opts.nodes).await?);
-    tokio::time::sleep(OWNERS_SETTLE).await;
+    tokio::time::sleep(KEY_OWNERS_SETTLE_TIME).await;
     let log = Arc::new(Log::default());
     let driver = Arc::new(Driver::new(Arc::clone(&fleet), Arc::clone(&log))?);
     let cancel = CancellationToken::new();
@@ -59,7 +59,7 @@
         records.extend(callers::read_records(&job.records)?);
         irregular = irregular.merge(callers::read_irregular(&job.irregular)?);
     }
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     cancel.cancel();
     while observers.join_next().await.is_some() {}
     let runs = fleet.ledger_runs().await?;
@@ -82,7 +82,7 @@
         catalogues: &driver.catalogues().await,
     };
     let bounds = Bounds {
-        in_force: IN_FORCE,
+        in_force: IN_FORCE_BOUND,
         ..Bounds::default()
     };
     let mut report = Report::judge(opts, &schedule, &observations, &bounds);
--- a/crates/soak/src/standin.rs
+++ b/crates/soak/src/standin.rs
@@ -10,7 +10,7 @@
 use miette::miette;
 use rustix::process::Signal;
 use sassafrasspool_bench::load::admin;
-use sassafrasspool_standin::target::LedgerPages;
+use sassafrasspool_standin::target::LedgerEntries;
 use serde::Serialize;
 use serde_json::json;
 use tokio::time::Instant;
@@ -108,10 +108,10 @@
     /// # Errors
     ///
     /// Fails if the target doesn't answer or its ledger is incomplete.
-    pub async fn ledger(&self) -> miette::Result<LedgerPages> {
+    pub async fn ledger(&self) -> miette::Result<LedgerEntries> {
         let value = admin::get(self.admin, "/ledger").await;
         let value = value.ok_or_else(|| miette!("{} doesn't serve its ledger", self.admin))?;
-        let pages: LedgerPages = serde_json::from_value(value).into_diagnostic()?;
+        let pages: LedgerEntries = serde_json::from_value(value).into_diagnostic()?;
         match pages.unrecorded {
             0 => Ok(pages),
             lost => Err(miette!("the ledger of {} lacks {lost} runs", self.admin)),
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -4,10 +4,10 @@
 
 use sassafrasspool_bench::chaos::by_promise;
 use sassafrasspool_bench::chaos::events;
-use sassafrasspool_bench::chaos::events::Stopped;
+use sassafrasspool_bench::chaos::events::NodeStop;
 use sassafrasspool_bench::chaos::log::Log;
 use sassafrasspool_bench::load::CallRecord;
-use sassafrasspool_bench::load::Evidence;
+use sassafrasspool_bench::load::JoinedRecords;
 use sassafrasspool_bench::load::LedgerRun;
 use sassafrasspool_bench::load::Verdict;
 use sassafrasspool_core::InstanceId;
@@ -53,11 +53,11 @@
     /// The ids of the instances in the order of their numbers.
     pub ids: &'a [InstanceId],
     /// The planned stops of nodes.
-    pub stops: &'a [Stopped],
+    pub stops: &'a [NodeStop],
     /// When faults kept nodes from receiving new versions.
     pub impairments: &'a [Impairment],
     /// When node processes were killed.
-    pub kills: &'a [Stopped],
+    pub kills: &'a [NodeStop],
     /// When nodes, their targets or the links between them were stalled.
     pub stalls: &'a [Impairment],
     /// The failure domains of the instances, in the order of their numbers.
@@ -121,7 +121,7 @@
         bounds: &Bounds,
     ) -> Report {
         let (recorded, outages) = observations.log.copy();
-        let evidence = Evidence::new(observations.records, observations.runs, &outages);
+        let evidence = JoinedRecords::new(observations.records, observations.runs, &outages);
         let is_excused = |record: &CallRecord| evidence.is_excused(record);
         let history = events::history(
             observations.log,
--- a/crates/soak/src/verdict/tests.rs
+++ b/crates/soak/src/verdict/tests.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use sassafrasspool_bench::chaos::catalogue::KINDS;
-use sassafrasspool_bench::chaos::events::Stopped;
+use sassafrasspool_bench::chaos::events::NodeStop;
 use sassafrasspool_bench::chaos::log::Log;
 use sassafrasspool_bench::load::CallRecord;
 use sassafrasspool_bench::load::Ending;
@@ -87,7 +87,7 @@
     runs: Vec<LedgerRun>,
     /// Further events, each at microseconds after the call was sent.
     events: Vec<(u64, Event)>,
-    stops: Vec<Stopped>,
+    stops: Vec<NodeStop>,
     passed: bool,
 }
 
--- a/crates/soak/src/verdict/tests/evacuations.rs
+++ b/crates/soak/src/verdict/tests/evacuations.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use rstest::rstest;
-use sassafrasspool_bench::chaos::events::Stopped;
+use sassafrasspool_bench::chaos::events::NodeStop;
 use sassafrasspool_bench::chaos::log::Log;
 use sassafrasspool_bench::load::LedgerRun;
 use sassafrasspool_core::Digest;
@@ -64,7 +64,7 @@
         run
     });
     let runs: Vec<LedgerRun> = runs.collect();
-    let ends = killed_s.map(|at_s| Stopped {
+    let ends = killed_s.map(|at_s| NodeStop {
         instance: 0,
         at_us: 1_000_000 * at_s,
     });
--- a/crates/soak/src/verdict/timeline.rs
+++ b/crates/soak/src/verdict/timeline.rs
@@ -1,6 +1,6 @@
 //! The times of events from which requests to targets are judged.
 
-use sassafrasspool_bench::chaos::events::Stopped;
+use sassafrasspool_bench::chaos::events::NodeStop;
 use sassafrasspool_bench::load::LedgerRun;
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::history::Event;
@@ -23,7 +23,7 @@
     records: Vec<&'a Record>,
     runs: &'a [LedgerRun],
     /// When node processes ended.
-    ends: &'a [Stopped],
+    ends: &'a [NodeStop],
     /// When nodes, their targets or the links between them were stalled.
     stalls: &'a [Impairment],
 }
@@ -34,7 +34,7 @@
         catalogues: &'a [PublishedCatalogue],
         history: &'a History,
         runs: &'a [LedgerRun],
-        ends: &'a [Stopped],
+        ends: &'a [NodeStop],
         stalls: &'a [Impairment],
     ) -> Timeline<'a> {
         Timeline {
--- a/crates/standin/src/captured_output.rs
+++ b/crates/standin/src/captured_output.rs
@@ -13,17 +13,17 @@
 /// ```
 /// use std::io::Write;
 ///
-/// use sassafrasspool_standin::Written;
+/// use sassafrasspool_standin::CapturedOutput;
 ///
-/// let written = Written::default();
-/// written.clone().write_all(b"a line\n")?;
-/// assert_eq!(written.text(), "a line\n");
+/// let output = CapturedOutput::default();
+/// output.clone().write_all(b"a line\n")?;
+/// assert_eq!(output.text(), "a line\n");
 /// # Ok::<(), std::io::Error>(())
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Written(Arc<Mutex<Vec<u8>>>);
+pub struct CapturedOutput(Arc<Mutex<Vec<u8>>>);
 
-impl Written {
+impl CapturedOutput {
     /// All output so far as text; invalid UTF-8 is replaced by U+FFFD.
     pub fn text(&self) -> String {
         let bytes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -31,7 +31,7 @@
     }
 }
 
-impl Write for Written {
+impl Write for CapturedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut buf = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         buf.extend_from_slice(bytes);
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -17,7 +17,7 @@
 mod settings;
 pub mod target;
 
-pub use crate::captured_output::Written;
+pub use crate::captured_output::CapturedOutput;
 pub use crate::platform::Platform;
 pub use crate::platform::PlatformSettings;
 pub use crate::settings::read_settings;
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -38,7 +38,7 @@
 pub use self::counters::TargetStats;
 pub use self::crash_on::CrashOn;
 pub use self::health::Load;
-pub use self::ledger::LedgerPages;
+pub use self::ledger::LedgerEntries;
 pub use self::run::Run;
 pub use self::run::RunEnd;
 pub use self::run_request::ANSWER_BYTES_HEADER;
@@ -132,7 +132,7 @@
     }
 
     /// A copy of the ledger over all generations, including unfinished runs.
-    pub fn ledger(&self) -> LedgerPages {
+    pub fn ledger(&self) -> LedgerEntries {
         self.supervisor.shared().ledger.copy()
     }
 
--- a/crates/standin/src/target/admin_api.rs
+++ b/crates/standin/src/target/admin_api.rs
@@ -13,7 +13,7 @@
 use http::StatusCode;
 
 use super::counters::TargetStats;
-use super::ledger::LedgerPages;
+use super::ledger::LedgerEntries;
 use super::supervisor::Supervisor;
 use super::switches::TargetSwitches;
 
@@ -28,7 +28,7 @@
         .with_state(supervisor)
 }
 
-async fn get_ledger(State(supervisor): State<Arc<Supervisor>>) -> Json<LedgerPages> {
+async fn get_ledger(State(supervisor): State<Arc<Supervisor>>) -> Json<LedgerEntries> {
     Json(supervisor.shared().ledger.copy())
 }
 
--- a/crates/standin/src/target/ledger.rs
+++ b/crates/standin/src/target/ledger.rs
@@ -20,12 +20,12 @@
     /// The clock of the timestamps of runs.
     pub(super) clock: Clock,
     max_runs: usize,
-    entries: Mutex<LedgerPages>,
+    entries: Mutex<LedgerEntries>,
 }
 
 /// The entries of a ledger.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct LedgerPages {
+pub struct LedgerEntries {
     /// The runs in the order of admission.
     pub runs: Vec<Run>,
     /// The number of runs after the ledger was full; it is complete if this is zero.
@@ -59,11 +59,11 @@
     }
 
     /// A copy of all entries.
-    pub(super) fn copy(&self) -> LedgerPages {
+    pub(super) fn copy(&self) -> LedgerEntries {
         self.lock_entries().clone()
     }
 
-    fn lock_entries(&self) -> MutexGuard<'_, LedgerPages> {
+    fn lock_entries(&self) -> MutexGuard<'_, LedgerEntries> {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -15,7 +15,7 @@
 pub use self::stats::ControlStats;
 pub use self::status::EvacuationInfo;
 pub use self::status::Status;
-pub use self::stream_versions::Held;
+pub use self::stream_versions::StreamVersions;
 pub use self::stream_versions::VersionInfo;
 pub use self::versions::Versions;
 
--- a/crates/wire/src/admin/snapshot.rs
+++ b/crates/wire/src/admin/snapshot.rs
@@ -17,13 +17,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::Held;
+use super::StreamVersions;
 
 /// All services and routes of a snapshot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotInfo {
     /// The versions that the snapshot was built from.
-    pub held: Held,
+    pub held: StreamVersions,
     /// All services.
     pub services: Vec<ServiceInfo>,
     /// All routes, ordered by path.
--- a/crates/wire/src/admin/status.rs
+++ b/crates/wire/src/admin/status.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use super::ControlStats;
-use super::Held;
+use super::StreamVersions;
 
 /// A failure domain that operators have evacuated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     /// Whether the node is a reader of the platform for its failure domain.
     pub reading: bool,
     /// The versions in force.
-    pub held: Held,
+    pub held: StreamVersions,
     /// The evacuated failure domains, to which the node routes no requests.
     #[serde(default)]
     pub evacuations: Vec<EvacuationInfo>,
--- a/crates/wire/src/admin/stream_versions.rs
+++ b/crates/wire/src/admin/stream_versions.rs
@@ -32,7 +32,7 @@
 
 /// One version of each stream, if there is one.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct StreamVersions {
     /// The catalogue's version.
     pub catalogue: Option<VersionInfo>,
     /// The instance list's version.
--- a/crates/wire/src/admin/versions.rs
+++ b/crates/wire/src/admin/versions.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::Held;
+use super::StreamVersions;
 use super::VersionInfo;
 
 /// Versions in force on a node, advertised to it and refused by it.
@@ -13,9 +13,9 @@
     /// The node's instance.
     pub instance: InstanceId,
     /// The versions in force.
-    pub held: Held,
+    pub held: StreamVersions,
     /// The newest advertised versions.
-    pub heard: Held,
+    pub heard: StreamVersions,
     /// The last refused version of the catalogue.
     pub refused: Option<VersionInfo>,
     /// Versions refused since the node's start.
--- a/crates/wire/src/header.rs
+++ b/crates/wire/src/header.rs
@@ -24,14 +24,14 @@
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-sassafrasspool-deadline-ms");
 
 /// Between nodes: the number of nodes that the call has passed.
-pub const HOP: HeaderName = HeaderName::from_static("x-sassafrasspool-hop");
+pub const HOP_COUNT: HeaderName = HeaderName::from_static("x-sassafrasspool-hop");
 
 /// Between nodes: the load of the target as requests in flight, slots and queued requests.
 pub const LOAD: HeaderName = HeaderName::from_static("x-sassafrasspool-load");
 
 /// Between nodes: milliseconds until the target counts as warm; absent if it is warm
 /// already.
-pub const COLD_MS: HeaderName = HeaderName::from_static("x-sassafrasspool-cold-ms");
+pub const COLD_REMAINING_MS: HeaderName = HeaderName::from_static("x-sassafrasspool-cold-ms");
 
 /// Between nodes: the service that the request is for.
 pub const SERVICE: HeaderName = HeaderName::from_static("x-sassafrasspool-service");
@@ -44,28 +44,28 @@
 
 /// Between nodes: milliseconds until the soft deadline, until which the answer is worth
 /// most; 0 if it has passed.
-pub const AIM_MS: HeaderName = HeaderName::from_static("x-sassafrasspool-aim-ms");
+pub const SOFT_DEADLINE_MS: HeaderName = HeaderName::from_static("x-sassafrasspool-aim-ms");
 
 /// Between nodes: 1 if the caller's node tries no other instance after this one, so that
 /// a late place in the queue is better than none.
-pub const SETTLES: HeaderName = HeaderName::from_static("x-sassafrasspool-settles");
+pub const LAST_RESORT: HeaderName = HeaderName::from_static("x-sassafrasspool-settles");
 
 /// Between nodes: 1 on a capacity check, which only asks whether a request with these
 /// headers would be admitted. Its body is too long to be sent to a node that then
 /// rejects it.
-pub const ROOM: HeaderName = HeaderName::from_static("x-sassafrasspool-room");
+pub const CAPACITY_CHECK: HeaderName = HeaderName::from_static("x-sassafrasspool-room");
 
 /// Between nodes: the generation of the target that the request is addressed to.
-pub const LIFE: HeaderName = HeaderName::from_static("x-sassafrasspool-life");
+pub const TARGET_GENERATION: HeaderName = HeaderName::from_static("x-sassafrasspool-life");
 
 /// Between nodes: the service of the instance at which the request originated.
-pub const ORIGIN: HeaderName = HeaderName::from_static("x-sassafrasspool-origin");
+pub const ORIGIN_SERVICE: HeaderName = HeaderName::from_static("x-sassafrasspool-origin");
 
 /// Between nodes: the hash of the request's content.
-pub const CONTENT: HeaderName = HeaderName::from_static("x-sassafrasspool-content");
+pub const CONTENT_HASH: HeaderName = HeaderName::from_static("x-sassafrasspool-content");
 
 /// Between nodes: 1 on the first attempt with a request key.
-pub const FIRST: HeaderName = HeaderName::from_static("x-sassafrasspool-first");
+pub const FIRST_ATTEMPT: HeaderName = HeaderName::from_static("x-sassafrasspool-first");
 
 /// Between nodes: the step at which a request was refused or lost.
 pub const STEP: HeaderName = HeaderName::from_static("x-sassafrasspool-step");
@@ -74,7 +74,7 @@
 pub const REASON: HeaderName = HeaderName::from_static("x-sassafrasspool-reason");
 
 /// The prefix of the headers that only nodes may set.
-pub const OWN_PREFIX: &str = "x-sassafrasspool-";
+pub const INTERNAL_PREFIX: &str = "x-sassafrasspool-";
 
 /// The outcome in an answer's [`OUTCOME`] header, if it has one. A value that isn't
 /// valid counts as unknown.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -14,8 +14,8 @@
 mod socket;
 
 pub use crate::error_chain::error_chain;
-pub use crate::socket::Counted;
+pub use crate::socket::CountedStream;
+pub use crate::socket::IoObserver;
+pub use crate::socket::Observed;
 pub use crate::socket::SocketBytes;
-pub use crate::socket::Tap;
-pub use crate::socket::Tapped;
 pub use crate::socket::enable_keep_alive;
--- a/crates/wire/src/log.rs
+++ b/crates/wire/src/log.rs
@@ -28,7 +28,7 @@
     pub unix_ms: u64,
     /// The instance of the node that writes the line.
     pub node: Cow<'a, str>,
-    /// The event: [`TRIED`], [`ENDED`] or [`BESIDE`].
+    /// The event: [`FAILED_ATTEMPT`], [`ENDED_AT_CALLER`] or [`ENDED_AT_TARGET`].
     pub event: Cow<'a, str>,
     /// The request's id, as sent by its caller.
     pub request: Cow<'a, str>,
@@ -104,10 +104,10 @@
 }
 
 /// The event of an attempt without an answer.
-pub const TRIED: &str = "tried";
+pub const FAILED_ATTEMPT: &str = "tried";
 
 /// The event of a request's end on the caller's node.
-pub const ENDED: &str = "ended";
+pub const ENDED_AT_CALLER: &str = "ended";
 
 /// The event of a request's end on the target's node.
-pub const BESIDE: &str = "beside";
+pub const ENDED_AT_TARGET: &str = "beside";
--- a/crates/wire/src/peer/transport.rs
+++ b/crates/wire/src/peer/transport.rs
@@ -14,7 +14,7 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 use super::MAX_MESSAGE_BYTES;
-use crate::Counted;
+use crate::CountedStream;
 use crate::SocketBytes;
 
 /// The largest frame in bytes: an uncompressed message of the largest size and its
@@ -28,7 +28,7 @@
 pub(super) fn framed<Item, SinkItem>(
     io: TcpStream,
     bytes: Arc<SocketBytes>,
-) -> Result<Transport<Counted, Item, SinkItem, Bincode<Item, SinkItem>>>
+) -> Result<Transport<CountedStream, Item, SinkItem, Bincode<Item, SinkItem>>>
 where
     Item: for<'de> Deserialize<'de>,
     SinkItem: Serialize,
@@ -39,6 +39,6 @@
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME_BYTES)
         .new_codec();
-    let framed = Framed::new(Counted::new(io, bytes), codec);
+    let framed = Framed::new(CountedStream::new(io, bytes), codec);
     Ok(tarpc::serde_transport::new(framed, Bincode::default()))
 }
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -4,7 +4,7 @@
 pub use self::http_get::HttpGetClient;
 pub use self::http_get::HttpResponse;
 pub use self::source::Source;
-pub use self::source::SourceAsk;
+pub use self::source::SourceRequest;
 
 mod client;
 mod http_get;
--- a/crates/wire/src/platform/client.rs
+++ b/crates/wire/src/platform/client.rs
@@ -16,7 +16,7 @@
 use super::HttpGetClient;
 use super::MAX_VALUE_BYTES;
 use super::Source;
-use super::SourceAsk;
+use super::SourceRequest;
 use super::response;
 use crate::SocketBytes;
 
@@ -79,7 +79,7 @@
 }
 
 impl Source for PlatformClient {
-    fn read(&self, req: SourceAsk) -> BoxFuture<'_, SourceResult> {
+    fn read(&self, req: SourceRequest) -> BoxFuture<'_, SourceResult> {
         PlatformClient::read(self, req.stream, req.after, req.wait).boxed()
     }
 }
--- a/crates/wire/src/platform/http_get.rs
+++ b/crates/wire/src/platform/http_get.rs
@@ -25,7 +25,7 @@
 use tokio::sync::Mutex;
 use tokio::time::timeout;
 
-use crate::Counted;
+use crate::CountedStream;
 use crate::SocketBytes;
 use crate::enable_keep_alive;
 use crate::error_chain::error_chain;
@@ -136,7 +136,7 @@
             .map_err(|cause| failed("connection refused").with_cause(cause))?;
         enable_keep_alive(&io)
             .map_err(|cause| failed("can't enable keep-alive").with_cause(cause))?;
-        let io = TokioIo::new(Counted::new(io, Arc::clone(&self.bytes)));
+        let io = TokioIo::new(CountedStream::new(io, Arc::clone(&self.bytes)));
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .handshake::<_, Empty<Bytes>>(io)
--- a/crates/wire/src/platform/source.rs
+++ b/crates/wire/src/platform/source.rs
@@ -14,7 +14,7 @@
 
 /// One read of a stream.
 #[derive(Debug, Clone)]
-pub struct SourceAsk {
+pub struct SourceRequest {
     /// The stream to read.
     pub stream: Stream,
     /// The answer must be newer than this revision; if absent, the newest is
@@ -38,5 +38,5 @@
 pub trait Source: Debug + Send + Sync {
     /// Reads a stream once. Failures are returned as results, since the reader continues
     /// with the version in force.
-    fn read(&self, req: SourceAsk) -> BoxFuture<'_, SourceResult>;
+    fn read(&self, req: SourceRequest) -> BoxFuture<'_, SourceResult>;
 }
--- a/crates/wire/src/socket.rs
+++ b/crates/wire/src/socket.rs
@@ -5,9 +5,9 @@
 
 pub use self::bytes::SocketBytes;
 pub use self::keep_alive::enable_keep_alive;
-pub use self::observed::Counted;
-pub use self::observed::Tap;
-pub use self::observed::Tapped;
+pub use self::observed::CountedStream;
+pub use self::observed::IoObserver;
+pub use self::observed::Observed;
 
 mod bytes;
 mod keep_alive;
--- a/crates/wire/src/socket/observed.rs
+++ b/crates/wire/src/socket/observed.rs
@@ -14,7 +14,7 @@
 use super::SocketBytes;
 
 /// Observes the bytes of a connection.
-pub trait Tap {
+pub trait IoObserver {
     /// Called with bytes that were read, before the reader of the connection gets them.
     fn read(&mut self, bytes: &[u8]);
 
@@ -24,7 +24,7 @@
 
 /// A connection whose reads and writes are reported to an observer.
 #[derive(Debug)]
-pub struct Tapped<T, I = TcpStream> {
+pub struct Observed<T, I = TcpStream> {
     io: I,
     observer: T,
 }
@@ -33,16 +33,16 @@
 ///
 /// If the count of written bytes did not change, the peer has received nothing of the
 /// data that was to be sent.
-pub type Counted = Tapped<Arc<SocketBytes>>;
+pub type CountedStream = Observed<Arc<SocketBytes>>;
 
-impl<T, I> Tapped<T, I> {
+impl<T, I> Observed<T, I> {
     /// Reports the bytes read from and written to `io` to `observer`.
-    pub const fn new(io: I, observer: T) -> Tapped<T, I> {
-        Tapped { io, observer }
+    pub const fn new(io: I, observer: T) -> Observed<T, I> {
+        Observed { io, observer }
     }
 }
 
-impl Tap for Arc<SocketBytes> {
+impl IoObserver for Arc<SocketBytes> {
     fn read(&mut self, bytes: &[u8]) {
         self.add_read(bytes.len());
     }
@@ -52,7 +52,7 @@
     }
 }
 
-impl<T: Tap + Unpin, I: AsyncRead + Unpin> AsyncRead for Tapped<T, I> {
+impl<T: IoObserver + Unpin, I: AsyncRead + Unpin> AsyncRead for Observed<T, I> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -68,7 +68,7 @@
     }
 }
 
-impl<T: Tap + Unpin, I: AsyncWrite + Unpin> AsyncWrite for Tapped<T, I> {
+impl<T: IoObserver + Unpin, I: AsyncWrite + Unpin> AsyncWrite for Observed<T, I> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
