--- a/crates/bench/src/calls/pairs.rs
+++ b/crates/bench/src/calls/pairs.rs
@@ -69,7 +69,7 @@
     let mut pairs = JoinSet::new();
     let mut pacer = Pacer::start(plan);
     while let Some(due) = pacer.next().await {
-        measured.lateness.add(due.late);
+        measured.lateness.add(due.lateness);
         let len = u64::try_from(destinations.len()).unwrap_or(1);
         let index = usize::try_from(due.call.draw / 2 % len).unwrap_or(0);
         let destination = destinations[index].clone();
--- a/crates/bench/src/calls/run.rs
+++ b/crates/bench/src/calls/run.rs
@@ -67,12 +67,12 @@
 fn layout(opts: Options) -> FleetSpec {
     let place = |n| InstanceSpec::new(n, service(n), TargetSettings::default());
     FleetSpec {
-        places: (0..opts.nodes).map(place).collect(),
+        instances: (0..opts.nodes).map(place).collect(),
         catalogue: catalogue(opts.nodes),
-        nodes: true,
-        settings: "",
-        links: false,
-        patience: READY_TIMEOUT,
+        with_nodes: true,
+        extra_settings: "",
+        with_links: false,
+        ready_timeout: READY_TIMEOUT,
     }
 }
 
--- a/crates/bench/src/chaos.rs
+++ b/crates/bench/src/chaos.rs
@@ -8,7 +8,7 @@
 pub use self::fault::Fault;
 pub use self::options::Options;
 pub use self::report::Report;
-pub use self::report::by_promise;
+pub use self::report::count_by_guarantee;
 pub use self::run::run;
 pub use self::script::Script;
 pub use self::script::Step;
--- a/crates/bench/src/chaos/callers.rs
+++ b/crates/bench/src/chaos/callers.rs
@@ -6,7 +6,7 @@
 
 /// Retry policy of the callers.
 pub const RETRY_POLICY: RetryPolicy = RetryPolicy {
-    attempts: 3,
+    max_attempts: 3,
     pause: Duration::from_millis(150),
     overlapping_percent: 5,
     overlap_after: Duration::from_millis(30),
--- a/crates/bench/src/chaos/catalogue.rs
+++ b/crates/bench/src/chaos/catalogue.rs
@@ -64,12 +64,12 @@
 /// The text of the catalogue after `change` changes; each change raises the
 /// rate limits by one.
 pub fn text(change: u64) -> String {
-    text_with(change, "")
+    text_with_service_line(change, "")
 }
 
 /// The same text as [`text`], with `line` added to each service unless it is
 /// empty.
-pub fn text_with(change: u64, line: &str) -> String {
+pub fn text_with_service_line(change: u64, line: &str) -> String {
     let mut text = String::from("kinds:\n");
     for kind in &KINDS {
         let CallKind { name, weight, .. } = kind;
--- a/crates/bench/src/chaos/driver.rs
+++ b/crates/bench/src/chaos/driver.rs
@@ -18,7 +18,7 @@
 use super::fault::Fault;
 use super::fault::is_in_herd;
 use super::log::Log;
-use super::log::now_us;
+use super::log::unix_now_us;
 use super::operators::Operators;
 use super::script::Script;
 use crate::load::Fleet;
@@ -124,7 +124,7 @@
         let cut = u64::from(status.is_some_and(|status| !status.success()));
         let stopped = NodeStop {
             instance,
-            at_us: now_us(),
+            at_us: unix_now_us(),
         };
         self.stops
             .lock()
@@ -143,7 +143,7 @@
     }
 
     async fn kill(&self, instance: usize, down: Duration) -> miette::Result<()> {
-        let from_us = now_us();
+        let from_us = unix_now_us();
         if !self.with_nodes {
             return self.crash_target(instance, down).await;
         }
@@ -175,7 +175,7 @@
             member.target.set_slow(Duration::ZERO).await;
             return Ok(());
         }
-        let from_us = now_us();
+        let from_us = unix_now_us();
         self.record_node_lost(instance);
         let node = member.node.lock().await;
         if let Some(node) = &*node {
@@ -194,15 +194,15 @@
     async fn isolate(&self, instance: usize, length: Duration) {
         let links = &self.member(instance).links;
         self.record_node_lost(instance);
-        links.iter().for_each(|link| link.hold(true, true));
+        links.iter().for_each(|link| link.set_blocked(true, true));
         tokio::time::sleep(length).await;
-        links.iter().for_each(|link| link.hold(false, false));
+        links.iter().for_each(|link| link.set_blocked(false, false));
         self.record_node_back(instance);
     }
 
     async fn crash_target(&self, instance: usize, down: Duration) -> miette::Result<()> {
         let member = self.member(instance);
-        let from_us = now_us();
+        let from_us = unix_now_us();
         member.target.crash().await;
         self.log.record(Event::Crashed {
             target: member.instance.id.clone(),
@@ -219,14 +219,14 @@
             return;
         };
         let target = &self.member(instance).target;
-        let from_us = now_us();
+        let from_us = unix_now_us();
         match fault {
             Fault::CutAnswers { .. } => target.set_cut_body(true).await,
             Fault::Hang { .. } => target.set_hang_after_run(true).await,
             Fault::DrainTarget { .. } => target.set_drain(true).await,
             Fault::SlowTarget { extra, .. } => target.set_slow(extra).await,
-            Fault::LateAnswers { by, .. } => target.late_answers(LATE_ANSWER_EVERY, by).await,
-            _ => target.lie_about_health(HealthReport::Ill).await,
+            Fault::LateAnswers { by, .. } => target.set_late_answers(LATE_ANSWER_EVERY, by).await,
+            _ => target.set_health_report(HealthReport::Ill).await,
         }
         tokio::time::sleep(fault.length()).await;
         match fault {
@@ -237,8 +237,8 @@
             Fault::Hang { .. } => target.set_hang_after_run(false).await,
             Fault::DrainTarget { .. } => target.set_drain(false).await,
             Fault::SlowTarget { .. } => target.set_slow(Duration::ZERO).await,
-            Fault::LateAnswers { .. } => target.late_answers(0, Duration::ZERO).await,
-            _ => target.lie_about_health(HealthReport::Truth).await,
+            Fault::LateAnswers { .. } => target.set_late_answers(0, Duration::ZERO).await,
+            _ => target.set_health_report(HealthReport::Truth).await,
         }
     }
 
@@ -274,7 +274,7 @@
         let older = Revision::new(last.saturating_sub(1).max(1)).into_diagnostic()?;
         let platform = &self.fleet.platform;
         platform
-            .set_stale_at(Stream::Catalogue, older)
+            .set_stale_revision(Stream::Catalogue, older)
             .into_diagnostic()
     }
 
@@ -297,12 +297,12 @@
     }
 
     fn record_outage(&self, instance: usize, kind: OutageKind, from_us: u64) {
-        self.log.add(Outage {
+        self.log.add_outage(Outage {
             instance,
             entry: self.member(instance).ingress,
             kind,
             from_us,
-            to_us: now_us(),
+            to_us: unix_now_us(),
         });
     }
 }
--- a/crates/bench/src/chaos/events.rs
+++ b/crates/bench/src/chaos/events.rs
@@ -45,7 +45,7 @@
 /// Builds the history of a run from its log, the callers' records and the
 /// targets' ledgers. A missing answer that an outage explains counts as an
 /// unknown outcome: the caller saw the connection end.
-pub fn history(
+pub fn build_history(
     log: &Log,
     records: &[CallRecord],
     runs: &[LedgerRun],
@@ -53,7 +53,7 @@
     stops: &[NodeStop],
     is_explained: impl Fn(&CallRecord) -> bool,
 ) -> History {
-    let (mut history, _) = log.copy();
+    let (mut history, _) = log.history_and_outages();
     let mut ids = IdNumbers::default();
     let mut calls = IdNumbers::default();
     for record in records {
--- a/crates/bench/src/chaos/log.rs
+++ b/crates/bench/src/chaos/log.rs
@@ -28,7 +28,7 @@
 impl Log {
     /// Records an event that happens now.
     pub fn record(&self, event: Event) {
-        self.record_at(now_us(), event);
+        self.record_at(unix_now_us(), event);
     }
 
     /// Records an event that happened at `at_us`, in microseconds since the
@@ -38,12 +38,12 @@
     }
 
     /// Adds an outage of a process.
-    pub fn add(&self, outage: Outage) {
+    pub fn add_outage(&self, outage: Outage) {
         self.inner().outages.push(outage);
     }
 
     /// The events and outages recorded so far.
-    pub fn copy(&self) -> (History, Vec<Outage>) {
+    pub fn history_and_outages(&self) -> (History, Vec<Outage>) {
         let inner = self.inner();
         (inner.history.clone(), inner.outages.clone())
     }
@@ -54,7 +54,7 @@
 }
 
 /// The current time in microseconds since the Unix epoch.
-pub fn now_us() -> u64 {
+pub fn unix_now_us() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(since.unwrap_or_default().as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/bench/src/chaos/observer.rs
+++ b/crates/bench/src/chaos/observer.rs
@@ -24,7 +24,7 @@
 
 /// Records each change of the snapshot in force on `node` until `cancel`;
 /// `admin` is the node's admin address.
-pub async fn observe(
+pub async fn record_snapshots(
     admin: SocketAddr,
     node: InstanceId,
     log: Arc<Log>,
@@ -32,7 +32,7 @@
 ) {
     let mut last = None;
     while !cancel.is_cancelled() {
-        if let Some(held) = held_by(admin).await
+        if let Some(held) = fetch_snapshot_facts(admin).await
             && last.as_ref() != Some(&held)
         {
             log.record(Event::InForce {
@@ -47,7 +47,7 @@
 
 /// Facts of the snapshot in force on the node with this admin address; `None`
 /// if there is none or the node doesn't answer.
-pub async fn held_by(node: SocketAddr) -> Option<SnapshotFacts> {
+pub async fn fetch_snapshot_facts(node: SocketAddr) -> Option<SnapshotFacts> {
     let value = admin::get(node, SNAPSHOT_PATH).await?;
     let info: SnapshotInfo = serde_json::from_value(value).ok()?;
     Some(SnapshotFacts {
--- a/crates/bench/src/chaos/operators.rs
+++ b/crates/bench/src/chaos/operators.rs
@@ -13,9 +13,9 @@
 
 use super::catalogue;
 use super::log::Log;
-use super::publication::catalogue_of;
-use super::publication::good_catalogue;
-use super::publication::good_list;
+use super::publication::catalogue_published;
+use super::publication::list_published;
+use super::publication::parse_catalogue;
 
 /// Publishes versions, and records each before it becomes visible.
 #[derive(Debug)]
@@ -38,8 +38,8 @@
     ///
     /// Fails if they don't parse.
     pub(super) fn new(list: Vec<Instance>, log: &Log) -> miette::Result<Operators> {
-        log.record(good_catalogue(1, &catalogue::text(0))?);
-        log.record(good_list(1, &list)?);
+        log.record(catalogue_published(1, &catalogue::text(0))?);
+        log.record(list_published(1, &list)?);
         Ok(Operators {
             published: Mutex::new(Published {
                 changes: 0,
@@ -56,7 +56,7 @@
         published.changes += 1;
         published.catalogue += 1;
         let text = catalogue::text(published.changes);
-        log.record(good_catalogue(published.catalogue, &text)?);
+        log.record(catalogue_published(published.catalogue, &text)?);
         platform.publish_catalogue(&text).into_diagnostic()?;
         Ok(())
     }
@@ -66,7 +66,7 @@
         let mut published = self.lock();
         published.catalogue += 1;
         let text = catalogue::bad_text(published.changes);
-        let version = catalogue_of(published.catalogue, &text)?.version();
+        let version = parse_catalogue(published.catalogue, &text)?.version();
         let stream = Stream::Catalogue;
         log.record(Event::PublishedBad { stream, version });
         platform.publish_catalogue(&text).into_diagnostic()?;
@@ -84,7 +84,7 @@
         let mut published = self.lock();
         published.instances += 1;
         published.list[n].state = state;
-        log.record(good_list(published.instances, &published.list)?);
+        log.record(list_published(published.instances, &published.list)?);
         platform
             .publish_instances(&published.list)
             .into_diagnostic()?;
--- a/crates/bench/src/chaos/publication.rs
+++ b/crates/bench/src/chaos/publication.rs
@@ -14,7 +14,7 @@
 /// # Errors
 ///
 /// Fails if the text doesn't parse.
-pub fn catalogue_of(revision: u64, text: &str) -> miette::Result<Catalogue> {
+pub fn parse_catalogue(revision: u64, text: &str) -> miette::Result<Catalogue> {
     let items = parse(text).into_diagnostic()?;
     let revision = Revision::new(revision).into_diagnostic()?;
     Catalogue::new(revision, items).into_diagnostic()
@@ -25,8 +25,8 @@
 /// # Errors
 ///
 /// Fails if the text doesn't parse.
-pub fn good_catalogue(revision: u64, text: &str) -> miette::Result<Event> {
-    let version = catalogue_of(revision, text)?.version();
+pub fn catalogue_published(revision: u64, text: &str) -> miette::Result<Event> {
+    let version = parse_catalogue(revision, text)?.version();
     let stream = Stream::Catalogue;
     Ok(Event::PublishedGood { stream, version })
 }
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// Fails if an instance is listed twice.
-pub fn good_list(revision: u64, list: &[Instance]) -> miette::Result<Event> {
+pub fn list_published(revision: u64, list: &[Instance]) -> miette::Result<Event> {
     let revision = Revision::new(revision).into_diagnostic()?;
     let list = InstanceList::new(revision, list.to_vec()).into_diagnostic()?;
     let version = list.version();
--- a/crates/bench/src/chaos/report.rs
+++ b/crates/bench/src/chaos/report.rs
@@ -48,7 +48,7 @@
 }
 
 /// Counts violations by the names of their guarantees.
-pub fn by_promise(violations: &[Violation]) -> BTreeMap<&'static str, u64> {
+pub fn count_by_guarantee(violations: &[Violation]) -> BTreeMap<&'static str, u64> {
     let mut counts = BTreeMap::new();
     for violation in violations {
         *counts.entry(violation.guarantee().as_str()).or_default() += 1;
--- a/crates/bench/src/chaos/run.rs
+++ b/crates/bench/src/chaos/run.rs
@@ -36,9 +36,9 @@
 use super::driver::Driver;
 use super::events;
 use super::log::Log;
-use super::observer::observe;
+use super::observer::record_snapshots;
 use super::operators::Operators;
-use super::report::by_promise;
+use super::report::count_by_guarantee;
 use super::script::Script;
 use crate::load::CallRecord;
 use crate::load::Caller;
@@ -107,7 +107,7 @@
         for member in &fleet.members {
             let id = member.instance.id.clone();
             let log = Arc::clone(&log);
-            observers.spawn(observe(member.admin, id, log, cancel.clone()));
+            observers.spawn(record_snapshots(member.admin, id, log, cancel.clone()));
         }
     }
     let script = Script::draw(opts.nodes, opts.length, opts.seed);
@@ -138,26 +138,26 @@
     };
     let place = |n| InstanceSpec::new(n, SERVICES[n % SERVICES.len()], target.clone());
     FleetSpec {
-        places: (0..opts.nodes).map(place).collect(),
+        instances: (0..opts.nodes).map(place).collect(),
         catalogue: catalogue::text(0),
-        nodes: !opts.naive,
-        settings: NODE_SETTINGS,
-        links: !opts.naive,
-        patience: READY_TIMEOUT,
+        with_nodes: !opts.naive,
+        extra_settings: NODE_SETTINGS,
+        with_links: !opts.naive,
+        ready_timeout: READY_TIMEOUT,
     }
 }
 
 fn caller(opts: Options, fleet: &Fleet) -> Caller {
     let way = match opts.naive {
         true => SystemUnderTest::Naive(naive(fleet)),
-        false => SystemUnderTest::Nodes(EntryNodes::new(fleet.entries())),
+        false => SystemUnderTest::Nodes(EntryNodes::new(fleet.entry_addrs())),
     };
     Caller {
         client: Client::default(),
-        way,
+        system: way,
         kinds: KINDS.to_vec(),
-        run: format!("c{}", opts.seed),
-        repeats: RETRY_POLICY,
+        run_id: format!("c{}", opts.seed),
+        retry_policy: RETRY_POLICY,
         timeout: TIMEOUT,
         grace: TIMEOUT_GRACE,
     }
@@ -173,20 +173,20 @@
     }
     NaiveProxy {
         targets,
-        tries: 3,
-        try_timeout: TIMEOUT / 3,
+        max_attempts: 3,
+        attempt_timeout: TIMEOUT / 3,
     }
 }
 
 fn build_report(opts: Options, script: &Script, load: &OpenLoop, driver: &Driver) -> Report {
-    let runs = driver.fleet.runs();
-    let (_, outages) = driver.log.copy();
+    let runs = driver.fleet.ledger_runs();
+    let (_, outages) = driver.log.history_and_outages();
     let evidence = JoinedRecords::new(&load.records, &runs, &outages);
     let members = driver.fleet.members.iter();
     let names: Vec<InstanceId> = members.map(|m| m.instance.id.clone()).collect();
     let stops = driver.stops.lock().unwrap_or_else(PoisonError::into_inner);
-    let is_explained = |record: &CallRecord| evidence.is_excused(record);
-    let history = events::history(
+    let is_explained = |record: &CallRecord| evidence.is_explained_by_outage(record);
+    let history = events::build_history(
         &driver.log,
         &load.records,
         &runs,
@@ -211,11 +211,11 @@
         faults: script.steps.iter().map(ToString::to_string).collect(),
         verdict: evidence.verdict(),
         reasons: reasons(&load.records),
-        violations: by_promise(&violations),
+        violations: count_by_guarantee(&violations),
         first_violations: first_examples(violations.iter().map(ToString::to_string)),
         first_faults: first_examples(evidence.faults().map(|record| format!("{record:?}"))),
         latency_ms: latency.summary(),
-        release_late_ms: load.late.summary(),
+        release_late_ms: load.lateness.summary(),
         began_us: load.records.iter().map(|r| r.sent_us).min().unwrap_or(0),
         dropped: load.dropped,
         logs: None,
@@ -251,7 +251,9 @@
 ) -> miette::Result<Report> {
     let is_faulty = report.verdict.has_fault() || report.verdict.refused_after_run > 0;
     if opts.keep_logs && (is_faulty || !report.violations.is_empty()) {
-        fleet.write("records.json", records).into_diagnostic()?;
+        fleet
+            .write_json_lines("records.json", records)
+            .into_diagnostic()?;
         let fleet = Arc::into_inner(fleet).ok_or_else(|| miette!("the fleet is still in use"))?;
         report.logs = Some(fleet.keep_logs().display().to_string());
     }
--- a/crates/bench/src/demo/callers.rs
+++ b/crates/bench/src/demo/callers.rs
@@ -32,7 +32,7 @@
 /// is unknown. Some send the second attempt while the first is in flight, as a
 /// user who clicks twice does.
 const REPEATS: RetryPolicy = RetryPolicy {
-    attempts: 2,
+    max_attempts: 2,
     pause: Duration::from_millis(100),
     overlapping_percent: 10,
     overlap_after: Duration::from_millis(5),
@@ -70,10 +70,10 @@
         let plan = plan.take_while(move |_| !stop.load(Ordering::Relaxed));
         let caller = Caller {
             client: Client::default(),
-            way: SystemUnderTest::Nodes(EntryNodes::new(entries)),
+            system: SystemUnderTest::Nodes(EntryNodes::new(entries)),
             kinds,
-            run: "d".to_owned(),
-            repeats: REPEATS,
+            run_id: "d".to_owned(),
+            retry_policy: REPEATS,
             timeout: TIMEOUT,
             grace: GRACE,
         };
--- a/crates/bench/src/demo/changes.rs
+++ b/crates/bench/src/demo/changes.rs
@@ -58,7 +58,7 @@
 
     /// The catalogue's text with all changes so far.
     pub(super) fn render(&self) -> String {
-        generate::render(&self.kinds, &self.services)
+        generate::render_catalogue(&self.kinds, &self.services)
     }
 
     /// Makes a valid change and gives the new text: raises the rate limit of one
--- a/crates/bench/src/demo/fleet/stop.rs
+++ b/crates/bench/src/demo/fleet/stop.rs
@@ -10,7 +10,7 @@
 
 use super::Fleet;
 use crate::chaos::events::NodeStop;
-use crate::chaos::log::now_us;
+use crate::chaos::log::unix_now_us;
 use crate::demo::member::Member;
 use crate::demo::process::Process;
 use crate::load::Outage;
@@ -50,7 +50,7 @@
     ///
     /// Fails if one of them can't be killed.
     pub(in crate::demo) async fn kill(&mut self, id: &InstanceId) -> Result<()> {
-        let from_us = now_us();
+        let from_us = unix_now_us();
         let mut node = self.take_node(id)?;
         let admin = self.member(id)?.target_admin;
         let crash = self.client.post::<()>(admin, "/crash", &());
@@ -114,7 +114,7 @@
     fn record_stop(&mut self, id: &InstanceId) {
         let stopped = self.position(id).map(|instance| NodeStop {
             instance,
-            at_us: now_us(),
+            at_us: unix_now_us(),
         });
         self.stops.extend(stopped);
     }
@@ -125,12 +125,12 @@
         };
         let entry = self.members[instance].listen.ingress;
         for kind in [OutageKind::NodeKilled, OutageKind::TargetCrashed] {
-            self.log.add(Outage {
+            self.log.add_outage(Outage {
                 instance,
                 entry,
                 kind,
                 from_us,
-                to_us: now_us(),
+                to_us: unix_now_us(),
             });
         }
     }
--- a/crates/bench/src/demo/publisher.rs
+++ b/crates/bench/src/demo/publisher.rs
@@ -23,7 +23,7 @@
 use super::changes;
 use super::routes::bind_routes;
 use crate::chaos::log::Log;
-use crate::chaos::log::now_us;
+use crate::chaos::log::unix_now_us;
 
 /// Publishes through the platform's admin address and logs what was published.
 #[derive(Debug)]
@@ -137,7 +137,7 @@
     }
 
     async fn put(&self, path: &str, body: Bytes) -> Result<Published> {
-        let sent_us = now_us();
+        let sent_us = unix_now_us();
         let accepted: Accepted = self.client.put(self.admin, path, body).await?;
         Ok(Published {
             revision: accepted.revision,
--- a/crates/bench/src/demo/results.rs
+++ b/crates/bench/src/demo/results.rs
@@ -64,13 +64,14 @@
         let platform = fleet.publisher.stats().await?;
         fleet.drain_all().await?;
         let runs = fleet.ledger_runs().await?;
-        let (_, outages) = fleet.log.copy();
+        let (_, outages) = fleet.log.history_and_outages();
         let joined = load::JoinedRecords::new(&load.records, &runs, &outages);
         let names = fleet.members.iter().map(|member| member.id().clone());
         let names: Vec<InstanceId> = names.collect();
-        let excused = |record: &CallRecord| joined.is_excused(record);
+        let excused = |record: &CallRecord| joined.is_explained_by_outage(record);
         let records = &load.records;
-        let history = events::history(&fleet.log, records, &runs, &names, &fleet.stops, excused);
+        let history =
+            events::build_history(&fleet.log, records, &runs, &names, &fleet.stops, excused);
         let faults = joined.faults().take(MAX_FAULTS_SHOWN);
         Ok(DemoResults {
             verdict: joined.verdict(),
--- a/crates/bench/src/demo/status_poller.rs
+++ b/crates/bench/src/demo/status_poller.rs
@@ -24,7 +24,7 @@
 use tokio::time::sleep;
 
 use crate::chaos::log::Log;
-use crate::chaos::observer::held_by;
+use crate::chaos::observer::fetch_snapshot_facts;
 
 /// Time between two status requests to a node.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -135,7 +135,7 @@
         if status.phase < Phase::Ready || last.as_ref() == Some(&status.held) {
             return;
         }
-        if let Some(held) = held_by(self.admin).await {
+        if let Some(held) = fetch_snapshot_facts(self.admin).await {
             let node = self.id.clone();
             let held = Arc::new(held);
             self.log.record(Event::InForce { node, held });
--- a/crates/bench/src/fault/case_fleet.rs
+++ b/crates/bench/src/fault/case_fleet.rs
@@ -244,7 +244,7 @@
         self.record_source_lost();
         let platform = self.fleet.platform();
         platform
-            .set_stale_at(Stream::Catalogue, at.revision())
+            .set_stale_revision(Stream::Catalogue, at.revision())
             .into_diagnostic()
     }
 
--- a/crates/bench/src/generate.rs
+++ b/crates/bench/src/generate.rs
@@ -3,7 +3,7 @@
 pub use self::catalogue::GeneratedCatalogue;
 pub use self::fleet::GeneratedFleet;
 pub use self::shape::Shape;
-pub use self::text::render;
+pub use self::text::render_catalogue;
 
 mod catalogue;
 mod fleet;
--- a/crates/bench/src/generate/catalogue.rs
+++ b/crates/bench/src/generate/catalogue.rs
@@ -81,7 +81,7 @@
 
     /// The text of the catalogue, as an operator publishes it.
     pub fn text(&self) -> String {
-        text::render(&self.kinds, &self.services)
+        text::render_catalogue(&self.kinds, &self.services)
     }
 
     /// A text of about the same size with a route to a service that doesn't
@@ -93,7 +93,7 @@
         if let Some(route) = services.first_mut().and_then(|s| s.routes.first_mut()) {
             route.service = name;
         }
-        text::render(&self.kinds, &services)
+        text::render_catalogue(&self.kinds, &services)
     }
 }
 
--- a/crates/bench/src/generate/text.rs
+++ b/crates/bench/src/generate/text.rs
@@ -7,7 +7,7 @@
 use sassafrasspool_core::ServiceEntry;
 
 /// Renders a catalogue as YAML, in the form that operators publish.
-pub fn render(kinds: &[Kind], services: &[ServiceEntry]) -> String {
+pub fn render_catalogue(kinds: &[Kind], services: &[ServiceEntry]) -> String {
     let mut text = String::from("kinds:\n");
     for kind in kinds {
         push_line(
--- a/crates/bench/src/load/admin.rs
+++ b/crates/bench/src/load/admin.rs
@@ -44,7 +44,7 @@
 
 /// Waits until the node reports that it is ready. `false` if it isn't by
 /// `deadline`.
-pub async fn is_ready_before(addr: SocketAddr, deadline: Instant) -> bool {
+pub async fn wait_until_ready(addr: SocketAddr, deadline: Instant) -> bool {
     while !is_ready(addr).await {
         if Instant::now() >= deadline {
             return false;
--- a/crates/bench/src/load/caller.rs
+++ b/crates/bench/src/load/caller.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryPolicy {
     /// Attempts in all, the first one included.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Time between the end of an attempt and the next one.
     pub pause: Duration,
     /// Percentage of calls whose second attempt is sent without waiting for the end
@@ -35,7 +35,7 @@
 impl RetryPolicy {
     /// No retries.
     pub const NONE: RetryPolicy = RetryPolicy {
-        attempts: 1,
+        max_attempts: 1,
         pause: Duration::ZERO,
         overlapping_percent: 0,
         overlap_after: Duration::ZERO,
@@ -51,14 +51,14 @@
     /// The client with its connections.
     pub client: Client,
     /// The system that it sends its requests to.
-    pub way: SystemUnderTest,
+    pub system: SystemUnderTest,
     /// The kinds that the calls index.
     pub kinds: Vec<CallKind>,
     /// Prefix of its request ids, different from those of other runs on the same
     /// targets.
-    pub run: String,
+    pub run_id: String,
     /// How it retries.
-    pub repeats: RetryPolicy,
+    pub retry_policy: RetryPolicy,
     /// Caller timeout, which is sent with each request.
     pub timeout: Duration,
     /// How long after the timeout it still waits for the node's timeout answer.
@@ -69,20 +69,23 @@
     /// Makes a call with its retries and gives a record of each attempt.
     pub async fn call(&self, due: DueCall) -> Vec<CallRecord> {
         let mut rng = SmallRng::seed_from_u64(due.call.draw);
-        let overlaps = rng.random_range(0..100) < self.repeats.overlapping_percent;
-        if overlaps && self.repeats.attempts > 1 && self.may_retry(&due.call, Ending::Unknown) {
+        let overlaps = rng.random_range(0..100) < self.retry_policy.overlapping_percent;
+        if overlaps
+            && self.retry_policy.max_attempts > 1
+            && self.may_retry(&due.call, Ending::Unknown)
+        {
             return self.overlapping_attempts(&due, &mut rng).await;
         }
         let mut records: Vec<CallRecord> = Vec::new();
-        let mut due_at = due.at;
-        for number in 1..=self.repeats.attempts {
+        let mut due_at = due.released_at;
+        for number in 1..=self.retry_policy.max_attempts {
             let record = self.attempt(&due.call, number, due_at, rng.random()).await;
             let retries = self.may_retry(&due.call, record.ending);
             records.push(record);
             if !retries {
                 break;
             }
-            tokio::time::sleep(self.repeats.pause).await;
+            tokio::time::sleep(self.retry_policy.pause).await;
             due_at = Instant::now();
         }
         records
@@ -90,10 +93,10 @@
 
     /// Makes two attempts, the second without waiting for the end of the first.
     async fn overlapping_attempts(&self, due: &DueCall, rng: &mut SmallRng) -> Vec<CallRecord> {
-        let first = self.attempt(&due.call, 1, due.at, rng.random());
+        let first = self.attempt(&due.call, 1, due.released_at, rng.random());
         let draw = rng.random();
         let second = async {
-            tokio::time::sleep(self.repeats.overlap_after).await;
+            tokio::time::sleep(self.retry_policy.overlap_after).await;
             self.attempt(&due.call, 2, Instant::now(), draw).await
         };
         let (first, second) = tokio::join!(first, second);
@@ -112,11 +115,11 @@
 
     async fn attempt(&self, call: &Call, number: u32, due_at: Instant, draw: u64) -> CallRecord {
         let kind = &self.kinds[call.kind];
-        let attempt = Attempt::new(&self.run, call, kind, number, self.timeout);
+        let attempt = Attempt::new(&self.run_id, call, kind, number, self.timeout);
         let sent_us = now_us();
         let max_wait = self.timeout + self.grace;
         let exchange = self
-            .way
+            .system
             .exchange(&self.client, &attempt, max_wait, draw)
             .await;
         let latency = due_at.elapsed();
--- a/crates/bench/src/load/client.rs
+++ b/crates/bench/src/load/client.rs
@@ -135,7 +135,7 @@
             }
         };
         self.keep_idle(addr, sender);
-        exchange.ending = match header::outcome(&head.headers) {
+        exchange.ending = match header::parse_outcome(&head.headers) {
             Some(Outcome::NotRun) => Ending::NotRun,
             Some(Outcome::Unknown) => Ending::Unknown,
             None if head.status != StatusCode::OK => Ending::Failed,
--- a/crates/bench/src/load/fleet/running_fleet.rs
+++ b/crates/bench/src/load/fleet/running_fleet.rs
@@ -63,10 +63,10 @@
         let mut builder = MemberBuilder {
             ports: Ports::new(),
             dir: dir.path().to_owned(),
-            links: layout.links,
+            links: layout.with_links,
         };
         let mut members = Vec::new();
-        for (n, place) in layout.places.iter().enumerate() {
+        for (n, place) in layout.instances.iter().enumerate() {
             let target = Target::start(place.target.clone(), cancel.clone());
             let target = target.await.into_diagnostic()?;
             members.push(builder.build(n, place, target).await?);
@@ -77,22 +77,24 @@
             dir,
             _ports: builder.ports,
         };
-        fleet.write_settings(layout.settings).into_diagnostic()?;
+        fleet
+            .write_settings(layout.extra_settings)
+            .into_diagnostic()?;
         fleet.publish(layout)?;
-        if layout.nodes {
+        if layout.with_nodes {
             fleet.start_nodes().await?;
-            fleet.wait_until_ready(layout.patience).await?;
+            fleet.wait_until_ready(layout.ready_timeout).await?;
         }
         Ok(fleet)
     }
 
     /// The addresses of the nodes for callers.
-    pub fn entries(&self) -> Vec<SocketAddr> {
+    pub fn entry_addrs(&self) -> Vec<SocketAddr> {
         self.members.iter().map(|member| member.ingress).collect()
     }
 
     /// The runs in all targets' ledgers.
-    pub fn runs(&self) -> Vec<LedgerRun> {
+    pub fn ledger_runs(&self) -> Vec<LedgerRun> {
         self.members.iter().flat_map(Member::runs).collect()
     }
 
@@ -104,7 +106,7 @@
     pub async fn wait_until_ready(&self, timeout: Duration) -> miette::Result<()> {
         let deadline = Instant::now() + timeout;
         for member in &self.members {
-            if !admin::is_ready_before(member.admin, deadline).await {
+            if !admin::wait_until_ready(member.admin, deadline).await {
                 let log = std::fs::read_to_string(&member.log).unwrap_or_default();
                 return Err(miette!("{} isn't ready; {log}", member.instance.id));
             }
@@ -118,7 +120,7 @@
     /// # Errors
     ///
     /// Fails if the file can't be written.
-    pub fn write<T: Serialize>(&self, name: &str, items: &[T]) -> std::io::Result<()> {
+    pub fn write_json_lines<T: Serialize>(&self, name: &str, items: &[T]) -> std::io::Result<()> {
         let mut text = Vec::new();
         for item in items {
             serde_json::to_writer(&mut text, item)?;
--- a/crates/bench/src/load/fleet/spec.rs
+++ b/crates/bench/src/load/fleet/spec.rs
@@ -19,17 +19,17 @@
 #[derive(Debug, Clone)]
 pub struct FleetSpec {
     /// The instances.
-    pub places: Vec<InstanceSpec>,
+    pub instances: Vec<InstanceSpec>,
     /// The catalogue that is published first.
     pub catalogue: String,
     /// Whether nodes are started. The naive proxy uses none.
-    pub nodes: bool,
+    pub with_nodes: bool,
     /// Lines appended to each node's settings.
-    pub settings: &'static str,
+    pub extra_settings: &'static str,
     /// Whether nodes reach each other through links that can be made to fail.
-    pub links: bool,
+    pub with_links: bool,
     /// How long the start may take until all nodes are ready.
-    pub patience: Duration,
+    pub ready_timeout: Duration,
 }
 
 /// The failure domains over which instances are placed round-robin.
--- a/crates/bench/src/load/link.rs
+++ b/crates/bench/src/load/link.rs
@@ -89,13 +89,13 @@
     }
 
     /// Delays bytes; a delay of zero ends that.
-    pub fn delay(&self, delay: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         self.state.send_modify(|state| state.delay = delay);
     }
 
     /// Holds bytes back in one or both directions, like a network partition: no
     /// connection is reset, and the bytes arrive once the link is unblocked.
-    pub fn hold(&self, forward: bool, backward: bool) {
+    pub fn set_blocked(&self, forward: bool, backward: bool) {
         self.state.send_modify(|state| {
             state.blocked_forward = forward;
             state.blocked_backward = backward;
@@ -103,14 +103,14 @@
     }
 
     /// Resets the connections that are open now.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         let below = self.connections.load(Ordering::Relaxed);
         self.state.send_modify(|state| state.reset_below = below);
     }
 
     /// Drops all further bytes of the connections that are open now without closing
     /// them, like a middlebox that lost its state. New connections work.
-    pub fn silence(&self) {
+    pub fn blackhole_connections(&self) {
         let below = self.connections.load(Ordering::Relaxed);
         self.state.send_modify(|state| state.silent_below = below);
     }
--- a/crates/bench/src/load/link/tests.rs
+++ b/crates/bench/src/load/link/tests.rs
@@ -59,12 +59,12 @@
 // then prove nothing.
 #[rstest]
 #[case::none(Case { inject: |_| {}, open: Reply::Echo, new: Reply::Echo })]
-#[case::delay(Case { inject: |link| link.delay(REPLY_TIMEOUT), open: Reply::Timeout, new: Reply::Timeout })]
-#[case::cut(Case { inject: |link| link.hold(true, true), open: Reply::Timeout, new: Reply::Timeout })]
-#[case::cut_forth(Case { inject: |link| link.hold(true, false), open: Reply::Timeout, new: Reply::Timeout })]
-#[case::cut_back(Case { inject: |link| link.hold(false, true), open: Reply::Timeout, new: Reply::Timeout })]
-#[case::reset(Case { inject: Link::reset, open: Reply::Closed, new: Reply::Echo })]
-#[case::silence(Case { inject: Link::silence, open: Reply::Timeout, new: Reply::Echo })]
+#[case::delay(Case { inject: |link| link.set_delay(REPLY_TIMEOUT), open: Reply::Timeout, new: Reply::Timeout })]
+#[case::cut(Case { inject: |link| link.set_blocked(true, true), open: Reply::Timeout, new: Reply::Timeout })]
+#[case::cut_forth(Case { inject: |link| link.set_blocked(true, false), open: Reply::Timeout, new: Reply::Timeout })]
+#[case::cut_back(Case { inject: |link| link.set_blocked(false, true), open: Reply::Timeout, new: Reply::Timeout })]
+#[case::reset(Case { inject: Link::reset_connections, open: Reply::Closed, new: Reply::Echo })]
+#[case::silence(Case { inject: Link::blackhole_connections, open: Reply::Timeout, new: Reply::Echo })]
 #[tokio::test]
 async fn a_fault_affects_open_and_new_connections_as_named(#[case] case: Case) {
     let link = echo_link().await;
@@ -82,9 +82,9 @@
 async fn bytes_held_back_arrive_after_the_link_is_unblocked() {
     let link = echo_link().await;
     let mut stream = TcpStream::connect(link.addr()).await.expect("a connection");
-    link.hold(false, true);
+    link.set_blocked(false, true);
     assert_eq!(ping(&mut stream).await, Reply::Timeout);
-    link.hold(false, false);
+    link.set_blocked(false, false);
     let mut buf = [0; 4];
     stream.read_exact(&mut buf).await.expect("an echo");
     assert_eq!(&buf, b"ping");
--- a/crates/bench/src/load/naive_proxy.rs
+++ b/crates/bench/src/load/naive_proxy.rs
@@ -21,9 +21,9 @@
     /// The targets of each path.
     pub targets: HashMap<&'static str, Vec<SocketAddr>>,
     /// Attempts in all, the first one included.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Timeout of each attempt.
-    pub try_timeout: Duration,
+    pub attempt_timeout: Duration,
 }
 
 impl NaiveProxy {
@@ -35,9 +35,11 @@
         let Some(targets) = self.targets.get(attempt.path) else {
             return last;
         };
-        for _ in 0..self.tries {
+        for _ in 0..self.max_attempts {
             let target = targets[rng.random_range(0..targets.len())];
-            last = client.exchange(&[target], attempt, self.try_timeout).await;
+            last = client
+                .exchange(&[target], attempt, self.attempt_timeout)
+                .await;
             match last.ending {
                 Ending::Answered | Ending::Wrong => return last,
                 _ => {}
--- a/crates/bench/src/load/node_process.rs
+++ b/crates/bench/src/load/node_process.rs
@@ -8,7 +8,7 @@
 use tokio::process::Child;
 use tokio::process::Command;
 
-use super::process::beside;
+use super::process::sibling_program;
 use super::process::signal;
 
 /// The node's program, expected in the directory of this one.
@@ -32,7 +32,7 @@
             .create(true)
             .append(true)
             .open(log)?;
-        let child = Command::new(beside(PROGRAM)?)
+        let child = Command::new(sibling_program(PROGRAM)?)
             .arg("--settings")
             .arg(file)
             .stdin(Stdio::null())
--- a/crates/bench/src/load/open_loop.rs
+++ b/crates/bench/src/load/open_loop.rs
@@ -20,7 +20,7 @@
     pub records: Vec<CallRecord>,
     /// By how much calls were released late, which shows whether the machine kept
     /// up with the plan.
-    pub late: Samples,
+    pub lateness: Samples,
     /// Calls that were never made because too many were in flight.
     pub dropped: u64,
 }
@@ -35,7 +35,7 @@
         let mut calls = JoinSet::new();
         let mut pacer = Pacer::start(plan);
         while let Some(due) = pacer.next().await {
-            done.late.add(due.late);
+            done.lateness.add(due.lateness);
             if calls.len() >= MAX_CALLS_IN_FLIGHT {
                 done.dropped += 1;
                 continue;
--- a/crates/bench/src/load/outcomes/joined_records.rs
+++ b/crates/bench/src/load/outcomes/joined_records.rs
@@ -101,7 +101,7 @@
             Ending::Failed => verdict.failed += 1,
             Ending::NotSent => verdict.not_sent += 1,
             Ending::Wrong => verdict.cut += 1,
-            Ending::Broken | Ending::Silence if self.is_excused(record) => {
+            Ending::Broken | Ending::Silence if self.is_explained_by_outage(record) => {
                 verdict.unknown += 1;
                 verdict.unknown_by_outage += 1;
             }
@@ -134,7 +134,7 @@
     /// Whether an outage explains the end of the attempt: the node that it was sent
     /// to, or an instance that ran it, had an outage while the attempt was in flight
     /// or shortly before.
-    pub fn is_excused(&self, record: &CallRecord) -> bool {
+    pub fn is_explained_by_outage(&self, record: &CallRecord) -> bool {
         let during = |outage: &&Outage| {
             let to_us = outage.to_us.saturating_add(OUTAGE_DETECTION_US);
             outage.from_us <= record.ended_us && record.sent_us <= to_us
--- a/crates/bench/src/load/pacer.rs
+++ b/crates/bench/src/load/pacer.rs
@@ -14,9 +14,9 @@
     /// The call.
     pub call: Call,
     /// When it was released; its latency counts from then.
-    pub at: Instant,
+    pub released_at: Instant,
     /// By how much the release was late.
-    pub late: Duration,
+    pub lateness: Duration,
 }
 
 /// Releases planned calls on a separate thread.
@@ -52,8 +52,8 @@
         let now = Instant::now();
         let due = DueCall {
             call,
-            at: now,
-            late: now.saturating_duration_since(planned),
+            released_at: now,
+            lateness: now.saturating_duration_since(planned),
         };
         if tx.send(due).is_err() {
             return;
--- a/crates/bench/src/load/process.rs
+++ b/crates/bench/src/load/process.rs
@@ -26,7 +26,7 @@
 /// # Errors
 ///
 /// Fails if it isn't there.
-pub fn beside(program: &str) -> std::io::Result<PathBuf> {
+pub fn sibling_program(program: &str) -> std::io::Result<PathBuf> {
     let path = std::env::current_exe()?.with_file_name(program);
     match path.exists() {
         true => Ok(path),
--- a/crates/bench/src/load/tests.rs
+++ b/crates/bench/src/load/tests.rs
@@ -66,10 +66,10 @@
 fn caller(addrs: Vec<SocketAddr>) -> Arc<Caller> {
     Arc::new(Caller {
         client: Client::default(),
-        way: SystemUnderTest::Nodes(EntryNodes::new(addrs)),
+        system: SystemUnderTest::Nodes(EntryNodes::new(addrs)),
         kinds: vec![KIND],
-        run: "t".to_owned(),
-        repeats: RetryPolicy::NONE,
+        run_id: "t".to_owned(),
+        retry_policy: RetryPolicy::NONE,
         timeout: Duration::from_secs(10),
         grace: Duration::from_secs(10),
     })
@@ -122,20 +122,20 @@
     let mut ports = Ports::new();
     let addr = ports.take().unwrap();
     let link = Link::start(addr, target.addr()).await.unwrap();
-    link.hold(true, true);
+    link.set_blocked(true, true);
     let first_call = || plan(1).take(1).last().unwrap();
     let caller = caller(vec![link.addr()]);
     let delayed = {
         let caller = Arc::clone(&caller);
         let due = DueCall {
             call: first_call(),
-            at: Instant::now(),
-            late: Duration::ZERO,
+            released_at: Instant::now(),
+            lateness: Duration::ZERO,
         };
         tokio::spawn(async move { caller.call(due).await })
     };
     assert!(target.ledger().runs.is_empty());
-    link.hold(false, false);
+    link.set_blocked(false, false);
     let records = delayed.await.unwrap();
     assert_eq!(records[0].ending, Ending::Answered);
     assert_eq!(target.ledger().runs.len(), 1);
@@ -147,14 +147,14 @@
 #[tokio::test]
 async fn the_naive_proxy_doubles_requests_and_refuses_falsely() {
     let target = start_target().await;
-    target.late_answers(1, Duration::from_secs(60)).await;
+    target.set_late_answers(1, Duration::from_secs(60)).await;
     let naive = NaiveProxy {
         targets: HashMap::from([(KIND.path, vec![target.addr()])]),
-        tries: 3,
-        try_timeout: Duration::from_millis(100),
+        max_attempts: 3,
+        attempt_timeout: Duration::from_millis(100),
     };
     let caller = Caller {
-        way: SystemUnderTest::Naive(naive),
+        system: SystemUnderTest::Naive(naive),
         ..Arc::into_inner(caller(Vec::new())).unwrap()
     };
     let plan = Plan::new(&[KIND], RATE, Duration::from_millis(20), 1);
--- a/crates/bench/src/overload/report.rs
+++ b/crates/bench/src/overload/report.rs
@@ -92,7 +92,7 @@
             goodput_of_capacity: goodput_per_s / capacity_per_s,
             runs_per_answer: runs as f64 / answers.max(1.0),
             by_class,
-            release_late_ms: load.late.summary(),
+            release_late_ms: load.lateness.summary(),
         }
     }
 }
--- a/crates/bench/src/overload/run.rs
+++ b/crates/bench/src/overload/run.rs
@@ -95,7 +95,7 @@
     let rate = opts.factor * f64::from(slots) / service.as_secs_f64();
     let plan = Plan::new(&KINDS, rate, opts.length, opts.seed);
     let load = OpenLoop::run(plan, Arc::new(caller(&fleet, with_nodes))).await;
-    let runs = fleet.runs();
+    let runs = fleet.ledger_runs();
     let run_time = mean_run_time(&runs).unwrap_or(service);
     Ok(Goodput::new(
         &load,
@@ -117,12 +117,12 @@
     };
     let place = |n| InstanceSpec::new(n, "desk", target.clone());
     FleetSpec {
-        places: (0..opts.nodes).map(place).collect(),
+        instances: (0..opts.nodes).map(place).collect(),
         catalogue: catalogue(),
-        nodes: with_nodes,
-        settings: "",
-        links: false,
-        patience: READY_TIMEOUT,
+        with_nodes,
+        extra_settings: "",
+        with_links: false,
+        ready_timeout: READY_TIMEOUT,
     }
 }
 
@@ -146,15 +146,15 @@
 
 fn caller(fleet: &Fleet, with_nodes: bool) -> Caller {
     let way = match with_nodes {
-        true => SystemUnderTest::Nodes(EntryNodes::new(fleet.entries())),
+        true => SystemUnderTest::Nodes(EntryNodes::new(fleet.entry_addrs())),
         false => SystemUnderTest::Naive(naive(fleet)),
     };
     Caller {
         client: Client::default(),
-        way,
+        system: way,
         kinds: KINDS.to_vec(),
-        run: "o".to_owned(),
-        repeats: RetryPolicy::NONE,
+        run_id: "o".to_owned(),
+        retry_policy: RetryPolicy::NONE,
         timeout: CALL_TIMEOUT,
         grace: TIMEOUT_GRACE,
     }
@@ -165,8 +165,8 @@
     let of_path = KINDS.iter().map(|kind| (kind.path, targets.clone()));
     NaiveProxy {
         targets: HashMap::from_iter(of_path),
-        tries: NAIVE_MAX_ATTEMPTS,
-        try_timeout: CALL_TIMEOUT,
+        max_attempts: NAIVE_MAX_ATTEMPTS,
+        attempt_timeout: CALL_TIMEOUT,
     }
 }
 
--- a/crates/node/src/control/peer_message_handler.rs
+++ b/crates/node/src/control/peer_message_handler.rs
@@ -73,7 +73,7 @@
         answer.await.unwrap_or(PeerReply::Refused)
     }
 
-    fn fault(&self, _: SocketAddr, err: &Error) {
+    fn record_fault(&self, _: SocketAddr, err: &Error) {
         record_fault(err);
     }
 }
--- a/crates/node/src/traffic/failure_response.rs
+++ b/crates/node/src/traffic/failure_response.rs
@@ -111,7 +111,7 @@
 /// answer is the target's.
 pub(super) fn parse_failure<B>(res: &Response<B>) -> Option<Failure> {
     let headers = res.headers();
-    let outcome = names::outcome(headers)?;
+    let outcome = names::parse_outcome(headers)?;
     let reason = text(headers, &names::REASON).and_then(Reason::from_name);
     // A reason that is unknown to this version proves nothing about the request.
     let Some(reason) = reason else {
--- a/crates/node/src/traffic/listener/serve/pipelining/pipeline.rs
+++ b/crates/node/src/traffic/listener/serve/pipelining/pipeline.rs
@@ -112,11 +112,11 @@
 }
 
 impl IoObserver for Pipeline {
-    fn read(&mut self, bytes: &[u8]) {
+    fn on_read(&mut self, bytes: &[u8]) {
         self.lock().inspect(bytes);
     }
 
-    fn written(&mut self, _: usize) {}
+    fn on_written(&mut self, _: usize) {}
 }
 
 impl State {
--- a/crates/node/tests/control/fleet_restart.rs
+++ b/crates/node/tests/control/fleet_restart.rs
@@ -74,7 +74,7 @@
     let next = fleet.publish(&CATALOGUE.replace("weight: 1", "weight: 2"));
     fleet.wait_until_in_force(next).await;
     fleet.wait_until_ready().await;
-    let stale = fleet.platform.set_stale_at(Stream::Catalogue, first);
+    let stale = fleet.platform.set_stale_revision(Stream::Catalogue, first);
     stale.expect("an older revision");
     fleet.crash_and_restart(0..1).await;
     fleet.wait_until_in_force(next).await;
--- a/crates/node/tests/requests/cancel.rs
+++ b/crates/node/tests/requests/cancel.rs
@@ -78,7 +78,7 @@
     let adjuster = &fleet.members[1];
     adjuster
         .target
-        .late_answers(2, Duration::from_millis(200))
+        .set_late_answers(2, Duration::from_millis(200))
         .await;
     let mut timeouts = 0;
     for n in 0..20 {
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -87,10 +87,10 @@
     let run = format!("s{}-{}", job.seed, job.number);
     let caller = Caller {
         client: Client::default(),
-        way: SystemUnderTest::Nodes(EntryNodes::new(job.entries.clone())),
+        system: SystemUnderTest::Nodes(EntryNodes::new(job.entries.clone())),
         kinds: KINDS.to_vec(),
-        run: run.clone(),
-        repeats: RETRY_POLICY,
+        run_id: run.clone(),
+        retry_policy: RETRY_POLICY,
         timeout: TIMEOUT,
         grace: TIMEOUT_GRACE,
     };
--- a/crates/soak/src/catalogue.rs
+++ b/crates/soak/src/catalogue.rs
@@ -19,7 +19,7 @@
 pub fn text(change: u64, evacuated: &[&str]) -> String {
     let lasts_ms = COLD_DURATION.as_millis();
     let cold = format!("cold_start: {{lasts_ms: {lasts_ms}, per_s: {COLD_RATE_PER_S}}}");
-    let mut text = catalogue::text_with(change, &cold);
+    let mut text = catalogue::text_with_service_line(change, &cold);
     if !evacuated.is_empty() {
         text += &format!("evacuated: [{}]\n", evacuated.join(", "));
     }
--- a/crates/soak/src/child.rs
+++ b/crates/soak/src/child.rs
@@ -38,7 +38,7 @@
     /// Fails if the program doesn't exist or can't be started.
     pub fn start(program: &str, args: &[OsString], log: &Path) -> std::io::Result<Child> {
         let own = std::env::current_exe()?;
-        let path = process::beside(program)?;
+        let path = process::sibling_program(program)?;
         let log = File::options().create(true).append(true).open(log)?;
         let process = Command::new(own)
             .arg(UNDER_SUBCOMMAND)
--- a/crates/soak/src/driver.rs
+++ b/crates/soak/src/driver.rs
@@ -9,7 +9,7 @@
 use miette::IntoDiagnostic;
 use sassafrasspool_bench::chaos::events::NodeStop;
 use sassafrasspool_bench::chaos::log::Log;
-use sassafrasspool_bench::chaos::log::now_us;
+use sassafrasspool_bench::chaos::log::unix_now_us;
 use sassafrasspool_bench::load::DOMAINS;
 use sassafrasspool_bench::load::LedgerRun;
 use sassafrasspool_bench::load::Outage;
@@ -252,13 +252,13 @@
         lock(&self.stalls).push(Impairment {
             instance: n,
             from_us,
-            to_us: now_us(),
+            to_us: unix_now_us(),
         });
     }
 
     /// Records an outage of an instance that lasted until now.
     fn record_outage(&self, n: usize, kind: OutageKind, from_us: u64) {
-        self.record_outage_until(n, kind, from_us, now_us());
+        self.record_outage_until(n, kind, from_us, unix_now_us());
     }
 
     /// Records an outage of an instance. A fault of the callers' link doesn't affect callers
@@ -271,7 +271,7 @@
             .into_iter()
             .filter(|it| affected.is_none_or(|affected| affected == *it))
         {
-            self.log.add(Outage {
+            self.log.add_outage(Outage {
                 instance: n,
                 entry,
                 kind,
--- a/crates/soak/src/driver/impairments.rs
+++ b/crates/soak/src/driver/impairments.rs
@@ -1,6 +1,6 @@
 //! Tracks when faults kept nodes from receiving new versions.
 
-use sassafrasspool_bench::chaos::log::now_us;
+use sassafrasspool_bench::chaos::log::unix_now_us;
 
 use crate::verdict::Impairment;
 
@@ -19,7 +19,7 @@
         let is_first = !self.is_impaired(instance);
         self.0.push(Impairment {
             instance,
-            from_us: now_us(),
+            from_us: unix_now_us(),
             to_us: u64::MAX,
         });
         is_first
@@ -30,7 +30,7 @@
     pub(super) fn end(&mut self, instance: usize) -> bool {
         let oldest = self.0.iter_mut().find(|it| is_open(it, instance));
         if let Some(oldest) = oldest {
-            oldest.to_us = now_us();
+            oldest.to_us = unix_now_us();
         }
         !self.is_impaired(instance)
     }
--- a/crates/soak/src/driver/links.rs
+++ b/crates/soak/src/driver/links.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sassafrasspool_bench::chaos::log::now_us;
+use sassafrasspool_bench::chaos::log::unix_now_us;
 use sassafrasspool_bench::load::OutageKind;
 
 use super::Driver;
@@ -23,21 +23,23 @@
         length: Duration,
     ) {
         let link = self.member(n).link(role);
-        let from_us = now_us();
+        let from_us = unix_now_us();
         self.begin_impairment(n);
         match fault {
-            LinkFault::Delay => link.delay(DELAY),
-            LinkFault::Reset => link.reset(),
-            LinkFault::Silence => link.silence(),
-            LinkFault::Cut => link.hold(true, true),
-            LinkFault::CutForth => link.hold(true, false),
-            LinkFault::CutBack => link.hold(false, true),
+            LinkFault::Delay => link.set_delay(DELAY),
+            LinkFault::Reset => link.reset_connections(),
+            LinkFault::Silence => link.blackhole_connections(),
+            LinkFault::Cut => link.set_blocked(true, true),
+            LinkFault::CutForth => link.set_blocked(true, false),
+            LinkFault::CutBack => link.set_blocked(false, true),
         }
         tokio::time::sleep(length).await;
         match fault {
-            LinkFault::Delay => link.delay(Duration::ZERO),
+            LinkFault::Delay => link.set_delay(Duration::ZERO),
             LinkFault::Reset | LinkFault::Silence => {}
-            LinkFault::Cut | LinkFault::CutForth | LinkFault::CutBack => link.hold(false, false),
+            LinkFault::Cut | LinkFault::CutForth | LinkFault::CutBack => {
+                link.set_blocked(false, false)
+            }
         }
         self.end_impairment(n);
         if role == LinkRole::Target {
--- a/crates/soak/src/driver/nodes.rs
+++ b/crates/soak/src/driver/nodes.rs
@@ -5,7 +5,7 @@
 use miette::IntoDiagnostic;
 use rustix::process::Signal;
 use sassafrasspool_bench::chaos::events::NodeStop;
-use sassafrasspool_bench::chaos::log::now_us;
+use sassafrasspool_bench::chaos::log::unix_now_us;
 use sassafrasspool_bench::load::OutageKind;
 use sassafrasspool_core::InstanceState;
 use sassafrasspool_core::history::Event;
@@ -32,7 +32,7 @@
             NodeFault::Stop => self.stop(n, length).await,
             NodeFault::Kill => self.kill(n, length).await,
             NodeFault::Freeze => {
-                let from_us = now_us();
+                let from_us = unix_now_us();
                 self.begin_impairment(n);
                 member.signal_node(Signal::STOP).await.into_diagnostic()?;
                 tokio::time::sleep(length).await;
@@ -43,16 +43,20 @@
                 Ok(())
             }
             NodeFault::ReloadBySignal => {
-                member.change_settings(now_us() % 1_000).into_diagnostic()?;
+                member
+                    .change_settings(unix_now_us() % 1_000)
+                    .into_diagnostic()?;
                 member.signal_node(Signal::HUP).await.into_diagnostic()
             }
-            NodeFault::ReloadByFile => member.change_settings(now_us() % 1_000).into_diagnostic(),
+            NodeFault::ReloadByFile => member
+                .change_settings(unix_now_us() % 1_000)
+                .into_diagnostic(),
         }
     }
 
     async fn stop(&self, n: usize, down: Duration) -> miette::Result<()> {
         let member = self.member(n);
-        let from_us = now_us();
+        let from_us = unix_now_us();
         let target = self.id(n);
         self.publish_state(n, Some(InstanceState::Leaving)).await?;
         // The bound of the drain counts from when the platform accepted the list; a frozen
@@ -65,11 +69,11 @@
         self.record_outage(
             n,
             OutageKind::IdleConnectionsClosed,
-            now_us().saturating_sub(IDLE_CLOSE_US),
+            unix_now_us().saturating_sub(IDLE_CLOSE_US),
         );
         lock(&self.stops).push(NodeStop {
             instance: n,
-            at_us: now_us(),
+            at_us: unix_now_us(),
         });
         let cut = u64::from(!cut_nothing);
         self.log.record(Event::DrainEnded { target, cut });
@@ -82,12 +86,12 @@
     }
 
     async fn kill(&self, n: usize, down: Duration) -> miette::Result<()> {
-        let from_us = now_us();
+        let from_us = unix_now_us();
         self.begin_impairment(n);
         self.member(n).kill_node().await.into_diagnostic()?;
         lock(&self.kills).push(NodeStop {
             instance: n,
-            at_us: now_us(),
+            at_us: unix_now_us(),
         });
         tokio::time::sleep(down).await;
         self.member(n).start_node().await.into_diagnostic()?;
--- a/crates/soak/src/driver/operators.rs
+++ b/crates/soak/src/driver/operators.rs
@@ -2,7 +2,7 @@
 
 use sassafrasspool_bench::chaos;
 use sassafrasspool_bench::chaos::log::Log;
-use sassafrasspool_bench::chaos::log::now_us;
+use sassafrasspool_bench::chaos::log::unix_now_us;
 use sassafrasspool_bench::chaos::publication;
 use sassafrasspool_core::Instance;
 use sassafrasspool_core::InstanceState;
@@ -34,8 +34,11 @@
 
 impl Operators {
     pub(super) fn new(list: Vec<Instance>, log: &Log) -> miette::Result<Operators> {
-        log.record(publication::good_catalogue(1, &catalogue::text(0, &[]))?);
-        log.record(publication::good_list(1, &list)?);
+        log.record(publication::catalogue_published(
+            1,
+            &catalogue::text(0, &[]),
+        )?);
+        log.record(publication::list_published(1, &list)?);
         let instances = list.into_iter().map(|it| (it, Some(InstanceState::Live)));
         Ok(Operators(Mutex::new(Published {
             changes: 0,
@@ -44,7 +47,7 @@
             evacuated: Vec::new(),
             valid_catalogues: vec![PublishedCatalogue {
                 revision: 1,
-                at_us: now_us(),
+                at_us: unix_now_us(),
                 evacuated: Vec::new(),
             }],
             instances: instances.collect(),
@@ -64,7 +67,7 @@
         }
         published.catalogue_revision += 1;
         let text = chaos::catalogue::bad_text(published.changes);
-        let version = publication::catalogue_of(published.catalogue_revision, &text)?.version();
+        let version = publication::parse_catalogue(published.catalogue_revision, &text)?.version();
         let stream = Stream::Catalogue;
         log.record(Event::PublishedBad { stream, version });
         platform.publish("/catalogue", text).await
@@ -112,7 +115,10 @@
             })
         });
         let listed: Vec<Instance> = listed.collect();
-        log.record(publication::good_list(published.list_revision, &listed)?);
+        log.record(publication::list_published(
+            published.list_revision,
+            &listed,
+        )?);
         let body = Fleet::list_body(&listed);
         platform.publish("/instances", body).await
     }
@@ -127,10 +133,13 @@
         evacuated.sort_unstable();
         evacuated.dedup();
         let text = catalogue::text(self.changes, &evacuated);
-        log.record(publication::good_catalogue(self.catalogue_revision, &text)?);
+        log.record(publication::catalogue_published(
+            self.catalogue_revision,
+            &text,
+        )?);
         self.valid_catalogues.push(PublishedCatalogue {
             revision: self.catalogue_revision,
-            at_us: now_us(),
+            at_us: unix_now_us(),
             evacuated,
         });
         platform.publish("/catalogue", text).await
--- a/crates/soak/src/driver/targets.rs
+++ b/crates/soak/src/driver/targets.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use miette::IntoDiagnostic;
-use sassafrasspool_bench::chaos::log::now_us;
+use sassafrasspool_bench::chaos::log::unix_now_us;
 use sassafrasspool_bench::load::OutageKind;
 use sassafrasspool_core::InstanceState;
 use sassafrasspool_core::history::Event;
@@ -24,7 +24,7 @@
         match fault {
             TargetFault::Crash => self.crash(n, length).await,
             TargetFault::Freeze => {
-                let from_us = now_us();
+                let from_us = unix_now_us();
                 target.set_frozen(true).into_diagnostic()?;
                 tokio::time::sleep(length).await;
                 target.set_frozen(false).into_diagnostic()?;
@@ -38,7 +38,7 @@
                 self.publish_state(n, Some(InstanceState::Live)).await
             }
             _ => {
-                let from_us = now_us();
+                let from_us = unix_now_us();
                 target.set_switches(&target_switches(fault, true)).await?;
                 tokio::time::sleep(length).await;
                 target.set_switches(&target_switches(fault, false)).await?;
@@ -52,7 +52,7 @@
 
     async fn crash(&self, n: usize, down: Duration) -> miette::Result<()> {
         let member = self.member(n);
-        let from_us = now_us();
+        let from_us = unix_now_us();
         member.target.crash().await?;
         self.log.record(Event::Crashed { target: self.id(n) });
         tokio::time::sleep(down).await;
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -129,7 +129,7 @@
     async fn wait_until_ready(&self) -> miette::Result<()> {
         let end = Instant::now() + READY_TIMEOUT;
         for member in &self.members {
-            if !admin::is_ready_before(member.admin, end).await {
+            if !admin::wait_until_ready(member.admin, end).await {
                 let log = std::fs::read_to_string(&member.log).unwrap_or_default();
                 return Err(miette!(
                     "node {} isn't ready; its log: {log}",
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -8,7 +8,7 @@
 use sassafrasspool_bench::chaos::bounds::KEY_OWNERS_SETTLE_TIME;
 use sassafrasspool_bench::chaos::bounds::SETTLE_TIME;
 use sassafrasspool_bench::chaos::log::Log;
-use sassafrasspool_bench::chaos::observer::observe;
+use sassafrasspool_bench::chaos::observer::record_snapshots;
 use sassafrasspool_core::InstanceId;
 use sassafrasspool_core::history::Bounds;
 use tokio::task::JoinSet;
@@ -44,7 +44,12 @@
     let mut observers = JoinSet::new();
     for member in &fleet.members {
         let id = member.instance.id.clone();
-        observers.spawn(observe(member.admin, id, Arc::clone(&log), cancel.clone()));
+        observers.spawn(record_snapshots(
+            member.admin,
+            id,
+            Arc::clone(&log),
+            cancel.clone(),
+        ));
     }
     let schedule = Schedule::draw(opts.nodes, opts.length, opts.seed);
     let caller_processes = start_callers(opts, &fleet)?;
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use sassafrasspool_bench::chaos::by_promise;
+use sassafrasspool_bench::chaos::count_by_guarantee;
 use sassafrasspool_bench::chaos::events;
 use sassafrasspool_bench::chaos::events::NodeStop;
 use sassafrasspool_bench::chaos::log::Log;
@@ -120,10 +120,10 @@
         observations: &RunObservations<'_>,
         bounds: &Bounds,
     ) -> Report {
-        let (recorded, outages) = observations.log.copy();
+        let (recorded, outages) = observations.log.history_and_outages();
         let evidence = JoinedRecords::new(observations.records, observations.runs, &outages);
-        let is_excused = |record: &CallRecord| evidence.is_excused(record);
-        let history = events::history(
+        let is_excused = |record: &CallRecord| evidence.is_explained_by_outage(record);
+        let history = events::build_history(
             observations.log,
             observations.records,
             observations.runs,
@@ -165,7 +165,7 @@
             quarantine,
             evacuation,
             cold_start,
-            violations: by_promise(&violations_found),
+            violations: count_by_guarantee(&violations_found),
             first_violations: first_violations.take(MAX_DESCRIBED_VIOLATIONS).collect(),
             schedule: schedule.steps.iter().map(ToString::to_string).collect(),
             files_dir: None,
--- a/crates/soak/src/verdict/tests/evacuations.rs
+++ b/crates/soak/src/verdict/tests/evacuations.rs
@@ -69,7 +69,7 @@
         at_us: 1_000_000 * at_s,
     });
     let ends = Vec::from_iter(ends);
-    let (history, _) = log.copy();
+    let (history, _) = log.history_and_outages();
     let timeline = Timeline::new(catalogues, &history, &runs, &ends, stalls);
     let id = id(0);
     let instance = JudgedInstance {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -214,7 +214,7 @@
     /// # Errors
     ///
     /// Fails if the revision isn't among the last 16.
-    pub fn set_stale_at(&self, stream: Stream, revision: Revision) -> Result<()> {
+    pub fn set_stale_revision(&self, stream: Stream, revision: Revision) -> Result<()> {
         Ok(self
             .shared
             .change(|state, _| state.values_mut(stream).freeze_at(revision))?)
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -183,7 +183,7 @@
 
     /// Delays one answer in `every` by `by`, in whole milliseconds; none if
     /// `every` is 0. The work itself isn't delayed.
-    pub async fn late_answers(&self, every: u64, by: Duration) {
+    pub async fn set_late_answers(&self, every: u64, by: Duration) {
         let late = Some(LateAnswers {
             every,
             by_ms: whole_ms(by),
@@ -196,7 +196,7 @@
     }
 
     /// Sets what the health and load endpoints report.
-    pub async fn lie_about_health(&self, report: HealthReport) {
+    pub async fn set_health_report(&self, report: HealthReport) {
         let health = Some(report);
         self.apply_switches(&TargetSwitches {
             health,
--- a/crates/standin/tests/standin/target.rs
+++ b/crates/standin/tests/standin/target.rs
@@ -223,7 +223,7 @@
 #[tokio::test]
 async fn health_and_load_follow_the_configured_report(#[case] case: HealthCase) {
     let target = start(TargetSettings::default()).await;
-    target.lie_about_health(case.report).await;
+    target.set_health_report(case.report).await;
     target.set_hang_after_run(true).await;
     let _busy = Caller::connect(target.addr())
         .await
@@ -242,7 +242,7 @@
 async fn late_answers_are_delayed_and_complete() {
     let target = start(TargetSettings::default()).await;
     let late_by = Duration::from_millis(50);
-    target.late_answers(1, late_by).await;
+    target.set_late_answers(1, late_by).await;
     let mut caller = Caller::connect(target.addr()).await;
     let answer = caller.get("/a").await.unwrap();
     assert_eq!(*answer.body(), answer_body("r-1", 0));
--- a/crates/wire/src/header.rs
+++ b/crates/wire/src/header.rs
@@ -78,7 +78,7 @@
 
 /// The outcome in an answer's [`OUTCOME`] header, if it has one. A value that isn't
 /// valid counts as unknown.
-pub fn outcome(headers: &HeaderMap) -> Option<Outcome> {
+pub fn parse_outcome(headers: &HeaderMap) -> Option<Outcome> {
     let name = headers.get(OUTCOME)?.to_str().ok();
     let outcome = name.and_then(Outcome::from_name);
     Some(outcome.unwrap_or(Outcome::Unknown))
--- a/crates/wire/src/peer/handler.rs
+++ b/crates/wire/src/peer/handler.rs
@@ -18,5 +18,5 @@
 
     /// Records a peer's fault: a message that doesn't decode or a connection over the
     /// limit. It has no other effect.
-    fn fault(&self, peer: SocketAddr, err: &Error);
+    fn record_fault(&self, peer: SocketAddr, err: &Error);
 }
--- a/crates/wire/src/peer/server.rs
+++ b/crates/wire/src/peer/server.rs
@@ -65,7 +65,7 @@
             // the limit are closed at once; their nodes retry after a backoff with jitter.
             let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
                 let err = Error::new(Step::Connect, "connection limit reached");
-                self.handler.fault(peer, &err.at_peer(peer));
+                self.handler.record_fault(peer, &err.at_peer(peer));
                 continue;
             };
             let served = self.serve_connection(io, peer, permit);
@@ -91,7 +91,7 @@
         async move {
             let _permit = permit;
             if let Err(err) = answer_messages(io, &service, limits, bytes).await {
-                service.handler.fault(peer, &err.at_peer(peer));
+                service.handler.record_fault(peer, &err.at_peer(peer));
             }
         }
     }
@@ -138,7 +138,8 @@
             Err(err) => self.refuse_message(&err.at_peer(format!("{from} ({})", self.peer))),
         };
         Packed::pack(&reply).unwrap_or_else(|err| {
-            self.handler.fault(self.peer, &err.at_peer(self.peer));
+            self.handler
+                .record_fault(self.peer, &err.at_peer(self.peer));
             Packed::Plain(bytes::Bytes::new())
         })
     }
@@ -146,7 +147,7 @@
 
 impl<H: PeerHandler> Service<H> {
     fn refuse_message(&self, err: &Error) -> PeerReply {
-        self.handler.fault(self.peer, err);
+        self.handler.record_fault(self.peer, err);
         PeerReply::Refused
     }
 }
--- a/crates/wire/src/peer/tests/support.rs
+++ b/crates/wire/src/peer/tests/support.rs
@@ -46,7 +46,7 @@
         PeerReply::Heads(Some(Heads::default()))
     }
 
-    fn fault(&self, _: SocketAddr, err: &Error) {
+    fn record_fault(&self, _: SocketAddr, err: &Error) {
         self.faults.lock().expect("faults").push(err.to_string());
     }
 }
--- a/crates/wire/src/socket/observed.rs
+++ b/crates/wire/src/socket/observed.rs
@@ -16,10 +16,10 @@
 /// Observes the bytes of a connection.
 pub trait IoObserver {
     /// Called with bytes that were read, before the reader of the connection gets them.
-    fn read(&mut self, bytes: &[u8]);
+    fn on_read(&mut self, bytes: &[u8]);
 
     /// Called after `n` bytes were written.
-    fn written(&mut self, n: usize);
+    fn on_written(&mut self, n: usize);
 }
 
 /// A connection whose reads and writes are reported to an observer.
@@ -43,11 +43,11 @@
 }
 
 impl IoObserver for Arc<SocketBytes> {
-    fn read(&mut self, bytes: &[u8]) {
+    fn on_read(&mut self, bytes: &[u8]) {
         self.add_read(bytes.len());
     }
 
-    fn written(&mut self, n: usize) {
+    fn on_written(&mut self, n: usize) {
         self.add_written(n);
     }
 }
@@ -62,7 +62,7 @@
         let polled = Pin::new(&mut self.io).poll_read(cx, buf);
         let read = &buf.filled()[before..];
         if !read.is_empty() {
-            self.observer.read(read);
+            self.observer.on_read(read);
         }
         polled
     }
@@ -76,7 +76,7 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.io).poll_write(cx, buf);
         if let Poll::Ready(Ok(n)) = polled {
-            self.observer.written(n);
+            self.observer.on_written(n);
         }
         polled
     }
@@ -88,7 +88,7 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.io).poll_write_vectored(cx, bufs);
         if let Poll::Ready(Ok(n)) = polled {
-            self.observer.written(n);
+            self.observer.on_written(n);
         }
         polled
     }
