--- a/crates/node/src/settings/control.rs
+++ b/crates/node/src/settings/control.rs
@@ -23,18 +23,24 @@
 impl ControlSettings {
     pub(super) fn read(mut table: Table<'_>, faults: &mut Faults) -> Option<ControlSettings> {
         let default = PeerLimits::default();
-        let open = usize_or(&mut table, "open", OPEN_CONNECTIONS, default.open, faults);
+        let open = usize_or(
+            &mut table,
+            "open",
+            OPEN_CONNECTIONS,
+            default.max_outbound,
+            faults,
+        );
         let inbound = usize_or(
             &mut table,
             "inbound",
             INBOUND_CONNECTIONS,
-            default.inbound,
+            default.max_inbound,
             faults,
         );
         table.finish(faults);
         let limits = PeerLimits {
-            open: open?,
-            inbound: inbound?,
+            max_outbound: open?,
+            max_inbound: inbound?,
             ..default
         };
         Some(ControlSettings { limits })
--- a/crates/wire/src/peer/pool.rs
+++ b/crates/wire/src/peer/pool.rs
@@ -221,7 +221,7 @@
         let mut state = self.lock();
         state.use_count += 1;
         let last_use = state.use_count;
-        if !state.slots.contains_key(&addr) && state.slots.len() >= self.limits.open {
+        if !state.slots.contains_key(&addr) && state.slots.len() >= self.limits.max_outbound {
             state.evict_least_recently_used();
         }
         let slot = state.slots.entry(addr).or_insert_with(|| Slot {
@@ -257,7 +257,7 @@
             return Err(Error::new(Step::Connect, reason).at_peer(addr));
         }
         let bytes = Arc::clone(&self.bytes);
-        match PeerConnection::open(addr, bytes, self.limits.connect).await {
+        match PeerConnection::open(addr, bytes, self.limits.connect_timeout).await {
             Ok(connection) => {
                 link.opened += 1;
                 link.open = Some(connection.clone());
--- a/crates/wire/src/peer/server.rs
+++ b/crates/wire/src/peer/server.rs
@@ -54,7 +54,7 @@
 
     /// Accepts connections until `cancel` is cancelled, then closes them all.
     pub async fn serve(self, listener: TcpListener, cancel: CancellationToken) {
-        let permits = Arc::new(Semaphore::new(self.limits.inbound));
+        let permits = Arc::new(Semaphore::new(self.limits.max_inbound));
         let tasks = TaskTracker::new();
         while let Some(accepted) = cancel.run_until_cancelled(listener.accept()).await {
             let Ok((io, peer)) = accepted else {
@@ -106,12 +106,14 @@
 ) -> Result<(), Error> {
     let transport = framed(io, bytes)?;
     let channel = BaseChannel::new(Config::default(), transport);
-    let requests = channel.max_concurrent_requests(limits.requests).requests();
+    let requests = channel
+        .max_concurrent_requests(limits.max_concurrent_requests)
+        .requests();
     let mut requests = std::pin::pin!(requests);
     let mut answers = futures::stream::FuturesUnordered::new();
     loop {
         tokio::select! {
-            next = timeout(limits.idle, requests.next()) => match next {
+            next = timeout(limits.idle_timeout, requests.next()) => match next {
                 Ok(Some(Ok(request))) => answers.push(request.execute(service.clone().serve())),
                 Ok(Some(Err(cause))) => {
                     return Err(Error::new(Step::Exchange, error_chain(&cause)));
--- a/crates/wire/src/peer/tests/pool.rs
+++ b/crates/wire/src/peer/tests/pool.rs
@@ -44,7 +44,7 @@
 #[tokio::test]
 async fn full_pool_evicts_the_least_recently_used_connection() {
     let limits = PeerLimits {
-        open: 2,
+        max_outbound: 2,
         ..PeerLimits::default()
     };
     let pool = new_pool(limits);
--- a/crates/wire/src/peer/tests/server.rs
+++ b/crates/wire/src/peer/tests/server.rs
@@ -148,7 +148,7 @@
 #[tokio::test]
 async fn connections_are_bounded() {
     let limits = PeerLimits {
-        inbound: 2,
+        max_inbound: 2,
         ..PeerLimits::default()
     };
     let server = TestServer::start(limits).await;
@@ -176,7 +176,7 @@
 #[tokio::test]
 async fn idle_connection_is_closed() {
     let limits = PeerLimits {
-        idle: Duration::from_millis(20),
+        idle_timeout: Duration::from_millis(20),
         ..PeerLimits::default()
     };
     let server = TestServer::start(limits).await;
