--- a/crates/bench/src/calls/run.rs
+++ b/crates/bench/src/calls/run.rs
@@ -34,7 +34,7 @@
 /// Fails if the fleet can't be started.
 pub async fn run(opts: Options) -> miette::Result<Report> {
     let load_average = process::load_average();
-    let fleet = Fleet::start(&layout(opts)).await?;
+    let fleet = Fleet::start(&fleet_spec(opts)).await?;
     let destinations = destinations(&fleet);
     measure("warm", plan(opts, WARM_UP_TIME), &destinations).await;
     let pids = node_pids(&fleet).await;
@@ -64,10 +64,10 @@
     Plan::new(&[kind], rate, length, opts.seed)
 }
 
-fn layout(opts: Options) -> FleetSpec {
-    let place = |n| InstanceSpec::new(n, service(n), TargetSettings::default());
+fn fleet_spec(opts: Options) -> FleetSpec {
+    let instance_spec = |n| InstanceSpec::new(n, service(n), TargetSettings::default());
     FleetSpec {
-        instances: (0..opts.nodes).map(place).collect(),
+        instances: (0..opts.nodes).map(instance_spec).collect(),
         catalogue: catalogue(opts.nodes),
         with_nodes: true,
         extra_settings: "",
--- a/crates/bench/src/chaos/run.rs
+++ b/crates/bench/src/chaos/run.rs
@@ -82,8 +82,8 @@
 /// Fails if the fleet can't be started, a fault can't be injected or a process
 /// can't be restarted. Violations are reported and are no error.
 pub async fn run(opts: Options) -> miette::Result<Report> {
-    let layout = layout(opts);
-    let fleet = Arc::new(Fleet::start(&layout).await?);
+    let fleet_spec = fleet_spec(opts);
+    let fleet = Arc::new(Fleet::start(&fleet_spec).await?);
     if !opts.naive {
         tokio::time::sleep(KEY_OWNERS_SETTLE_TIME).await;
     }
@@ -124,7 +124,7 @@
     keep_logs_if_faulty(opts, report, fleet, &load.records)
 }
 
-fn layout(opts: Options) -> FleetSpec {
+fn fleet_spec(opts: Options) -> FleetSpec {
     let kinds = SERVICE_US.iter();
     let kinds = kinds.filter_map(|&(kind, us)| Some((KindName::new(kind).ok()?, us)));
     let target = TargetSettings {
@@ -136,9 +136,9 @@
         },
         ..TargetSettings::default()
     };
-    let place = |n| InstanceSpec::new(n, SERVICES[n % SERVICES.len()], target.clone());
+    let instance_spec = |n| InstanceSpec::new(n, SERVICES[n % SERVICES.len()], target.clone());
     FleetSpec {
-        instances: (0..opts.nodes).map(place).collect(),
+        instances: (0..opts.nodes).map(instance_spec).collect(),
         catalogue: catalogue::text(0),
         with_nodes: !opts.naive,
         extra_settings: NODE_SETTINGS,
@@ -148,13 +148,13 @@
 }
 
 fn caller(opts: Options, fleet: &Fleet) -> Caller {
-    let way = match opts.naive {
+    let system = match opts.naive {
         true => SystemUnderTest::Naive(naive(fleet)),
         false => SystemUnderTest::Nodes(EntryNodes::new(fleet.entry_addrs())),
     };
     Caller {
         client: Client::default(),
-        system: way,
+        system,
         kinds: KINDS.to_vec(),
         run_id: format!("c{}", opts.seed),
         retry_policy: RETRY_POLICY,
@@ -181,11 +181,11 @@
 fn build_report(opts: Options, script: &Script, load: &OpenLoop, driver: &Driver) -> Report {
     let runs = driver.fleet.ledger_runs();
     let (_, outages) = driver.log.history_and_outages();
-    let evidence = JoinedRecords::new(&load.records, &runs, &outages);
+    let joined = JoinedRecords::new(&load.records, &runs, &outages);
     let members = driver.fleet.members.iter();
     let names: Vec<InstanceId> = members.map(|m| m.instance.id.clone()).collect();
     let stops = driver.stops.lock().unwrap_or_else(PoisonError::into_inner);
-    let is_explained = |record: &CallRecord| evidence.is_explained_by_outage(record);
+    let is_explained = |record: &CallRecord| joined.is_explained_by_outage(record);
     let history = events::build_history(
         &driver.log,
         &load.records,
@@ -209,11 +209,11 @@
         seed: opts.seed,
         naive: opts.naive,
         faults: script.steps.iter().map(ToString::to_string).collect(),
-        verdict: evidence.verdict(),
+        verdict: joined.verdict(),
         reasons: reasons(&load.records),
         violations: count_by_guarantee(&violations),
         first_violations: first_examples(violations.iter().map(ToString::to_string)),
-        first_faults: first_examples(evidence.faults().map(|record| format!("{record:?}"))),
+        first_faults: first_examples(joined.faults().map(|record| format!("{record:?}"))),
         latency_ms: latency.summary(),
         release_late_ms: load.lateness.summary(),
         began_us: load.records.iter().map(|r| r.sent_us).min().unwrap_or(0),
--- a/crates/bench/src/demo/callers.rs
+++ b/crates/bench/src/demo/callers.rs
@@ -31,7 +31,7 @@
 /// How callers retry: once more under the same key if the outcome of a request
 /// is unknown. Some send the second attempt while the first is in flight, as a
 /// user who clicks twice does.
-const REPEATS: RetryPolicy = RetryPolicy {
+const RETRY_POLICY: RetryPolicy = RetryPolicy {
     max_attempts: 2,
     pause: Duration::from_millis(100),
     overlapping_percent: 10,
@@ -42,7 +42,7 @@
 const TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// How long after the timeout callers still wait for the node's timeout answer.
-const GRACE: Duration = Duration::from_millis(2_500);
+const TIMEOUT_GRACE: Duration = Duration::from_millis(2_500);
 
 /// Longest body of a request that must run at most once, in bytes.
 const MAX_REQUEST_BYTES: usize = 800;
@@ -73,9 +73,9 @@
             system: SystemUnderTest::Nodes(EntryNodes::new(entries)),
             kinds,
             run_id: "d".to_owned(),
-            retry_policy: REPEATS,
+            retry_policy: RETRY_POLICY,
             timeout: TIMEOUT,
-            grace: GRACE,
+            grace: TIMEOUT_GRACE,
         };
         let calls = tokio::spawn(OpenLoop::run(plan, Arc::new(caller)));
         Callers { stopped, calls }
--- a/crates/bench/src/demo/fleet.rs
+++ b/crates/bench/src/demo/fleet.rs
@@ -157,12 +157,12 @@
     pub(super) async fn ledger_runs(&self) -> Result<Vec<LedgerRun>> {
         let mut runs = Vec::new();
         for (instance, member) in self.members.iter().enumerate() {
-            let pages: LedgerEntries = self.client.get(member.target_admin, "/ledger").await?;
-            if pages.unrecorded > 0 {
-                let reason = format!("the ledger lacks {} runs", pages.unrecorded);
+            let ledger: LedgerEntries = self.client.get(member.target_admin, "/ledger").await?;
+            if ledger.unrecorded > 0 {
+                let reason = format!("the ledger lacks {} runs", ledger.unrecorded);
                 return Err(Error::new(Step::Check, reason).at_peer(member.id()));
             }
-            let found = pages.runs.into_iter();
+            let found = ledger.runs.into_iter();
             runs.extend(found.map(|run| LedgerRun { instance, run }));
         }
         Ok(runs)
--- a/crates/bench/src/demo/results.rs
+++ b/crates/bench/src/demo/results.rs
@@ -68,10 +68,16 @@
         let joined = load::JoinedRecords::new(&load.records, &runs, &outages);
         let names = fleet.members.iter().map(|member| member.id().clone());
         let names: Vec<InstanceId> = names.collect();
-        let excused = |record: &CallRecord| joined.is_explained_by_outage(record);
+        let is_explained = |record: &CallRecord| joined.is_explained_by_outage(record);
         let records = &load.records;
-        let history =
-            events::build_history(&fleet.log, records, &runs, &names, &fleet.stops, excused);
+        let history = events::build_history(
+            &fleet.log,
+            records,
+            &runs,
+            &names,
+            &fleet.stops,
+            is_explained,
+        );
         let faults = joined.faults().take(MAX_FAULTS_SHOWN);
         Ok(DemoResults {
             verdict: joined.verdict(),
--- a/crates/bench/src/load/fleet/running_fleet.rs
+++ b/crates/bench/src/load/fleet/running_fleet.rs
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// Fails if something can't be started or isn't ready in time.
-    pub async fn start(layout: &FleetSpec) -> miette::Result<Fleet> {
+    pub async fn start(fleet_spec: &FleetSpec) -> miette::Result<Fleet> {
         let cancel = CancellationToken::new();
         let platform = Platform::start(PlatformSettings::default(), cancel.clone())
             .await
@@ -63,13 +63,13 @@
         let mut builder = MemberBuilder {
             ports: Ports::new(),
             dir: dir.path().to_owned(),
-            links: layout.with_links,
+            links: fleet_spec.with_links,
         };
         let mut members = Vec::new();
-        for (n, place) in layout.instances.iter().enumerate() {
-            let target = Target::start(place.target.clone(), cancel.clone());
+        for (n, instance_spec) in fleet_spec.instances.iter().enumerate() {
+            let target = Target::start(instance_spec.target.clone(), cancel.clone());
             let target = target.await.into_diagnostic()?;
-            members.push(builder.build(n, place, target).await?);
+            members.push(builder.build(n, instance_spec, target).await?);
         }
         let fleet = Fleet {
             platform,
@@ -78,12 +78,12 @@
             _ports: builder.ports,
         };
         fleet
-            .write_settings(layout.extra_settings)
+            .write_settings(fleet_spec.extra_settings)
             .into_diagnostic()?;
-        fleet.publish(layout)?;
-        if layout.with_nodes {
+        fleet.publish(fleet_spec)?;
+        if fleet_spec.with_nodes {
             fleet.start_nodes().await?;
-            fleet.wait_until_ready(layout.ready_timeout).await?;
+            fleet.wait_until_ready(fleet_spec.ready_timeout).await?;
         }
         Ok(fleet)
     }
@@ -147,9 +147,9 @@
         Ok(())
     }
 
-    fn publish(&self, layout: &FleetSpec) -> miette::Result<()> {
+    fn publish(&self, fleet_spec: &FleetSpec) -> miette::Result<()> {
         let list: Vec<Instance> = self.members.iter().map(|m| m.instance.clone()).collect();
-        let catalogue = self.platform.publish_catalogue(&layout.catalogue);
+        let catalogue = self.platform.publish_catalogue(&fleet_spec.catalogue);
         catalogue.into_diagnostic()?;
         self.platform.publish_instances(&list).into_diagnostic()?;
         Ok(())
@@ -175,11 +175,11 @@
     async fn build(
         &mut self,
         n: usize,
-        place: &InstanceSpec,
+        instance_spec: &InstanceSpec,
         target: Target,
     ) -> miette::Result<Member> {
         let listen = self.reserve_listen().into_diagnostic()?;
-        let mut instance = instance(n, place, listen).into_diagnostic()?;
+        let mut instance = instance(n, instance_spec, listen).into_diagnostic()?;
         let mut links = Vec::new();
         if self.links {
             for addr in [&mut instance.traffic, &mut instance.control] {
@@ -216,18 +216,18 @@
 
 fn instance(
     n: usize,
-    place: &InstanceSpec,
+    instance_spec: &InstanceSpec,
     listen: Listen,
 ) -> sassafrasspool_core::Result<Instance> {
     Ok(Instance {
-        id: InstanceId::new(&format!("{}-{n}", place.service))?,
-        service: ServiceName::new(&place.service)?,
+        id: InstanceId::new(&format!("{}-{n}", instance_spec.service))?,
+        service: ServiceName::new(&instance_spec.service)?,
         region: RegionName::new(REGION)?,
-        domain: DomainName::new(place.domain)?,
+        domain: DomainName::new(instance_spec.domain)?,
         traffic: listen.traffic,
         control: listen.control,
-        slots: place.target.slots.get(),
-        connections: place.target.connections.get(),
+        slots: instance_spec.target.slots.get(),
+        connections: instance_spec.target.connections.get(),
         state: InstanceState::Live,
         target: None,
         cold_for: Duration::ZERO,
--- a/crates/bench/src/load/outcomes/joined_records.rs
+++ b/crates/bench/src/load/outcomes/joined_records.rs
@@ -21,7 +21,7 @@
 const CLOSE_DETECTION_US: u64 = 20_000;
 
 /// Counts the outcomes of the attempts in `records`, checked against the targets'
-/// ledgers. `outages` are the injected faults. They excuse missing and broken answers
+/// ledgers. `outages` are the injected faults. They explain missing and broken answers
 /// of the attempts that they affected, but never a false refusal or a second run.
 pub fn count_outcomes(records: &[CallRecord], runs: &[LedgerRun], outages: &[Outage]) -> Verdict {
     JoinedRecords::new(records, runs, outages).verdict()
--- a/crates/bench/src/overload/run.rs
+++ b/crates/bench/src/overload/run.rs
@@ -89,7 +89,7 @@
 }
 
 async fn measure_goodput(opts: Options, with_nodes: bool) -> miette::Result<Goodput> {
-    let fleet = Fleet::start(&layout(opts, with_nodes)).await?;
+    let fleet = Fleet::start(&fleet_spec(opts, with_nodes)).await?;
     let slots = SLOTS.get() * u32::try_from(opts.nodes).unwrap_or(u32::MAX);
     let service = Duration::from_micros(SERVICE_US);
     let rate = opts.factor * f64::from(slots) / service.as_secs_f64();
@@ -106,7 +106,7 @@
     ))
 }
 
-fn layout(opts: Options, with_nodes: bool) -> FleetSpec {
+fn fleet_spec(opts: Options, with_nodes: bool) -> FleetSpec {
     let target = TargetSettings {
         slots: SLOTS,
         service: ServiceTimes {
@@ -115,9 +115,9 @@
         },
         ..TargetSettings::default()
     };
-    let place = |n| InstanceSpec::new(n, "desk", target.clone());
+    let instance_spec = |n| InstanceSpec::new(n, "desk", target.clone());
     FleetSpec {
-        instances: (0..opts.nodes).map(place).collect(),
+        instances: (0..opts.nodes).map(instance_spec).collect(),
         catalogue: catalogue(),
         with_nodes,
         extra_settings: "",
@@ -145,13 +145,13 @@
 }
 
 fn caller(fleet: &Fleet, with_nodes: bool) -> Caller {
-    let way = match with_nodes {
+    let system = match with_nodes {
         true => SystemUnderTest::Nodes(EntryNodes::new(fleet.entry_addrs())),
         false => SystemUnderTest::Naive(naive(fleet)),
     };
     Caller {
         client: Client::default(),
-        system: way,
+        system,
         kinds: KINDS.to_vec(),
         run_id: "o".to_owned(),
         retry_policy: RetryPolicy::NONE,
--- a/crates/node/src/control/context.rs
+++ b/crates/node/src/control/context.rs
@@ -65,12 +65,12 @@
 
     /// Starts a read of the platform; the result is sent to the control task as
     /// an event.
-    pub(crate) fn start_read(&self, ask: SourceRequest) {
-        let stream = ask.stream;
+    pub(crate) fn start_read(&self, req: SourceRequest) {
+        let stream = req.stream;
         self.counts.add_read();
         let context = self.clone();
         self.spawn(async move {
-            let result = context.read_platform(ask).await;
+            let result = context.read_platform(req).await;
             let label = result_label(&result);
             counter!(names::READS, "stream" => stream.as_str(), "result" => label).increment(1);
             context.source_monitor.record_read(stream, &result);
@@ -79,13 +79,13 @@
         });
     }
 
-    async fn read_platform(&self, ask: SourceRequest) -> SourceResult {
+    async fn read_platform(&self, req: SourceRequest) -> SourceResult {
         let result = match self.fault_injector.is_platform_cut() {
             true => {
-                tokio::time::sleep(ask.wait).await;
+                tokio::time::sleep(req.wait).await;
                 None
             }
-            false => Some(self.platform.read(ask).await),
+            false => Some(self.platform.read(req).await),
         };
         match result {
             Some(result) if !self.fault_injector.is_platform_cut() => result,
--- a/crates/soak/src/fleet/builder.rs
+++ b/crates/soak/src/fleet/builder.rs
@@ -84,8 +84,9 @@
         n: usize,
         platform: SocketAddr,
     ) -> miette::Result<Member> {
-        let place = InstanceSpec::new(n, SERVICES[n % SERVICES.len()], TargetSettings::default());
-        let name = format!("{}-{n}", place.service);
+        let instance_spec =
+            InstanceSpec::new(n, SERVICES[n % SERVICES.len()], TargetSettings::default());
+        let name = format!("{}-{n}", instance_spec.service);
         let (addr, admin) = self.take_two_addrs()?;
         let extra = format!(
             "slots: {SLOTS}\nconnections: {CONNECTIONS}\ncold_start_ms: {COLD_START_MS}\n\
@@ -106,9 +107,9 @@
         let of = |role: LinkRole| links[role as usize].addr();
         let instance = Instance {
             id: InstanceId::new(&name).into_diagnostic()?,
-            service: ServiceName::new(&place.service).into_diagnostic()?,
+            service: ServiceName::new(&instance_spec.service).into_diagnostic()?,
             region: RegionName::new(REGION).into_diagnostic()?,
-            domain: DomainName::new(place.domain).into_diagnostic()?,
+            domain: DomainName::new(instance_spec.domain).into_diagnostic()?,
             traffic: of(LinkRole::PeerTraffic),
             control: of(LinkRole::PeerControl),
             slots: SLOTS,
--- a/crates/soak/src/standin.rs
+++ b/crates/soak/src/standin.rs
@@ -111,9 +111,9 @@
     pub async fn ledger(&self) -> miette::Result<LedgerEntries> {
         let value = admin::get(self.admin, "/ledger").await;
         let value = value.ok_or_else(|| miette!("{} doesn't serve its ledger", self.admin))?;
-        let pages: LedgerEntries = serde_json::from_value(value).into_diagnostic()?;
-        match pages.unrecorded {
-            0 => Ok(pages),
+        let ledger: LedgerEntries = serde_json::from_value(value).into_diagnostic()?;
+        match ledger.unrecorded {
+            0 => Ok(ledger),
             lost => Err(miette!("the ledger of {} lacks {lost} runs", self.admin)),
         }
     }
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -121,20 +121,20 @@
         bounds: &Bounds,
     ) -> Report {
         let (recorded, outages) = observations.log.history_and_outages();
-        let evidence = JoinedRecords::new(observations.records, observations.runs, &outages);
-        let is_excused = |record: &CallRecord| evidence.is_explained_by_outage(record);
+        let joined = JoinedRecords::new(observations.records, observations.runs, &outages);
+        let is_explained = |record: &CallRecord| joined.is_explained_by_outage(record);
         let history = events::build_history(
             observations.log,
             observations.records,
             observations.runs,
             observations.ids,
             observations.stops,
-            is_excused,
+            is_explained,
         );
         let violations_found = check(&history, bounds);
-        let faults = evidence.faults().map(|record| format!("{record:?}"));
+        let faults = joined.faults().map(|record| format!("{record:?}"));
         let first_violations = faults.chain(violations_found.iter().map(ToString::to_string));
-        let verdict = evidence.verdict();
+        let verdict = joined.verdict();
         let quarantine = QuarantineVerdict::judge(
             observations.records,
             observations.runs,
--- a/crates/standin/src/target/ledger.rs
+++ b/crates/standin/src/target/ledger.rs
@@ -33,7 +33,7 @@
 }
 
 impl Ledger {
-    /// An empty ledger that keeps at most `most` runs.
+    /// An empty ledger that keeps at most `max_runs` runs.
     pub(super) fn new(max_runs: usize) -> Ledger {
         Ledger {
             clock: Clock::new(),
