--- a/crates/bench/src/calls/run.rs
+++ b/crates/bench/src/calls/run.rs
@@ -13,9 +13,9 @@
 use super::process;
 use crate::load::CallKind;
 use crate::load::Fleet;
+use crate::load::FleetSpec;
+use crate::load::InstanceSpec;
 use crate::load::Keys;
-use crate::load::Layout;
-use crate::load::Place;
 use crate::load::Plan;
 use crate::summary::SummaryMs;
 use crate::usage::ProcessUsage;
@@ -34,7 +34,7 @@
 /// Fails if the fleet can't be started.
 pub async fn run(opts: Options) -> miette::Result<Report> {
     let load_average = process::load_average();
-    let fleet = Fleet::start(&layout(opts)).await?;
+    let fleet = Fleet::start(&fleet_spec(opts)).await?;
     let destinations = destinations(&fleet);
     measure("warm", plan(opts, WARM_UP_TIME), &destinations).await;
     let pids = node_pids(&fleet).await;
@@ -64,15 +64,15 @@
     Plan::new(&[kind], rate, length, opts.seed)
 }
 
-fn layout(opts: Options) -> Layout {
-    let place = |n| Place::new(n, service(n), TargetSettings::default());
-    Layout {
-        places: (0..opts.nodes).map(place).collect(),
+fn fleet_spec(opts: Options) -> FleetSpec {
+    let instance_spec = |n| InstanceSpec::new(n, service(n), TargetSettings::default());
+    FleetSpec {
+        instances: (0..opts.nodes).map(instance_spec).collect(),
         catalogue: catalogue(opts.nodes),
-        nodes: true,
-        settings: "",
-        links: false,
-        patience: READY_TIMEOUT,
+        with_nodes: true,
+        extra_settings: "",
+        with_links: false,
+        ready_timeout: READY_TIMEOUT,
     }
 }
 
--- a/crates/bench/src/chaos/run.rs
+++ b/crates/bench/src/chaos/run.rs
@@ -23,36 +23,36 @@
 
 use super::Options;
 use super::Report;
-use super::bounds::IN_FORCE;
-use super::bounds::OWNERS_SETTLE;
-use super::bounds::SETTINGS;
-use super::bounds::SETTLE;
-use super::callers::GRACE;
-use super::callers::REPEATS;
+use super::bounds::IN_FORCE_BOUND;
+use super::bounds::KEY_OWNERS_SETTLE_TIME;
+use super::bounds::NODE_SETTINGS;
+use super::bounds::SETTLE_TIME;
+use super::callers::RETRY_POLICY;
 use super::callers::TIMEOUT;
+use super::callers::TIMEOUT_GRACE;
 use super::catalogue;
 use super::catalogue::KINDS;
 use super::catalogue::SERVICES;
 use super::driver::Driver;
 use super::events;
 use super::log::Log;
-use super::observer::observe;
+use super::observer::record_snapshots;
 use super::operators::Operators;
-use super::report::by_promise;
+use super::report::count_by_guarantee;
 use super::script::Script;
 use crate::load::CallRecord;
 use crate::load::Caller;
 use crate::load::Client;
 use crate::load::Ending;
-use crate::load::Entries;
-use crate::load::Evidence;
+use crate::load::EntryNodes;
 use crate::load::Fleet;
-use crate::load::Layout;
-use crate::load::Naive;
+use crate::load::FleetSpec;
+use crate::load::InstanceSpec;
+use crate::load::JoinedRecords;
+use crate::load::NaiveProxy;
 use crate::load::OpenLoop;
-use crate::load::Place;
 use crate::load::Plan;
-use crate::load::Way;
+use crate::load::SystemUnderTest;
 use crate::summary::Samples;
 
 /// Slots of each target.
@@ -82,10 +82,10 @@
 /// Fails if the fleet can't be started, a fault can't be injected or a process
 /// can't be restarted. Violations are reported and are no error.
 pub async fn run(opts: Options) -> miette::Result<Report> {
-    let layout = layout(opts);
-    let fleet = Arc::new(Fleet::start(&layout).await?);
+    let fleet_spec = fleet_spec(opts);
+    let fleet = Arc::new(Fleet::start(&fleet_spec).await?);
     if !opts.naive {
-        tokio::time::sleep(OWNERS_SETTLE).await;
+        tokio::time::sleep(KEY_OWNERS_SETTLE_TIME).await;
     }
     let log = Arc::new(Log::default());
     let list = fleet.members.iter().map(|m| m.instance.clone()).collect();
@@ -107,7 +107,7 @@
         for member in &fleet.members {
             let id = member.instance.id.clone();
             let log = Arc::clone(&log);
-            observers.spawn(observe(member.admin, id, log, cancel.clone()));
+            observers.spawn(record_snapshots(member.admin, id, log, cancel.clone()));
         }
     }
     let script = Script::draw(opts.nodes, opts.length, opts.seed);
@@ -116,7 +116,7 @@
     let load = OpenLoop::run(plan, Arc::new(caller(opts, &fleet)));
     let (load, script_result) = tokio::join!(load, driver.run_script(&script));
     script_result?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     cancel.cancel();
     while observers.join_next().await.is_some() {}
     let report = build_report(opts, &script, &load, &driver);
@@ -124,7 +124,7 @@
     keep_logs_if_faulty(opts, report, fleet, &load.records)
 }
 
-fn layout(opts: Options) -> Layout {
+fn fleet_spec(opts: Options) -> FleetSpec {
     let kinds = SERVICE_US.iter();
     let kinds = kinds.filter_map(|&(kind, us)| Some((KindName::new(kind).ok()?, us)));
     let target = TargetSettings {
@@ -136,34 +136,34 @@
         },
         ..TargetSettings::default()
     };
-    let place = |n| Place::new(n, SERVICES[n % SERVICES.len()], target.clone());
-    Layout {
-        places: (0..opts.nodes).map(place).collect(),
+    let instance_spec = |n| InstanceSpec::new(n, SERVICES[n % SERVICES.len()], target.clone());
+    FleetSpec {
+        instances: (0..opts.nodes).map(instance_spec).collect(),
         catalogue: catalogue::text(0),
-        nodes: !opts.naive,
-        settings: SETTINGS,
-        links: !opts.naive,
-        patience: READY_TIMEOUT,
+        with_nodes: !opts.naive,
+        extra_settings: NODE_SETTINGS,
+        with_links: !opts.naive,
+        ready_timeout: READY_TIMEOUT,
     }
 }
 
 fn caller(opts: Options, fleet: &Fleet) -> Caller {
-    let way = match opts.naive {
-        true => Way::Naive(naive(fleet)),
-        false => Way::Nodes(Entries::new(fleet.entries())),
+    let system = match opts.naive {
+        true => SystemUnderTest::Naive(naive(fleet)),
+        false => SystemUnderTest::Nodes(EntryNodes::new(fleet.entry_addrs())),
     };
     Caller {
         client: Client::default(),
-        way,
+        system,
         kinds: KINDS.to_vec(),
-        run: format!("c{}", opts.seed),
-        repeats: REPEATS,
+        run_id: format!("c{}", opts.seed),
+        retry_policy: RETRY_POLICY,
         timeout: TIMEOUT,
-        grace: GRACE,
+        grace: TIMEOUT_GRACE,
     }
 }
 
-fn naive(fleet: &Fleet) -> Naive {
+fn naive(fleet: &Fleet) -> NaiveProxy {
     let mut targets: HashMap<&'static str, Vec<_>> = HashMap::new();
     for kind in &KINDS {
         let service = SERVICES[catalogue::service_of(kind)];
@@ -171,22 +171,22 @@
         let serving = members.filter(|m| m.instance.service.as_str() == service);
         targets.insert(kind.path, serving.map(|m| m.target.addr()).collect());
     }
-    Naive {
+    NaiveProxy {
         targets,
-        tries: 3,
-        try_timeout: TIMEOUT / 3,
+        max_attempts: 3,
+        attempt_timeout: TIMEOUT / 3,
     }
 }
 
 fn build_report(opts: Options, script: &Script, load: &OpenLoop, driver: &Driver) -> Report {
-    let runs = driver.fleet.runs();
-    let (_, outages) = driver.log.copy();
-    let evidence = Evidence::new(&load.records, &runs, &outages);
+    let runs = driver.fleet.ledger_runs();
+    let (_, outages) = driver.log.history_and_outages();
+    let joined = JoinedRecords::new(&load.records, &runs, &outages);
     let members = driver.fleet.members.iter();
     let names: Vec<InstanceId> = members.map(|m| m.instance.id.clone()).collect();
     let stops = driver.stops.lock().unwrap_or_else(PoisonError::into_inner);
-    let is_explained = |record: &CallRecord| evidence.is_excused(record);
-    let history = events::history(
+    let is_explained = |record: &CallRecord| joined.is_explained_by_outage(record);
+    let history = events::build_history(
         &driver.log,
         &load.records,
         &runs,
@@ -195,7 +195,7 @@
         is_explained,
     );
     let bounds = Bounds {
-        in_force: IN_FORCE,
+        in_force: IN_FORCE_BOUND,
         ..Bounds::default()
     };
     let violations = check(&history, &bounds);
@@ -209,13 +209,13 @@
         seed: opts.seed,
         naive: opts.naive,
         faults: script.steps.iter().map(ToString::to_string).collect(),
-        verdict: evidence.verdict(),
+        verdict: joined.verdict(),
         reasons: reasons(&load.records),
-        violations: by_promise(&violations),
+        violations: count_by_guarantee(&violations),
         first_violations: first_examples(violations.iter().map(ToString::to_string)),
-        first_faults: first_examples(evidence.faults().map(|record| format!("{record:?}"))),
+        first_faults: first_examples(joined.faults().map(|record| format!("{record:?}"))),
         latency_ms: latency.summary(),
-        release_late_ms: load.late.summary(),
+        release_late_ms: load.lateness.summary(),
         began_us: load.records.iter().map(|r| r.sent_us).min().unwrap_or(0),
         dropped: load.dropped,
         logs: None,
@@ -251,7 +251,9 @@
 ) -> miette::Result<Report> {
     let is_faulty = report.verdict.has_fault() || report.verdict.refused_after_run > 0;
     if opts.keep_logs && (is_faulty || !report.violations.is_empty()) {
-        fleet.write("records.json", records).into_diagnostic()?;
+        fleet
+            .write_json_lines("records.json", records)
+            .into_diagnostic()?;
         let fleet = Arc::into_inner(fleet).ok_or_else(|| miette!("the fleet is still in use"))?;
         report.logs = Some(fleet.keep_logs().display().to_string());
     }
--- a/crates/bench/src/demo/callers.rs
+++ b/crates/bench/src/demo/callers.rs
@@ -18,12 +18,12 @@
 use crate::load::CallKind;
 use crate::load::Caller;
 use crate::load::Client;
-use crate::load::Entries;
+use crate::load::EntryNodes;
 use crate::load::Keys;
 use crate::load::OpenLoop;
 use crate::load::Plan;
-use crate::load::Repeats;
-use crate::load::Way;
+use crate::load::RetryPolicy;
+use crate::load::SystemUnderTest;
 
 #[cfg(test)]
 mod tests;
@@ -31,18 +31,18 @@
 /// How callers retry: once more under the same key if the outcome of a request
 /// is unknown. Some send the second attempt while the first is in flight, as a
 /// user who clicks twice does.
-const REPEATS: Repeats = Repeats {
-    attempts: 2,
+const RETRY_POLICY: RetryPolicy = RetryPolicy {
+    max_attempts: 2,
     pause: Duration::from_millis(100),
-    impatient_percent: 10,
-    impatient_after: Duration::from_millis(5),
+    overlapping_percent: 10,
+    overlap_after: Duration::from_millis(5),
 };
 
 /// Caller timeout, which is sent with each request.
 const TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// How long after the timeout callers still wait for the node's timeout answer.
-const GRACE: Duration = Duration::from_millis(2_500);
+const TIMEOUT_GRACE: Duration = Duration::from_millis(2_500);
 
 /// Longest body of a request that must run at most once, in bytes.
 const MAX_REQUEST_BYTES: usize = 800;
@@ -70,12 +70,12 @@
         let plan = plan.take_while(move |_| !stop.load(Ordering::Relaxed));
         let caller = Caller {
             client: Client::default(),
-            way: Way::Nodes(Entries::new(entries)),
+            system: SystemUnderTest::Nodes(EntryNodes::new(entries)),
             kinds,
-            run: "d".to_owned(),
-            repeats: REPEATS,
+            run_id: "d".to_owned(),
+            retry_policy: RETRY_POLICY,
             timeout: TIMEOUT,
-            grace: GRACE,
+            grace: TIMEOUT_GRACE,
         };
         let calls = tokio::spawn(OpenLoop::run(plan, Arc::new(caller)));
         Callers { stopped, calls }
--- a/crates/bench/src/demo/status_poller.rs
+++ b/crates/bench/src/demo/status_poller.rs
@@ -15,16 +15,16 @@
 use sassafrasspool_core::Step;
 use sassafrasspool_core::history::Event;
 use sassafrasspool_ctl::AdminClient;
-use sassafrasspool_wire::admin::Held;
 use sassafrasspool_wire::admin::STATUS_PATH;
 use sassafrasspool_wire::admin::Status;
+use sassafrasspool_wire::admin::StreamVersions;
 use sassafrasspool_wire::admin::VersionInfo;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 use tokio::time::sleep;
 
 use crate::chaos::log::Log;
-use crate::chaos::observer::held_by;
+use crate::chaos::observer::fetch_snapshot_facts;
 
 /// Time between two status requests to a node.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -131,11 +131,11 @@
     /// Records the versions that came into force. A node that isn't ready yet
     /// serves no request, so a version that it holds until then doesn't count as
     /// in force.
-    async fn record_in_force(&self, status: &Status, last: &mut Option<Held>) {
+    async fn record_in_force(&self, status: &Status, last: &mut Option<StreamVersions>) {
         if status.phase < Phase::Ready || last.as_ref() == Some(&status.held) {
             return;
         }
-        if let Some(held) = held_by(self.admin).await {
+        if let Some(held) = fetch_snapshot_facts(self.admin).await {
             let node = self.id.clone();
             let held = Arc::new(held);
             self.log.record(Event::InForce { node, held });
--- a/crates/bench/src/load/fleet/running_fleet.rs
+++ b/crates/bench/src/load/fleet/running_fleet.rs
@@ -21,10 +21,10 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::layout::Layout;
-use super::layout::Place;
 use super::member::Member;
 use super::settings::Listen;
+use super::spec::FleetSpec;
+use super::spec::InstanceSpec;
 use crate::load::LedgerRun;
 use crate::load::Link;
 use crate::load::Ports;
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// Fails if something can't be started or isn't ready in time.
-    pub async fn start(layout: &Layout) -> miette::Result<Fleet> {
+    pub async fn start(fleet_spec: &FleetSpec) -> miette::Result<Fleet> {
         let cancel = CancellationToken::new();
         let platform = Platform::start(PlatformSettings::default(), cancel.clone())
             .await
@@ -63,13 +63,13 @@
         let mut builder = MemberBuilder {
             ports: Ports::new(),
             dir: dir.path().to_owned(),
-            links: layout.links,
+            links: fleet_spec.with_links,
         };
         let mut members = Vec::new();
-        for (n, place) in layout.places.iter().enumerate() {
-            let target = Target::start(place.target.clone(), cancel.clone());
+        for (n, instance_spec) in fleet_spec.instances.iter().enumerate() {
+            let target = Target::start(instance_spec.target.clone(), cancel.clone());
             let target = target.await.into_diagnostic()?;
-            members.push(builder.build(n, place, target).await?);
+            members.push(builder.build(n, instance_spec, target).await?);
         }
         let fleet = Fleet {
             platform,
@@ -77,22 +77,24 @@
             dir,
             _ports: builder.ports,
         };
-        fleet.write_settings(layout.settings).into_diagnostic()?;
-        fleet.publish(layout)?;
-        if layout.nodes {
+        fleet
+            .write_settings(fleet_spec.extra_settings)
+            .into_diagnostic()?;
+        fleet.publish(fleet_spec)?;
+        if fleet_spec.with_nodes {
             fleet.start_nodes().await?;
-            fleet.wait_until_ready(layout.patience).await?;
+            fleet.wait_until_ready(fleet_spec.ready_timeout).await?;
         }
         Ok(fleet)
     }
 
     /// The addresses of the nodes for callers.
-    pub fn entries(&self) -> Vec<SocketAddr> {
+    pub fn entry_addrs(&self) -> Vec<SocketAddr> {
         self.members.iter().map(|member| member.ingress).collect()
     }
 
     /// The runs in all targets' ledgers.
-    pub fn runs(&self) -> Vec<LedgerRun> {
+    pub fn ledger_runs(&self) -> Vec<LedgerRun> {
         self.members.iter().flat_map(Member::runs).collect()
     }
 
@@ -104,7 +106,7 @@
     pub async fn wait_until_ready(&self, timeout: Duration) -> miette::Result<()> {
         let deadline = Instant::now() + timeout;
         for member in &self.members {
-            if !admin::is_ready_before(member.admin, deadline).await {
+            if !admin::wait_until_ready(member.admin, deadline).await {
                 let log = std::fs::read_to_string(&member.log).unwrap_or_default();
                 return Err(miette!("{} isn't ready; {log}", member.instance.id));
             }
@@ -118,7 +120,7 @@
     /// # Errors
     ///
     /// Fails if the file can't be written.
-    pub fn write<T: Serialize>(&self, name: &str, items: &[T]) -> std::io::Result<()> {
+    pub fn write_json_lines<T: Serialize>(&self, name: &str, items: &[T]) -> std::io::Result<()> {
         let mut text = Vec::new();
         for item in items {
             serde_json::to_writer(&mut text, item)?;
@@ -145,9 +147,9 @@
         Ok(())
     }
 
-    fn publish(&self, layout: &Layout) -> miette::Result<()> {
+    fn publish(&self, fleet_spec: &FleetSpec) -> miette::Result<()> {
         let list: Vec<Instance> = self.members.iter().map(|m| m.instance.clone()).collect();
-        let catalogue = self.platform.publish_catalogue(&layout.catalogue);
+        let catalogue = self.platform.publish_catalogue(&fleet_spec.catalogue);
         catalogue.into_diagnostic()?;
         self.platform.publish_instances(&list).into_diagnostic()?;
         Ok(())
@@ -170,9 +172,14 @@
 }
 
 impl MemberBuilder {
-    async fn build(&mut self, n: usize, place: &Place, target: Target) -> miette::Result<Member> {
+    async fn build(
+        &mut self,
+        n: usize,
+        instance_spec: &InstanceSpec,
+        target: Target,
+    ) -> miette::Result<Member> {
         let listen = self.reserve_listen().into_diagnostic()?;
-        let mut instance = instance(n, place, listen).into_diagnostic()?;
+        let mut instance = instance(n, instance_spec, listen).into_diagnostic()?;
         let mut links = Vec::new();
         if self.links {
             for addr in [&mut instance.traffic, &mut instance.control] {
@@ -207,16 +214,20 @@
     }
 }
 
-fn instance(n: usize, place: &Place, listen: Listen) -> sassafrasspool_core::Result<Instance> {
+fn instance(
+    n: usize,
+    instance_spec: &InstanceSpec,
+    listen: Listen,
+) -> sassafrasspool_core::Result<Instance> {
     Ok(Instance {
-        id: InstanceId::new(&format!("{}-{n}", place.service))?,
-        service: ServiceName::new(&place.service)?,
+        id: InstanceId::new(&format!("{}-{n}", instance_spec.service))?,
+        service: ServiceName::new(&instance_spec.service)?,
         region: RegionName::new(REGION)?,
-        domain: DomainName::new(place.domain)?,
+        domain: DomainName::new(instance_spec.domain)?,
         traffic: listen.traffic,
         control: listen.control,
-        slots: place.target.slots.get(),
-        connections: place.target.connections.get(),
+        slots: instance_spec.target.slots.get(),
+        connections: instance_spec.target.connections.get(),
         state: InstanceState::Live,
         target: None,
         cold_for: Duration::ZERO,
--- a/crates/bench/src/load/naive.rs
+++ b/crates/bench/src/load/naive_proxy.rs
@@ -17,16 +17,16 @@
 /// path, has no admission control and no owner of a request key, and retries on any
 /// failure.
 #[derive(Debug)]
-pub struct Naive {
+pub struct NaiveProxy {
     /// The targets of each path.
     pub targets: HashMap<&'static str, Vec<SocketAddr>>,
     /// Attempts in all, the first one included.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Timeout of each attempt.
-    pub try_timeout: Duration,
+    pub attempt_timeout: Duration,
 }
 
-impl Naive {
+impl NaiveProxy {
     /// Retries until there is an answer. After the last attempt it reports the
     /// request as not run, which may be wrong: a target may have run it.
     pub(super) async fn exchange(&self, client: &Client, attempt: &Attempt, draw: u64) -> Exchange {
@@ -35,9 +35,11 @@
         let Some(targets) = self.targets.get(attempt.path) else {
             return last;
         };
-        for _ in 0..self.tries {
+        for _ in 0..self.max_attempts {
             let target = targets[rng.random_range(0..targets.len())];
-            last = client.exchange(&[target], attempt, self.try_timeout).await;
+            last = client
+                .exchange(&[target], attempt, self.attempt_timeout)
+                .await;
             match last.ending {
                 Ending::Answered | Ending::Wrong => return last,
                 _ => {}
--- a/crates/bench/src/load/outcomes/evidence.rs
+++ b/crates/bench/src/load/outcomes/joined_records.rs
@@ -21,28 +21,28 @@
 const CLOSE_DETECTION_US: u64 = 20_000;
 
 /// Counts the outcomes of the attempts in `records`, checked against the targets'
-/// ledgers. `outages` are the injected faults. They excuse missing and broken answers
+/// ledgers. `outages` are the injected faults. They explain missing and broken answers
 /// of the attempts that they affected, but never a false refusal or a second run.
 pub fn count_outcomes(records: &[CallRecord], runs: &[LedgerRun], outages: &[Outage]) -> Verdict {
-    Evidence::new(records, runs, outages).verdict()
+    JoinedRecords::new(records, runs, outages).verdict()
 }
 
 /// Callers' records joined with targets' ledgers.
 #[derive(Debug)]
-pub struct Evidence<'a> {
+pub struct JoinedRecords<'a> {
     records: &'a [CallRecord],
     outages: &'a [Outage],
     by_id: HashMap<&'a str, Vec<&'a LedgerRun>>,
     by_call: HashMap<&'a str, Vec<&'a LedgerRun>>,
 }
 
-impl<'a> Evidence<'a> {
+impl<'a> JoinedRecords<'a> {
     /// Joins the records with the runs that began. Other runs are left out.
     pub fn new(
         records: &'a [CallRecord],
         runs: &'a [LedgerRun],
         outages: &'a [Outage],
-    ) -> Evidence<'a> {
+    ) -> JoinedRecords<'a> {
         let mut by_id: HashMap<&str, Vec<&LedgerRun>> = HashMap::new();
         let mut by_call: HashMap<&str, Vec<&LedgerRun>> = HashMap::new();
         for run in runs.iter().filter(|run| run.run.began()) {
@@ -50,7 +50,7 @@
             by_id.entry(&run.run.id).or_default().push(run);
             by_call.entry(call).or_default().push(run);
         }
-        Evidence {
+        JoinedRecords {
             records,
             outages,
             by_id,
@@ -101,7 +101,7 @@
             Ending::Failed => verdict.failed += 1,
             Ending::NotSent => verdict.not_sent += 1,
             Ending::Wrong => verdict.cut += 1,
-            Ending::Broken | Ending::Silence if self.is_excused(record) => {
+            Ending::Broken | Ending::Silence if self.is_explained_by_outage(record) => {
                 verdict.unknown += 1;
                 verdict.unknown_by_outage += 1;
             }
@@ -134,7 +134,7 @@
     /// Whether an outage explains the end of the attempt: the node that it was sent
     /// to, or an instance that ran it, had an outage while the attempt was in flight
     /// or shortly before.
-    pub fn is_excused(&self, record: &CallRecord) -> bool {
+    pub fn is_explained_by_outage(&self, record: &CallRecord) -> bool {
         let during = |outage: &&Outage| {
             let to_us = outage.to_us.saturating_add(OUTAGE_DETECTION_US);
             outage.from_us <= record.ended_us && record.sent_us <= to_us
@@ -146,7 +146,7 @@
         self.outages.iter().filter(during).any(|outage| {
             let sent_to_node = record.entry == Some(outage.entry);
             match outage.kind {
-                OutageKind::IdleClosed => sent_to_node && crossed_close,
+                OutageKind::IdleConnectionsClosed => sent_to_node && crossed_close,
                 kind => (sent_to_node && kind.affects_node()) || ran_on(outage.instance),
             }
         })
--- a/crates/bench/src/overload/run.rs
+++ b/crates/bench/src/overload/run.rs
@@ -16,17 +16,17 @@
 use crate::load::CallKind;
 use crate::load::Caller;
 use crate::load::Client;
-use crate::load::Entries;
+use crate::load::EntryNodes;
 use crate::load::Fleet;
+use crate::load::FleetSpec;
+use crate::load::InstanceSpec;
 use crate::load::Keys;
-use crate::load::Layout;
 use crate::load::LedgerRun;
-use crate::load::Naive;
+use crate::load::NaiveProxy;
 use crate::load::OpenLoop;
-use crate::load::Place;
 use crate::load::Plan;
-use crate::load::Repeats;
-use crate::load::Way;
+use crate::load::RetryPolicy;
+use crate::load::SystemUnderTest;
 
 /// Slots of each target.
 const SLOTS: NonZeroU32 = NonZeroU32::new(10).unwrap();
@@ -89,13 +89,13 @@
 }
 
 async fn measure_goodput(opts: Options, with_nodes: bool) -> miette::Result<Goodput> {
-    let fleet = Fleet::start(&layout(opts, with_nodes)).await?;
+    let fleet = Fleet::start(&fleet_spec(opts, with_nodes)).await?;
     let slots = SLOTS.get() * u32::try_from(opts.nodes).unwrap_or(u32::MAX);
     let service = Duration::from_micros(SERVICE_US);
     let rate = opts.factor * f64::from(slots) / service.as_secs_f64();
     let plan = Plan::new(&KINDS, rate, opts.length, opts.seed);
     let load = OpenLoop::run(plan, Arc::new(caller(&fleet, with_nodes))).await;
-    let runs = fleet.runs();
+    let runs = fleet.ledger_runs();
     let run_time = mean_run_time(&runs).unwrap_or(service);
     Ok(Goodput::new(
         &load,
@@ -106,7 +106,7 @@
     ))
 }
 
-fn layout(opts: Options, with_nodes: bool) -> Layout {
+fn fleet_spec(opts: Options, with_nodes: bool) -> FleetSpec {
     let target = TargetSettings {
         slots: SLOTS,
         service: ServiceTimes {
@@ -115,14 +115,14 @@
         },
         ..TargetSettings::default()
     };
-    let place = |n| Place::new(n, "desk", target.clone());
-    Layout {
-        places: (0..opts.nodes).map(place).collect(),
+    let instance_spec = |n| InstanceSpec::new(n, "desk", target.clone());
+    FleetSpec {
+        instances: (0..opts.nodes).map(instance_spec).collect(),
         catalogue: catalogue(),
-        nodes: with_nodes,
-        settings: "",
-        links: false,
-        patience: READY_TIMEOUT,
+        with_nodes,
+        extra_settings: "",
+        with_links: false,
+        ready_timeout: READY_TIMEOUT,
     }
 }
 
@@ -145,28 +145,28 @@
 }
 
 fn caller(fleet: &Fleet, with_nodes: bool) -> Caller {
-    let way = match with_nodes {
-        true => Way::Nodes(Entries::new(fleet.entries())),
-        false => Way::Naive(naive(fleet)),
+    let system = match with_nodes {
+        true => SystemUnderTest::Nodes(EntryNodes::new(fleet.entry_addrs())),
+        false => SystemUnderTest::Naive(naive(fleet)),
     };
     Caller {
         client: Client::default(),
-        way,
+        system,
         kinds: KINDS.to_vec(),
-        run: "o".to_owned(),
-        repeats: Repeats::NONE,
+        run_id: "o".to_owned(),
+        retry_policy: RetryPolicy::NONE,
         timeout: CALL_TIMEOUT,
         grace: TIMEOUT_GRACE,
     }
 }
 
-fn naive(fleet: &Fleet) -> Naive {
+fn naive(fleet: &Fleet) -> NaiveProxy {
     let targets: Vec<_> = fleet.members.iter().map(|m| m.target.addr()).collect();
     let of_path = KINDS.iter().map(|kind| (kind.path, targets.clone()));
-    Naive {
+    NaiveProxy {
         targets: HashMap::from_iter(of_path),
-        tries: NAIVE_MAX_ATTEMPTS,
-        try_timeout: CALL_TIMEOUT,
+        max_attempts: NAIVE_MAX_ATTEMPTS,
+        attempt_timeout: CALL_TIMEOUT,
     }
 }
 
--- a/crates/node/src/traffic/listener/serve/pipelining/pipeline.rs
+++ b/crates/node/src/traffic/listener/serve/pipelining/pipeline.rs
@@ -9,7 +9,7 @@
 use http::Method;
 use http::Request;
 use http::Response;
-use sassafrasspool_wire::Tap;
+use sassafrasspool_wire::IoObserver;
 use tokio_util::task::AbortOnDropHandle;
 
 use super::request_head;
@@ -111,12 +111,12 @@
     }
 }
 
-impl Tap for Pipeline {
-    fn read(&mut self, bytes: &[u8]) {
+impl IoObserver for Pipeline {
+    fn on_read(&mut self, bytes: &[u8]) {
         self.lock().inspect(bytes);
     }
 
-    fn written(&mut self, _: usize) {}
+    fn on_written(&mut self, _: usize) {}
 }
 
 impl State {
--- a/crates/soak/src/driver/links.rs
+++ b/crates/soak/src/driver/links.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sassafrasspool_bench::chaos::log::now_us;
+use sassafrasspool_bench::chaos::log::unix_now_us;
 use sassafrasspool_bench::load::OutageKind;
 
 use super::Driver;
@@ -23,21 +23,23 @@
         length: Duration,
     ) {
         let link = self.member(n).link(role);
-        let from_us = now_us();
+        let from_us = unix_now_us();
         self.begin_impairment(n);
         match fault {
-            LinkFault::Delay => link.delay(DELAY),
-            LinkFault::Reset => link.reset(),
-            LinkFault::Silence => link.silence(),
-            LinkFault::Cut => link.hold(true, true),
-            LinkFault::CutForth => link.hold(true, false),
-            LinkFault::CutBack => link.hold(false, true),
+            LinkFault::Delay => link.set_delay(DELAY),
+            LinkFault::Reset => link.reset_connections(),
+            LinkFault::Silence => link.blackhole_connections(),
+            LinkFault::Cut => link.set_blocked(true, true),
+            LinkFault::CutForth => link.set_blocked(true, false),
+            LinkFault::CutBack => link.set_blocked(false, true),
         }
         tokio::time::sleep(length).await;
         match fault {
-            LinkFault::Delay => link.delay(Duration::ZERO),
+            LinkFault::Delay => link.set_delay(Duration::ZERO),
             LinkFault::Reset | LinkFault::Silence => {}
-            LinkFault::Cut | LinkFault::CutForth | LinkFault::CutBack => link.hold(false, false),
+            LinkFault::Cut | LinkFault::CutForth | LinkFault::CutBack => {
+                link.set_blocked(false, false)
+            }
         }
         self.end_impairment(n);
         if role == LinkRole::Target {
@@ -46,10 +48,10 @@
         match role {
             // A caller may use a silent connection at any later time.
             LinkRole::Callers if fault == LinkFault::Silence => {
-                self.record_outage_until(n, OutageKind::CallersCut, from_us, u64::MAX);
+                self.record_outage_until(n, OutageKind::CallerConnectionsCut, from_us, u64::MAX);
             }
             // A caller whose own connection fails can't receive any answer.
-            LinkRole::Callers => self.record_outage(n, OutageKind::CallersCut, from_us),
+            LinkRole::Callers => self.record_outage(n, OutageKind::CallerConnectionsCut, from_us),
             // An answer that has begun can't be completed by another instance.
             LinkRole::PeerTraffic | LinkRole::Target => {
                 self.record_outage(n, OutageKind::AnswersCut, from_us);
--- a/crates/soak/src/fleet/builder.rs
+++ b/crates/soak/src/fleet/builder.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use miette::IntoDiagnostic;
-use sassafrasspool_bench::chaos::bounds::SETTINGS;
+use sassafrasspool_bench::chaos::bounds::NODE_SETTINGS;
 use sassafrasspool_bench::chaos::catalogue::SERVICES;
+use sassafrasspool_bench::load::InstanceSpec;
 use sassafrasspool_bench::load::Link;
 use sassafrasspool_bench::load::Listen;
-use sassafrasspool_bench::load::Place;
 use sassafrasspool_bench::load::Ports;
 use sassafrasspool_bench::load::node_settings;
 use sassafrasspool_core::DomainName;
@@ -84,8 +84,9 @@
         n: usize,
         platform: SocketAddr,
     ) -> miette::Result<Member> {
-        let place = Place::new(n, SERVICES[n % SERVICES.len()], TargetSettings::default());
-        let name = format!("{}-{n}", place.service);
+        let instance_spec =
+            InstanceSpec::new(n, SERVICES[n % SERVICES.len()], TargetSettings::default());
+        let name = format!("{}-{n}", instance_spec.service);
         let (addr, admin) = self.take_two_addrs()?;
         let extra = format!(
             "slots: {SLOTS}\nconnections: {CONNECTIONS}\ncold_start_ms: {COLD_START_MS}\n\
@@ -106,9 +107,9 @@
         let of = |role: LinkRole| links[role as usize].addr();
         let instance = Instance {
             id: InstanceId::new(&name).into_diagnostic()?,
-            service: ServiceName::new(&place.service).into_diagnostic()?,
+            service: ServiceName::new(&instance_spec.service).into_diagnostic()?,
             region: RegionName::new(REGION).into_diagnostic()?,
-            domain: DomainName::new(place.domain).into_diagnostic()?,
+            domain: DomainName::new(instance_spec.domain).into_diagnostic()?,
             traffic: of(LinkRole::PeerTraffic),
             control: of(LinkRole::PeerControl),
             slots: SLOTS,
@@ -124,7 +125,7 @@
             of(LinkRole::Target),
             of(LinkRole::Platform),
             &[],
-            &format!("{SETTINGS}{DRAIN_SETTINGS}"),
+            &format!("{NODE_SETTINGS}{DRAIN_SETTINGS}"),
         );
         std::fs::write(&settings, text).into_diagnostic()?;
         Ok(Member {
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use sassafrasspool_bench::chaos::by_promise;
+use sassafrasspool_bench::chaos::count_by_guarantee;
 use sassafrasspool_bench::chaos::events;
-use sassafrasspool_bench::chaos::events::Stopped;
+use sassafrasspool_bench::chaos::events::NodeStop;
 use sassafrasspool_bench::chaos::log::Log;
 use sassafrasspool_bench::load::CallRecord;
-use sassafrasspool_bench::load::Evidence;
+use sassafrasspool_bench::load::JoinedRecords;
 use sassafrasspool_bench::load::LedgerRun;
 use sassafrasspool_bench::load::Verdict;
 use sassafrasspool_core::InstanceId;
@@ -53,11 +53,11 @@
     /// The ids of the instances in the order of their numbers.
     pub ids: &'a [InstanceId],
     /// The planned stops of nodes.
-    pub stops: &'a [Stopped],
+    pub stops: &'a [NodeStop],
     /// When faults kept nodes from receiving new versions.
     pub impairments: &'a [Impairment],
     /// When node processes were killed.
-    pub kills: &'a [Stopped],
+    pub kills: &'a [NodeStop],
     /// When nodes, their targets or the links between them were stalled.
     pub stalls: &'a [Impairment],
     /// The failure domains of the instances, in the order of their numbers.
@@ -120,21 +120,21 @@
         observations: &RunObservations<'_>,
         bounds: &Bounds,
     ) -> Report {
-        let (recorded, outages) = observations.log.copy();
-        let evidence = Evidence::new(observations.records, observations.runs, &outages);
-        let is_excused = |record: &CallRecord| evidence.is_excused(record);
-        let history = events::history(
+        let (recorded, outages) = observations.log.history_and_outages();
+        let joined = JoinedRecords::new(observations.records, observations.runs, &outages);
+        let is_explained = |record: &CallRecord| joined.is_explained_by_outage(record);
+        let history = events::build_history(
             observations.log,
             observations.records,
             observations.runs,
             observations.ids,
             observations.stops,
-            is_excused,
+            is_explained,
         );
         let violations_found = check(&history, bounds);
-        let faults = evidence.faults().map(|record| format!("{record:?}"));
+        let faults = joined.faults().map(|record| format!("{record:?}"));
         let first_violations = faults.chain(violations_found.iter().map(ToString::to_string));
-        let verdict = evidence.verdict();
+        let verdict = joined.verdict();
         let quarantine = QuarantineVerdict::judge(
             observations.records,
             observations.runs,
@@ -165,7 +165,7 @@
             quarantine,
             evacuation,
             cold_start,
-            violations: by_promise(&violations_found),
+            violations: count_by_guarantee(&violations_found),
             first_violations: first_violations.take(MAX_DESCRIBED_VIOLATIONS).collect(),
             schedule: schedule.steps.iter().map(ToString::to_string).collect(),
             files_dir: None,
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -38,7 +38,7 @@
 pub use self::counters::TargetStats;
 pub use self::crash_on::CrashOn;
 pub use self::health::Load;
-pub use self::ledger::LedgerPages;
+pub use self::ledger::LedgerEntries;
 pub use self::run::Run;
 pub use self::run::RunEnd;
 pub use self::run_request::ANSWER_BYTES_HEADER;
@@ -132,7 +132,7 @@
     }
 
     /// A copy of the ledger over all generations, including unfinished runs.
-    pub fn ledger(&self) -> LedgerPages {
+    pub fn ledger(&self) -> LedgerEntries {
         self.supervisor.shared().ledger.copy()
     }
 
@@ -183,7 +183,7 @@
 
     /// Delays one answer in `every` by `by`, in whole milliseconds; none if
     /// `every` is 0. The work itself isn't delayed.
-    pub async fn late_answers(&self, every: u64, by: Duration) {
+    pub async fn set_late_answers(&self, every: u64, by: Duration) {
         let late = Some(LateAnswers {
             every,
             by_ms: whole_ms(by),
@@ -196,7 +196,7 @@
     }
 
     /// Sets what the health and load endpoints report.
-    pub async fn lie_about_health(&self, report: HealthReport) {
+    pub async fn set_health_report(&self, report: HealthReport) {
         let health = Some(report);
         self.apply_switches(&TargetSwitches {
             health,
--- a/crates/wire/src/peer/server.rs
+++ b/crates/wire/src/peer/server.rs
@@ -54,7 +54,7 @@
 
     /// Accepts connections until `cancel` is cancelled, then closes them all.
     pub async fn serve(self, listener: TcpListener, cancel: CancellationToken) {
-        let permits = Arc::new(Semaphore::new(self.limits.inbound));
+        let permits = Arc::new(Semaphore::new(self.limits.max_inbound));
         let tasks = TaskTracker::new();
         while let Some(accepted) = cancel.run_until_cancelled(listener.accept()).await {
             let Ok((io, peer)) = accepted else {
@@ -65,7 +65,7 @@
             // the limit are closed at once; their nodes retry after a backoff with jitter.
             let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
                 let err = Error::new(Step::Connect, "connection limit reached");
-                self.handler.fault(peer, &err.at_peer(peer));
+                self.handler.record_fault(peer, &err.at_peer(peer));
                 continue;
             };
             let served = self.serve_connection(io, peer, permit);
@@ -91,7 +91,7 @@
         async move {
             let _permit = permit;
             if let Err(err) = answer_messages(io, &service, limits, bytes).await {
-                service.handler.fault(peer, &err.at_peer(peer));
+                service.handler.record_fault(peer, &err.at_peer(peer));
             }
         }
     }
@@ -106,12 +106,14 @@
 ) -> Result<(), Error> {
     let transport = framed(io, bytes)?;
     let channel = BaseChannel::new(Config::default(), transport);
-    let requests = channel.max_concurrent_requests(limits.requests).requests();
+    let requests = channel
+        .max_concurrent_requests(limits.max_concurrent_requests)
+        .requests();
     let mut requests = std::pin::pin!(requests);
     let mut answers = futures::stream::FuturesUnordered::new();
     loop {
         tokio::select! {
-            next = timeout(limits.idle, requests.next()) => match next {
+            next = timeout(limits.idle_timeout, requests.next()) => match next {
                 Ok(Some(Ok(request))) => answers.push(request.execute(service.clone().serve())),
                 Ok(Some(Err(cause))) => {
                     return Err(Error::new(Step::Exchange, error_chain(&cause)));
@@ -138,7 +140,8 @@
             Err(err) => self.refuse_message(&err.at_peer(format!("{from} ({})", self.peer))),
         };
         Packed::pack(&reply).unwrap_or_else(|err| {
-            self.handler.fault(self.peer, &err.at_peer(self.peer));
+            self.handler
+                .record_fault(self.peer, &err.at_peer(self.peer));
             Packed::Plain(bytes::Bytes::new())
         })
     }
@@ -146,7 +149,7 @@
 
 impl<H: PeerHandler> Service<H> {
     fn refuse_message(&self, err: &Error) -> PeerReply {
-        self.handler.fault(self.peer, err);
+        self.handler.record_fault(self.peer, err);
         PeerReply::Refused
     }
 }
--- a/crates/wire/src/socket/observed.rs
+++ b/crates/wire/src/socket/observed.rs
@@ -14,17 +14,17 @@
 use super::SocketBytes;
 
 /// Observes the bytes of a connection.
-pub trait Tap {
+pub trait IoObserver {
     /// Called with bytes that were read, before the reader of the connection gets them.
-    fn read(&mut self, bytes: &[u8]);
+    fn on_read(&mut self, bytes: &[u8]);
 
     /// Called after `n` bytes were written.
-    fn written(&mut self, n: usize);
+    fn on_written(&mut self, n: usize);
 }
 
 /// A connection whose reads and writes are reported to an observer.
 #[derive(Debug)]
-pub struct Tapped<T, I = TcpStream> {
+pub struct Observed<T, I = TcpStream> {
     io: I,
     observer: T,
 }
@@ -33,26 +33,26 @@
 ///
 /// If the count of written bytes did not change, the peer has received nothing of the
 /// data that was to be sent.
-pub type Counted = Tapped<Arc<SocketBytes>>;
+pub type CountedStream = Observed<Arc<SocketBytes>>;
 
-impl<T, I> Tapped<T, I> {
+impl<T, I> Observed<T, I> {
     /// Reports the bytes read from and written to `io` to `observer`.
-    pub const fn new(io: I, observer: T) -> Tapped<T, I> {
-        Tapped { io, observer }
+    pub const fn new(io: I, observer: T) -> Observed<T, I> {
+        Observed { io, observer }
     }
 }
 
-impl Tap for Arc<SocketBytes> {
-    fn read(&mut self, bytes: &[u8]) {
+impl IoObserver for Arc<SocketBytes> {
+    fn on_read(&mut self, bytes: &[u8]) {
         self.add_read(bytes.len());
     }
 
-    fn written(&mut self, n: usize) {
+    fn on_written(&mut self, n: usize) {
         self.add_written(n);
     }
 }
 
-impl<T: Tap + Unpin, I: AsyncRead + Unpin> AsyncRead for Tapped<T, I> {
+impl<T: IoObserver + Unpin, I: AsyncRead + Unpin> AsyncRead for Observed<T, I> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -62,13 +62,13 @@
         let polled = Pin::new(&mut self.io).poll_read(cx, buf);
         let read = &buf.filled()[before..];
         if !read.is_empty() {
-            self.observer.read(read);
+            self.observer.on_read(read);
         }
         polled
     }
 }
 
-impl<T: Tap + Unpin, I: AsyncWrite + Unpin> AsyncWrite for Tapped<T, I> {
+impl<T: IoObserver + Unpin, I: AsyncWrite + Unpin> AsyncWrite for Observed<T, I> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -76,7 +76,7 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.io).poll_write(cx, buf);
         if let Poll::Ready(Ok(n)) = polled {
-            self.observer.written(n);
+            self.observer.on_written(n);
         }
         polled
     }
@@ -88,7 +88,7 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.io).poll_write_vectored(cx, bufs);
         if let Poll::Ready(Ok(n)) = polled {
-            self.observer.written(n);
+            self.observer.on_written(n);
         }
         polled
     }
